--- a/oakvale/lane.py
+++ b/oakvale/lane.py
@@ -99,8 +99,7 @@
 
     def client_gone(self, request: InHand) -> None:
         if not request.over:
-            request.over = True
-            self.requests.drop_if_done(request)
+            self.abandon(request)
             self.give(i.Withdrawn(request.id))
 
     def attempt_ended(self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None,
@@ -109,6 +108,8 @@
         if request.out.pop(attempt.hop, None) is None:
             return
         self.tally.attempts[ending.value] += 1
+        if request.abandoned:
+            self.tally.abandoned_attempts[ending.value] += 1
         if answer is not None and not request.over:
             passed = self.dialect.passes(attempt, ending, answer)
             if passed is not None:
--- a/oakvale/memory/requests.py
+++ b/oakvale/memory/requests.py
@@ -32,6 +32,7 @@
     deadline: int
     event: Any = None  # what it is to the decision module
     over: bool = False
+    abandoned: bool = False  # over because its client left
     hops: int = 0
     out: dict[int, AttemptOut] = field(default_factory=dict)
 
--- a/oakvale/shared.py
+++ b/oakvale/shared.py
@@ -68,6 +68,12 @@
         """Microseconds since the kernel's stamp of an arrival; 0 where the time of day, which jumps, is not asked."""
         return 0
 
+    def abandon(self, request: InHand) -> None:
+        """Its client left: nobody waits for an answer any more."""
+        request.over = request.abandoned = True
+        self.tally.abandoned["at_backend" if request.out else "waiting"] += 1
+        self.requests.drop_if_done(request)
+
     def final(self, request: InHand, answer: Answer) -> None:
         request.over = True
         request.client.give(answer)
--- a/oakvale/sluice/plant.py
+++ b/oakvale/sluice/plant.py
@@ -394,5 +394,4 @@
         order: Order = request.event
         if order.given:
             return order.lane.client_gone(request)
-        request.over = True
-        self.requests.drop_if_done(request)
+        self.abandon(request)
--- a/tests/test_tow.py
+++ b/tests/test_tow.py
@@ -11,7 +11,7 @@
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.sluice.tow import TELL, Tow
 from tests.node import MS, answer
-from tests.test_plant import Gate, sealed
+from tests.data_plane import Gate, sealed
 
 OTHER = "k2"
 TENANTS = {"cols": ["name", "apikeys"], "rows": [["t1", ["k1"]], ["t2", [OTHER]]]}
