--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -2,7 +2,101 @@
 
 from __future__ import annotations
 
+import pytest
+
 from tests.data_plane import Gate, sealed
+from tests.node import StandIn
+
+LARGE = b"x" * (6 << 20)  # more than the kernel takes for a backend that does not read
+
+
+def ends(gate: Gate, backend: StandIn) -> None:
+    """Waits until the gateway has ended a connection to a backend."""
+    gate.until(lambda: (backend.read(), backend.ended)[1])
+
+
+def sends(gate: Gate, client: StandIn, data: bytes) -> None:
+    """Sends more than the kernel takes at once: the gateway reads meanwhile."""
+    rest = memoryview(data)
+    while rest:
+        try:
+            rest = rest[client.sock.send(rest):]
+        except BlockingIOError:
+            gate.loop.turn(0.01)
+
+
+@pytest.mark.parametrize("reset", [False, True], ids=["close", "reset"])
+@pytest.mark.parametrize("begun", [b"", sealed()[:-1]], ids=["waiting", "half an answer"])
+def test_a_repeatable_request_is_called_off_at_its_backend(gate: Gate, begun: bytes, reset: bool) -> None:
+    """Incident GONE: the request was over, and its attempt went on: the backend worked for nobody."""
+    client = gate.say()
+    _, backend, _ = gate.at_backend()
+    if begun:
+        backend.send(begun)
+        gate.turns()
+    client.close(reset)
+    ends(gate, backend)
+    assert gate.plant.tally.abandoned_attempts["cancelled"] == 1
+    assert not len(gate.plant.requests) and gate.first.take() is None and gate.second.take() is None
+
+
+@pytest.mark.parametrize("path", ["/r/x", "/b/x"])
+def test_a_request_that_is_not_written_whole_is_sent_no_further(gate: Gate, path: str) -> None:
+    """An order of which a part is out can't run yet: its rest reached the backend long after its client had left."""
+    client = gate.say(path, method="POST", Content_Length=str(len(LARGE)))
+    sends(gate, client, LARGE)
+    backend = gate.until(lambda: gate.first.take() or gate.second.take())
+    gate.peers.append(backend)
+    gate.turns(20)
+    client.close(reset=True)
+    gate.until(lambda: gate.plant.tally.abandoned["at_backend"] == 1)
+    gate.turns()
+    ends(gate, backend)
+    assert len(backend.came) < len(LARGE) and not len(gate.plant.requests)
+
+
+def test_an_unsafe_request_that_is_out_runs_to_its_end_and_is_not_sent_again(gate: Gate) -> None:
+    """Half an order is worse than a whole one, whose state its client can ask for."""
+    for rid, reply in (("a1", sealed()), ("a2", None)):
+        client = gate.say("/b/x", rid=rid, method="POST", body=b"order")
+        _, backend, _ = gate.at_backend()
+        client.close()
+        gate.until(lambda: not gate.plant.clients.all)
+        gate.turns(10)
+        assert (backend.read(), backend.ended)[1] is False
+        if reply:
+            backend.send(reply)
+        else:
+            backend.close(reset=True)
+        gate.until(lambda: not len(gate.plant.requests))
+    gate.turns(10)
+    assert gate.first.take() is None and gate.second.take() is None
+
+
+def test_a_repeatable_request_that_fails_after_its_client_left_is_not_tried_again(gate: Gate) -> None:
+    client = gate.say()
+    _, backend, _ = gate.at_backend()
+    client.close()
+    gate.until(lambda: gate.plant.tally.abandoned["at_backend"] == 1)
+    backend.close(reset=True)
+    gate.turns(10)
+    assert not len(gate.plant.requests) and gate.first.take() is None and gate.second.take() is None
+
+
+def test_clients_that_leave_are_not_held_against_the_backend(gate: Gate) -> None:
+    """A backend whose requests are called off has done nothing wrong: the next ones are served there as before."""
+    gate.show(gone=("i-2",))
+    for n in range(12):
+        client = gate.say(rid=f"a{n}")
+        _, backend, _ = gate.at_backend()
+        client.close()
+        gate.until(lambda: not gate.plant.clients.all)
+        backend.send(sealed(f"a{n}"))
+        gate.until(lambda: not len(gate.plant.requests))
+    client = gate.say(rid="b")
+    _, backend, _ = gate.at_backend()
+    backend.send(sealed("b"))
+    assert gate.status(client) == 200
 
 
 def test_a_client_that_leaves_is_counted_with_what_becomes_of_its_attempt(gate: Gate) -> None:
