--- a/oakvale/lane.py
+++ b/oakvale/lane.py
@@ -101,6 +101,8 @@
         if not request.over:
             self.abandon(request)
             self.give(i.Withdrawn(request.id))
+            for attempt in [out for out in request.out.values() if not out.written]:
+                self.call_off(attempt)  # it can't run yet: nothing more of it goes out, whatever its effect
 
     def attempt_ended(self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None,
                       report: tuple[float, ...] = ()) -> None:
@@ -150,9 +152,13 @@
         request = self.requests.get(action.id)
         attempt = request.out.get(action.hop) if request else None
         if attempt is not None:
-            if attempt.connection is not None:
-                attempt.connection.end()
-            self.attempt_ended(attempt, i.Ending.CANCELLED)
+            self.call_off(attempt)
+
+    def call_off(self, attempt: AttemptOut, ending: i.Ending = i.Ending.CANCELLED) -> None:
+        """Ends an attempt with its connection: nothing more of it is sent, and its backend learns of it at once."""
+        if attempt.connection is not None:
+            attempt.connection.end()
+        self.attempt_ended(attempt, ending)
 
     def _refuse(self, action: i.Refuse) -> None:
         request = self.requests.get(action.id)
--- a/oakvale/policy/attempts.py
+++ b/oakvale/policy/attempts.py
@@ -74,9 +74,8 @@
             held.cust.store -= ev.true_units - held.req.units
             held.cust.unsent += (ev.true_units - held.req.units) * self.quota.swell(held.cust)
         learned = self.desk.now > self.desk.gap and bool(known or ev.ending is Ending.SERVED)
-        if learned:
-            if self.health.learn(b, ev, held.req.units):  # what came while it stood still blames nobody
-                self.limits.follow(b, ev.ending)
+        if learned and self.health.learn(b, ev, held.req.units):  # what came in a pause blames nobody
+            self.limits.follow(b, ev.ending)
         self.budget.ended(held.spent, ev.ending, learned, self.desk.now)
         held.cust.out -= 1
         self.quota.tell_open(held.cust)
--- a/oakvale/policy/lending.py
+++ b/oakvale/policy/lending.py
@@ -63,10 +63,9 @@
         slack = (R_OVER_FLOORS - 1) * floors * (now % self.span / self.span) - lent
         if slack <= 0 or now - self.told_at > SECOND:  # nothing is lent on old counts
             return False
-        share = (R_OVER_FLOORS - 1) * floors * cust.plan.price / self.weights
         if cust.lent_in != self.began["lent"]:
             cust.lent, cust.lent_in = 0.0, self.began["lent"]
-        if cust.lent + units > share:
+        if cust.lent + units > (R_OVER_FLOORS - 1) * floors * cust.plan.price / self.weights:
             return False
         cust.lent += units
         return True
--- a/oakvale/policy/limits.py
+++ b/oakvale/policy/limits.py
@@ -1,6 +1,6 @@
 """Limits and refusal: what may be out at once, what a hard ceiling leaves, and how a request is given up."""
 
-from oakvale.interface import Effect, Ending, Fail, Refuse
+from oakvale.interface import Cancel, Effect, Ending, Fail, Refuse
 from oakvale.policy.health import Health
 from oakvale.policy.quota import Quota
 from oakvale.policy.records import SECOND, Backend, Desk, Held, Limit
@@ -62,8 +62,11 @@
         self.finish(held.req.id)
 
     def finish(self, rid: str) -> None:
+        """Nobody waits for its answer any more: of what is out, only what may run once goes on to its end."""
         held = self.desk.held.get(rid)
         if held is not None:
+            if not (held.over or held.head) and self.desk.s.may_cancel and held.cls.effect is Effect.SAFE:
+                self.desk.do += [Cancel(rid, hop) for hop in held.out]
             held.over = True
             if not held.out and not held.waiting:
                 del self.desk.held[rid]
--- a/oakvale/sluice/plant.py
+++ b/oakvale/sluice/plant.py
@@ -125,8 +125,7 @@
             self.idle.free(number)
         for attempt in [a for r in self.requests.all() if not r.over and r.event.lane is self for a in r.out.values()]:
             if attempt.backend in gone and attempt.written and attempt.connection is not None:
-                attempt.connection.end()
-                self.attempt_ended(attempt, i.Ending.TIMEOUT)
+                self.call_off(attempt, i.Ending.TIMEOUT)
 
     def _list(self, numbers: dict[str, int]) -> bool:
         """Whether zones that are out are left alone: not where nothing else is there."""
--- a/oakvale/wire/backends.py
+++ b/oakvale/wire/backends.py
@@ -15,7 +15,7 @@
 from oakvale.numbers import decimal
 from oakvale.wire.http import END, end_to_end, more
 from oakvale.wire.owner import Process
-from oakvale.wire.tcp import Gone, connect, new_socket, peek, write_all
+from oakvale.wire.tcp import Gone, connect, new_socket, peek, reset_on_close, write_all
 
 FOR_US = frozenset({b"endpoint-load-metrics", b"x-never-ran"})  # what backends tell gateways, not clients
 OURS = frozenset({b"x-trace-id", b"x-expires-in"})
@@ -189,6 +189,9 @@
         return peek(self._sock) is None
 
     def end(self) -> None:
+        """Ends it at once; an attempt on it is broken off."""
+        if self.attempt is not None:
+            reset_on_close(self._sock)
         self.attempt = None
         self.host.loop.end(self._task)
 
@@ -236,6 +239,8 @@
             yield from self._send(attempt)
             answer, report = yield from self._answer(attempt)
         except Gone as gone:
+            if gone.timed_out:  # a request that is still on its way would run for nobody
+                reset_on_close(self._sock)
             if not self._may_have_run(attempt):
                 self._finish(Ending.NO_CONNECTION)
             else:
--- a/oakvale/wire/tcp.py
+++ b/oakvale/wire/tcp.py
@@ -12,6 +12,7 @@
 
 SO_TIMESTAMPNS = 35  # Linux; the socket module has no name for it
 TIMESPEC = struct.Struct("qq")
+LINGER_NO_TIME = struct.pack("ii", 1, 0)  # struct linger: on, for 0 s
 ANCILLARY = socket.CMSG_SPACE(TIMESPEC.size)
 
 
@@ -30,6 +31,15 @@
     return sock
 
 
+def reset_on_close(sock: Sock) -> None:
+    """Has the next close reset the connection: what the kernel still holds is thrown away, and the other side can't
+    take it for the end of sending alone."""
+    try:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NO_TIME)
+    except OSError:
+        pass  # it broke meanwhile
+
+
 def connect(sock: Sock, address: Address, due: int) -> Step[bool]:
     """True once the connection is up; False when it is refused, breaks, or is not up in time."""
     code = sock.connect_ex(address)
