--- a/oakvale/policy/gateway.py
+++ b/oakvale/policy/gateway.py
@@ -18,7 +18,8 @@
         self.limits = limits.Limits(desk, self.health, self.quota)
         self.lending, self.choice = lending.Lending(desk, self.limits), choice.Choice(desk, self.limits)
         self.attempts = attempts.Attempts(desk, self.lending, self.choice, budget or OwnBudget())
-        self.admission, self.upkeep = admission.Admission(desk, self.attempts), upkeep.Upkeep(desk, self.attempts)
+        self.admission = admission.Admission(desk, self.attempts)
+        self.upkeep = upkeep.Upkeep(desk, self.attempts)
         self.handlers: dict[type[i.Event], Callable[[Any], None]] = {
             i.Request: self.admission.on_request, i.Counted: self.admission.on_counted,
             i.Ended: self.attempts.on_ended, i.Head: self.attempts.on_head, i.Timer: self.upkeep.on_timer,
