--- a/oakvale/policy/lending.py
+++ b/oakvale/policy/lending.py
@@ -41,7 +41,7 @@
             return
         if answered:
             self.told_at = self.desk.now
-            self.flushed |= ev.level < 0.999 * self.counts[kind]  # emptied: slack looks wide, so nothing is lent
+            self.flushed |= ev.level < 0.999 * self.counts[kind]  # emptied: slack looks wide, none is lent
             self.counts[kind] = max(ev.level, self.counts[kind])
         elif ev.ending in NOT_TAKEN:
             self.counts[kind] -= amount
