--- a/oakvale/lab/days.py
+++ b/oakvale/lab/days.py
@@ -15,8 +15,9 @@
 from oakvale.intake.times import micros
 
 Kind = Literal[
-    "hot_tenant", "burst", "srv_crash", "srv_slow", "srv_grey", "srv_flap", "srv_lying_health", "release", "scale_in",
-    "answer_lost", "garble", "idle_race", "node_kill", "herd_kill", "after_ack_kill", "after_ack_wipe", "clock_step",
+    "hot_tenant", "burst", "give_up", "srv_crash", "srv_slow", "srv_grey", "srv_flap", "srv_lying_health", "release",
+    "scale_in", "answer_lost", "garble", "idle_race", "node_kill", "herd_kill", "after_ack_kill", "after_ack_wipe",
+    "clock_step",
     "core_cut", "node_cut", "zone_cut", "disk_slow", "disk_stall", "lossy", "node_slow", "config_change",
     "config_race", "bad_config", "revoke", "seed_turnover", "closing", "restart", "drain", "node_freeze",
     "replace_core", "reset_conns", "disk_full", "ack_lost", "order_again", "config_flood"]
--- a/oakvale/lab/judge/verdict.py
+++ b/oakvale/lab/judge/verdict.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterator
 
-from oakvale.lab.judge import answers, configs, leaving, orders, whole, windows
+from oakvale.lab.judge import abandoned, answers, configs, leaving, orders, whole, windows
 from oakvale.lab.judge.cases import Matter
 from oakvale.lab.judge.words import RULES, Broken, Verdict
 from oakvale.lab.judge.worth import worth
@@ -12,8 +12,8 @@
 
 JUDGES: tuple[Callable[[Matter], Iterator[Broken]], ...] = (
     answers.mixed, answers.unasked, answers.twice, answers.refused, configs.denied, configs.route, leaving.drain,
-    leaving.lost, configs.config, orders.orders, windows.budget, windows.quota, whole.recover, whole.acks,
-    whole.duty, whole.fault)
+    leaving.lost, abandoned.gone, configs.config, orders.orders, windows.budget, windows.quota, whole.recover,
+    whole.acks, whole.duty, whole.fault)
 
 
 def judge(record: Record) -> Verdict:
--- a/oakvale/lab/models/asks.py
+++ b/oakvale/lab/models/asks.py
@@ -22,6 +22,7 @@
     BROKEN = auto()  # anything else: it may have run
     GIVEN_UP = auto()  # by the client, as the gateway has not read it
     OVER = auto()  # the deadline
+    LEFT = auto()  # its client closes, long before the deadline, and does not come back
 
 
 @dataclass(slots=True)
@@ -41,6 +42,7 @@
     at: int
     deadline: int
     eager: bool = False  # does not wait as told
+    leaves: int = 0  # when its client closes the connection for good; 0: it waits to the deadline
     tries: list[str] = field(default_factory=list)
     met: list[str] = field(default_factory=list)
 
@@ -48,10 +50,20 @@
         """When a try that began now is given up if the gateway has not read it; 0 for never."""
         return min(now + UNREAD, now + (self.deadline - now) // 3) if self.safe else 0
 
+    def ends(self) -> int:
+        """When its client waits no longer."""
+        return min(self.deadline, self.leaves or self.deadline)
+
+    def late(self, now: int) -> End:
+        """How a try ends that is given up now."""
+        if now >= self.deadline:
+            return End.OVER
+        return End.LEFT if self.leaves and now >= self.leaves else End.GIVEN_UP
+
     def again(self, now: int, end: End | int, retry_after: float | None = None) -> int | None:
         """When to try again after that end (an int is a status); None for not."""
         if isinstance(end, End):
-            if end is End.OVER or not (self.safe or end is End.UNREACHED):
+            if end in (End.OVER, End.LEFT) or not (self.safe or end is End.UNREACHED):
                 return None
         elif 200 <= end < 300 or end in LAST or not (self.safe or end in PROMISES):
             return None
@@ -63,4 +75,4 @@
             wait = min(round(retry_after * SECOND), (self.deadline - now) // 3)
         else:
             wait = PAUSE << (len(self.tries) - 1)
-        return now + wait if now + wait < self.deadline - MS else None
+        return now + wait if now + wait < self.ends() - MS else None
--- a/oakvale/lab/models/crowd.py
+++ b/oakvale/lab/models/crowd.py
@@ -45,6 +45,16 @@
     tenant: str = ""
 
 
+@dataclass(slots=True)
+class Haste:
+    """Clients that leave early for a while: a share of them, each within a time of its request."""
+
+    at: int
+    until: int
+    share: float
+    within: int
+
+
 @dataclass(eq=False, slots=True)
 class Line:
     """A client's connection to a gateway."""
@@ -58,6 +68,7 @@
     task: Task | None = None
     peer: h11.Connection = field(default_factory=lambda: h11.Connection(h11.CLIENT))
     closing: bool = False
+    in_order: bool = False  # its client leaves with a close, not with a reset
 
 
 class Senders:
@@ -104,7 +115,8 @@
               read: bool = False) -> None:
         now = self.loop.now
         if isinstance(end, End):
-            self.record.add(Closed(now, ask.tries[-1], number, read, end in (End.OVER, End.GIVEN_UP)))
+            by_client = end in (End.OVER, End.GIVEN_UP, End.LEFT)
+            self.record.add(Closed(now, ask.tries[-1], number, read, by_client))
         due = ask.again(now, end, retry_after) if ask.route else None
         if due is None:
             self.out -= 1
@@ -119,10 +131,11 @@
             ask = line.ask
             assert ask is not None
             try:
-                yield from connect(line.sock, line.edge.http, min(self.loop.now + UP, ask.deadline))
+                yield from connect(line.sock, line.edge.http, min(self.loop.now + UP, ask.ends()))
             except (Ended, Late):
                 line.ask = None
-                self._over(ask, End.OVER if self.loop.now >= ask.deadline else End.UNREACHED, line.number)
+                late = self.loop.now >= ask.ends()
+                self._over(ask, ask.late(self.loop.now) if late else End.UNREACHED, line.number)
                 return
             while line.ask is not None:
                 ask, line.ask = line.ask, None
@@ -138,7 +151,7 @@
                 self._idle[line.client].remove(line)
             if line.ask is not None:  # given to it while it ended
                 self._over(line.ask, End.UNREACHED, line.number)
-            if rst:
+            if rst and not line.in_order:
                 reset(line.sock)
             else:
                 line.sock.close()
@@ -147,7 +160,7 @@
         """One try on it; False where the connection is no more use."""
         name, now = ask.tries[-1], self.loop.now
         try:
-            yield from send(line.sock, self._request(line.peer, ask, name), ask.deadline)
+            yield from send(line.sock, self._request(line.peer, ask, name), ask.ends())
             self.record.add(Wrote(self.loop.now, name))
             response, body, whole = yield from self._answer(line, ask, ask.give_up_unread(now))
         except Ended as error:
@@ -157,9 +170,9 @@
             self._over(ask, End.BROKEN if taken else End.UNREACHED, line.number, read=taken)
             return False
         except Late:
-            left = untaken(line.sock)
-            over = self.loop.now >= ask.deadline
-            self._over(ask, End.OVER if over else End.GIVEN_UP, line.number, read=left == 0)
+            left, end = untaken(line.sock), ask.late(self.loop.now)
+            line.in_order = end is End.LEFT and line.number % 2 == 0
+            self._over(ask, end, line.number, read=left == 0)
             return False
         except h11.RemoteProtocolError:
             self.record.add(Got(self.loop.now, name, 0, None, "", False, None, line.number))
@@ -227,9 +240,9 @@
                 return
             now = self.loop.now
             looks = bool(give_up) and bool(untaken(line.sock))
-            if now >= ask.deadline or looks and now >= give_up:
+            if now >= ask.ends() or looks and now >= give_up:
                 raise Late
-            yield READ, min(ask.deadline, give_up, now + LOOKS) if looks else ask.deadline
+            yield READ, min(ask.ends(), give_up, now + LOOKS) if looks else ask.ends()
 
     def _wait(self, line: Line) -> Step[None]:
         """Until its client has another request for it, or it is of no more use."""
@@ -275,11 +288,12 @@
 
     def __init__(self, loop: Loop, record: Record, rng: Random, zone: str, clients: int, platform: Platform,
                  flows: Iterable[Flow], place: Callable[[str], tuple[str, str]], tenants: dict[str, float],
-                 key: Callable[[str, int, Random], str | None], eager: float, swells: list[Swell]) -> None:
+                 key: Callable[[str, int, Random], str | None], eager: float, swells: list[Swell],
+                 hastes: list[Haste]) -> None:
         """`place`: host and prefix of a route. `tenants`: their weights. `key`: one that a tenant's client has at a
         time. `eager`: the share of clients that come again too often."""
         self.loop, self.rng, self._zone, self._platform = loop, rng, zone, platform
-        self._flows, self._place, self._key, self._swells = list(flows), place, key, swells
+        self._flows, self._place, self._key, self._swells, self._hastes = list(flows), place, key, swells, hastes
         self._clients = [f"{zone}-{n}" for n in range(clients)]
         self._keeps = {name for name in self._clients if rng.random() < 0.5}
         self._eager = {name for name in self._clients if rng.random() < eager}
@@ -319,8 +333,16 @@
         ask = Ask(flow.route, host, f"{prefix}{self.rng.getrandbits(24):x}?q={self.rng.getrandbits(8)}",
                   "GET" if flow.safe else "POST", body, self._key(tenant, now, self.rng) if tenant else None, tenant,
                   flow.safe, client, self._zone, now, now + flow.deadline, client in self._eager)
+        ask.leaves = self._leaves(now)
         self.senders.send(ask, client in self._keeps)
 
+    def _leaves(self, now: int) -> int:
+        """When the client of a request that comes now leaves; 0 for not before its deadline."""
+        for haste in self._hastes:
+            if haste.at <= now < haste.until and self.rng.random() < haste.share:
+                return now + 1 + self.rng.randrange(haste.within)
+        return 0
+
     def _tenant(self, now: int) -> str:
         weights = list(self._weights)
         for swell in self._swells:
--- a/oakvale/lab/models/launch.py
+++ b/oakvale/lab/models/launch.py
@@ -13,7 +13,7 @@
 from oakvale.intake.times import micros
 from oakvale.lab.days import Day, Route, Service, Trouble
 from oakvale.lab.models.backend import Backend, Ways
-from oakvale.lab.models.crowd import Crowd, Flow, Swell
+from oakvale.lab.models.crowd import Crowd, Flow, Haste, Swell
 from oakvale.lab.models.operator import MOST_OPEN, Losses, Operator
 from oakvale.lab.models.orders import PLACED, Books, name
 from oakvale.lab.models.platform import Edge, Platform
@@ -31,9 +31,9 @@
 FIRST_ORDER = 3 * SECOND  # before traffic at the latest; sent as soon as there is a day
 BODY = 2_000
 FREED = 8 * SECOND  # a backend that was told to leave has ended by then
-OURS = frozenset({"hot_tenant", "burst", "srv_crash", "srv_slow", "srv_grey", "srv_flap", "srv_lying_health", "release",
-                  "scale_in", "drain", "answer_lost", "garble", "idle_race", "config_change", "config_flood",
-                  "config_race", "bad_config", "revoke", "ack_lost", "order_again"})
+OURS = frozenset({"hot_tenant", "burst", "give_up", "srv_crash", "srv_slow", "srv_grey", "srv_flap",
+                  "srv_lying_health", "release", "scale_in", "drain", "answer_lost", "garble", "idle_race",
+                  "config_change", "config_flood", "config_race", "bad_config", "revoke", "ack_lost", "order_again"})
 TIMED = (5 * MS, 400 * MS)  # after a change was sent
 PROBED = 10  # of a flood's changes one in so many is probed
 MEETS_READ = (0, 5 * MS, 20 * MS, 60 * MS, 150 * MS, 400 * MS)  # after a machine is back it is read
@@ -107,6 +107,7 @@
         record.kinds.update({r.name: Kind(r.name, r.worth, r.late, round(r.aim_ms * MS)) for r in day.routes})
         record.began = began
         self.swells: list[Swell] = []
+        self.hastes: list[Haste] = []
         self.seats = {service.name: [self._seat(service, n) for n in range(service.backends)]
                       for service in day.services}
         self._services = {service.name: service for service in day.services}
@@ -163,7 +164,7 @@
             home = self.ground.host(f"clients-{zone}", zone)
             crowd = Crowd(home.loop, self.record, Random(self._rng.getrandbits(64)), zone, CLIENTS, self.platform,
                           [self._flow(route) for route in day.routes], self.books.place, tenants, self.books.key,
-                          EAGER, self.swells)
+                          EAGER, self.swells, self.hastes)
             crowd.begin(began, until)
             crowds.append(crowd)
         longest = max(route.deadline_ms for route in day.routes)
@@ -200,6 +201,10 @@
     def _burst(self, trouble: Trouble, at: int, lasts: int, gap: int) -> None:
         self._swell(Swell(at, at + lasts, trouble.x))
 
+    def _give_up(self, trouble: Trouble, at: int, lasts: int, gap: int) -> None:
+        """`x`: milliseconds within which they leave."""
+        self.hastes.append(Haste(at, at + lasts, trouble.share or 1.0, max(1, round(trouble.x * MS))))
+
     def _swell(self, swell: Swell) -> None:
         self.swells.append(swell)
         self._happened(swell.at, swell.until, Event.PRESS, ())
--- a/oakvale/lab/trials/draw.py
+++ b/oakvale/lab/trials/draw.py
@@ -37,6 +37,7 @@
 WAYS: dict[str, tuple[Way, ...]] = {
     "hot_tenant": (Way((3, 8), x=(2, 9)),),
     "burst": (Way((2, 6), x=(1.5, 4)),),
+    "give_up": (Way((2, 6), share=(0.2, 0.8), x=(20, 400)),),
     "srv_crash": (Way((2, 6), share=(0.1, 0.5), hows=("", "dark", "gone", "dark gone"), on=SERVICE),),
     "srv_slow": (Way((3, 8), share=(0.1, 0.5), x=(2, 8), on=SERVICE),),
     "srv_grey": (Way((3, 8), share=(0.1, 0.5), x=(0.05, 0.5), on=SERVICE), Way((3, 8), count=(1, 1), x=(3, 20),
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -13,7 +13,21 @@
 from oakvale.lab.judge.verdict import judge
 from oakvale.lab.judge.windows import fullest, overrun
 from oakvale.lab.judge.words import Spans
-from oakvale.lab.record import Arrived, Closed, Declined, Event, Fate, Got, Happened, Looked, Machine, Ran, Said, State
+from oakvale.lab.record import (
+    Arrived,
+    Closed,
+    Declined,
+    Dropped,
+    Event,
+    Fate,
+    Got,
+    Happened,
+    Looked,
+    Machine,
+    Ran,
+    Said,
+    State,
+)
 from tests.told import MS, ROUTES, SECOND, Told, text
 
 CASES: dict[str, tuple[list[str], Callable[[Told], Any]]] = {}
@@ -456,6 +470,78 @@
     t.serve(11 * SECOND, gateway="e2")
 
 
+def leave(t: Told, at: int, route: str = "read", arrives: int = 5 * MS, ends: int | None = None,
+          drops: int | None = None, gateway: str = "e1") -> None:
+    """A client asks, leaves 100 ms later, and its run ends or is dropped so long after that."""
+    name = t.send(at, route, gateway)
+    t.run(at + arrives, name)
+    t.close(at + 100 * MS, name, by_client=True)
+    if ends is not None:
+        t.answer(at + 100 * MS + ends, name)
+    if drops is not None:
+        t.record.add(Dropped(at + 100 * MS + drops, name, "a1", False))
+
+
+@case("GONE")
+def runs_go_on_for_clients_that_left(t: Told) -> None:
+    t.serve(40 * SECOND)
+    for n in range(8):
+        leave(t, n * SECOND, ends=700 * MS)
+
+
+@case("GONE")
+def a_third_of_the_runs_goes_on(t: Told) -> None:
+    t.serve(40 * SECOND)
+    for n in range(12):
+        leave(t, n * SECOND, ends=700 * MS if n % 3 == 0 else None, drops=5 * MS if n % 3 else None)
+
+
+@case()
+def runs_that_end_soon_or_are_dropped(t: Told) -> None:
+    t.serve(40 * SECOND)
+    for n in range(12):
+        leave(t, n * SECOND, ends=400 * MS if n % 3 == 0 else None, drops=5 * MS if n % 3 else None)
+
+
+@case()
+def a_backend_now_and_then_works_on(t: Told) -> None:
+    t.serve(40 * SECOND)
+    for n in range(12):
+        leave(t, n * SECOND, ends=700 * MS if n % 4 == 0 else None, drops=5 * MS if n % 4 else None)
+
+
+@case()
+def what_may_run_once_goes_on_to_its_end(t: Told) -> None:
+    t.serve(40 * SECOND)
+    for n in range(12):
+        name = t.send(n * SECOND, "book")
+        t.run(n * SECOND + 5 * MS, name, service="beta")
+        t.close(n * SECOND + 100 * MS, name, by_client=True)
+        t.answer(n * SECOND + 900 * MS, name)
+
+
+@case()
+def a_machine_that_is_not_in_touch_does_not_hear_of_it(t: Told) -> None:
+    t.serve(40 * SECOND)
+    t.happen(Event.FREEZE, -SECOND, "e1", until=20 * SECOND)
+    for n in range(12):
+        leave(t, n * SECOND, ends=700 * MS)
+
+
+@case("GONE")
+def requests_arrive_long_after_their_clients_left(t: Told) -> None:
+    t.serve(40 * SECOND)
+    for n in range(4):
+        leave(t, n * SECOND, arrives=650 * MS, ends=600 * MS)
+
+
+@case()
+def three_requests_arrive_late(t: Told) -> None:
+    t.serve(40 * SECOND)
+    for n in range(3):
+        leave(t, n * SECOND, arrives=650 * MS, ends=600 * MS)
+
+
 @case("CONFIG")
 def invalid_and_acknowledged(t: Told) -> None:
     t.serve(0)
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -18,6 +18,7 @@
 from oakvale.lab.judge.verdict import judge
 from oakvale.lab.play import Variant, play
 from oakvale.penstock.table import Table
+from oakvale.policy.limits import Limits
 from oakvale.sluice import routes
 from oakvale.sluice.dialect import SystemDialect
 from oakvale.sluice.gate import Readyz, Sluice
@@ -142,6 +143,13 @@
     return plain(503, "not ready")
 
 
+def finish_alone(limits: Limits, rid: str, real: Any = Limits.finish) -> None:
+    held = limits.desk.held.get(rid)
+    if held is not None:
+        held.over = True  # what is out is not called off any more
+    real(limits, rid)
+
+
 BREAKS: dict[str, Break] = {
     "an order sent again is refused": Break("CONFIG", day(
         ("ack_lost", 1.0, {"for_s": 5, "x": 0.7}), ("config_change", 2.0, {"count": 3, "how": "timeout"})), {
@@ -180,6 +188,10 @@
         "oakvale.sluice.dialect.SystemDialect.headers": another_tenant}),
     "known routes are denied": Break("DENIED", day(), {"oakvale.sluice.plant.Plant.open": now_and_then_404}),
     "services are confused": Break("ROUTE", day(), {"oakvale.sluice.plant.Plant._lane": one_lane_for_all}),
+    "work goes on for clients that left": Break("GONE", day(
+        ("give_up", 1.0, {"for_s": 5, "share": 0.7, "x": 60}),
+        routes=[route | {"work_ms": 700, "per_s": 6} for route in SITE["routes"]]), {
+        "oakvale.policy.limits.Limits.finish": finish_alone}),
     "a SIGTERM ends all at once": Break("LOST", day(plan=(("restart", 2.0, {"on": "edge", "share": 1.0}),), routes=[
         route | {"work_ms": 200} for route in SITE["routes"]]), {
         "oakvale.sluice.process.Process.stop": lambda process: process.sluice.loop.stop()}),
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -200,7 +200,7 @@
     ills(backend)
     crowd = Crowd(loop, record, Random(2), "a", 4, Platform([Edge("e1", "a", address, address)], ["a"]),
                   [Flow("look", 100, safe, SECOND, True, 3000)], lambda route: ("a.example", "/look/"), {},
-                  lambda *_: None, 0, [])
+                  lambda *_: None, 0, [], [])
     record.began = loop.now
     crowd.begin(loop.now, loop.now + 300 * MS)
     ground.until(lambda: loop.now > record.began + 300 * MS and crowd.senders.out == 0)
