--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -7,6 +7,7 @@
 import pytest
 
 from oakvale.base.net import Sock
+from tests.crossing import World
 from tests.data_plane import Gate, sealed
 from tests.node import MS, StandIn
 
@@ -156,3 +157,18 @@
     client.close()
     gate.until(lambda: gate.plant.tally.abandoned["waiting"] == 1)
     assert not len(gate.plant.requests) and gate.first.take() is None and gate.second.take() is None
+
+
+def test_a_request_whose_connection_does_not_come_up_is_not_sent_when_its_client_has_left() -> None:
+    """Its connection came up when a cut had healed: it reached its backend seconds after its client had left."""
+    world = World()
+    world.mode = 2  # connections hang
+    caller = world.client()
+    caller.ask(world.request(1, 0), 0)
+    world.turn()
+    assert world.plant.shared.backend_connections == 1
+    caller.left = True
+    caller.line.reset()
+    world.turn()
+    assert world.plant.shared.backend_connections == 0 and not len(world.plant.requests)
+    world.finish()
