--- a/oakvale/lab/pump/lines.py
+++ b/oakvale/lab/pump/lines.py
@@ -27,8 +27,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport
 
-    def ask(self, method: str, path: str, headers: list[tuple[str, str]], body: bytes
-            ) -> asyncio.Future[tuple[int, int]]:
+    def ask(
+        self, method: str, path: str, headers: list[tuple[str, str]], body: bytes
+    ) -> asyncio.Future[tuple[int, int]]:
         """Sends a request; the future's result is status and bytes of the body."""
         self._waiting = asyncio.get_running_loop().create_future()
         self._status = self._size = 0
--- a/oakvale/lab/pump/tally.py
+++ b/oakvale/lab/pump/tally.py
@@ -54,20 +54,29 @@
     def told(self) -> dict[str, Any]:
         """All of it, for JSON: times in microseconds, the histograms in the HDR format for merging."""
         return {
-            "partial": self.partial, "elapsed_us": self.elapsed, "due": self.due,
-            "answered": sum(self.statuses.values()), "unfinished": self.due - self.done(),
+            "partial": self.partial,
+            "elapsed_us": self.elapsed,
+            "due": self.due,
+            "answered": sum(self.statuses.values()),
+            "unfinished": self.due - self.done(),
             "answered_per_s": round(sum(self.statuses.values()) * 1e6 / max(1, self.elapsed), 2),
             "statuses": {str(status): many for status, many in sorted(self.statuses.items())},
             "failures": dict(sorted(self.failures.items())),
-            "received_bytes": self.received, "connections": self.connections,
-            "latency_us": _spread(self.latency), "service_us": _spread(self.service), "late_us": _spread(self.late)}
+            "received_bytes": self.received,
+            "connections": self.connections,
+            "latency_us": _spread(self.latency),
+            "service_us": _spread(self.service),
+            "late_us": _spread(self.late),
+        }
 
     def lines(self) -> list[str]:
         whole = self.told()
         head = "interrupted: a partial report" if self.partial else "whole"
-        lines = [f"{head}; {self.elapsed / 1e6:.2f} s, {self.due} requests due, {whole['answered']} answered "
-                 f"({whole['answered_per_s']:g} a second), {whole['unfinished']} unfinished, "
-                 f"{self.connections} connections, {self.received} bytes of bodies"]
+        lines = [
+            f"{head}; {self.elapsed / 1e6:.2f} s, {self.due} requests due, {whole['answered']} answered "
+            f"({whole['answered_per_s']:g} a second), {whole['unfinished']} unfinished, "
+            f"{self.connections} connections, {self.received} bytes of bodies"
+        ]
         lines += [f"status {status}: {many}" for status, many in whole["statuses"].items()]
         lines += [f"failed, {why}: {many}" for why, many in whole["failures"].items()]
         lines.append(f"{'ms':>10} {'from due':>12} {'from sending':>12} {'sent late':>12}")
@@ -84,6 +93,10 @@
 def _spread(values: Any) -> dict[str, Any]:
     if not values.get_total_count():
         return {"count": 0}
-    return {"count": values.get_total_count(), "mean": round(values.get_mean_value(), 1),
-            **{f"p{q:g}": int(values.get_value_at_percentile(q)) for q in QUANTILES},
-            "max": int(values.get_max_value()), "hdr": values.encode().decode()}
+    return {
+        "count": values.get_total_count(),
+        "mean": round(values.get_mean_value(), 1),
+        **{f"p{q:g}": int(values.get_value_at_percentile(q)) for q in QUANTILES},
+        "max": int(values.get_max_value()),
+        "hdr": values.encode().decode(),
+    }
--- a/oakvale/lab/record.py
+++ b/oakvale/lab/record.py
@@ -319,10 +319,24 @@
 
     def __post_init__(self) -> None:
         self._lists: dict[type, list[Any]] = {
-            Sent: self.sent, Wrote: self.wrote, Got: self.got, Closed: self.closed, Arrived: self.arrived,
-            Ran: self.ran, Declined: self.declined, Answered: self.answered, Dropped: self.dropped, Said: self.said,
-            Ordered: self.ordered, Replied: self.replied, Told: self.told, Looked: self.looked,
-            ReadBack: self.read_back, Happened: self.happened, Noted: self.noted}
+            Sent: self.sent,
+            Wrote: self.wrote,
+            Got: self.got,
+            Closed: self.closed,
+            Arrived: self.arrived,
+            Ran: self.ran,
+            Declined: self.declined,
+            Answered: self.answered,
+            Dropped: self.dropped,
+            Said: self.said,
+            Ordered: self.ordered,
+            Replied: self.replied,
+            Told: self.told,
+            Looked: self.looked,
+            ReadBack: self.read_back,
+            Happened: self.happened,
+            Noted: self.noted,
+        }
 
     def add(self, event: Any) -> None:
         self._lists[type(event)].append(event)
@@ -342,5 +356,6 @@
 
 
 def _plain(event: Any) -> tuple[Any, ...]:
-    return tuple(value.value if isinstance(value := getattr(event, name), Enum) else value
-                 for name in event.__dataclass_fields__)
+    return tuple(
+        value.value if isinstance(value := getattr(event, name), Enum) else value for name in event.__dataclass_fields__
+    )
--- a/oakvale/lab/scale/beaters.py
+++ b/oakvale/lab/scale/beaters.py
@@ -41,26 +41,44 @@
 
     def _report(self) -> bytes:
         self._calls += 1
-        return json.dumps({"svc": self.service, "addr": self.address, "az": self.zone, "gen": "v1", "slots": 8,
-                           "state": self.state, "warmup_time": "0ms", "calls": self._calls}).encode()
+        return json.dumps(
+            {
+                "svc": self.service,
+                "addr": self.address,
+                "az": self.zone,
+                "gen": "v1",
+                "slots": 8,
+                "state": self.state,
+                "warmup_time": "0ms",
+                "calls": self._calls,
+            }
+        ).encode()
 
     def _say(self, verb: str, within: int, then: Callable[[Reply | None], None]) -> None:
         loop, began = self.worker.loop, time.monotonic()
-        steps = Walk(lambda: self.worker.ctl, loop.net.rng, loop.now + within, beat=verb == "Heartbeat",
-                     first=self._first)
+        steps = Walk(
+            lambda: self.worker.ctl, loop.net.rng, loop.now + within, beat=verb == "Heartbeat", first=self._first
+        )
         self._first = None
 
         def said(reply: Reply | None, by: Address) -> None:
             good = reply if reply is not None and 200 <= reply.status < 300 else None
-            self.worker.count(verb if self.state == "ready" else f"{verb} {self.state}", good is not None,
-                              time.monotonic() - began)
+            self.worker.count(
+                verb if self.state == "ready" else f"{verb} {self.state}", good is not None, time.monotonic() - began
+            )
             if good is not None:
                 told = json.loads(good.body or b"{}")
                 self._first = parse_address(str(told.get("beat-url", "")).removeprefix("http://").partition("/")[0])
             then(good)
 
-        walk(loop, steps, "POST", f"/oakvale/Backends.{verb}/{self.name}",
-             self._report if verb == "Heartbeat" else None, said)
+        walk(
+            loop,
+            steps,
+            "POST",
+            f"/oakvale/Backends.{verb}/{self.name}",
+            self._report if verb == "Heartbeat" else None,
+            said,
+        )
 
     def _beaten(self, reply: Reply | None) -> None:
         if reply is not None:
@@ -94,8 +112,13 @@
     def look(self, _: Any) -> dict[str, Any]:
         """Since the mark: what was acknowledged and what was not, by verb; and who was heard lately."""
         since = time.monotonic() - 2 * self.beat / SECOND
-        return {"backends": len(self.backends), "known": sum(b.heard_at > since for b in self.backends),
-                "counts": self._counts, "p50_ms": quantile(self._waits, 0.5), "p99_ms": quantile(self._waits, 0.99)}
+        return {
+            "backends": len(self.backends),
+            "known": sum(b.heard_at > since for b in self.backends),
+            "counts": self._counts,
+            "p50_ms": quantile(self._waits, 0.5),
+            "p99_ms": quantile(self._waits, 0.99),
+        }
 
     def mark(self, _: Any) -> None:
         self._counts, self._waits = {}, []
@@ -106,8 +129,13 @@
             old = self.backends[at]
             old.leave()
             self._made += 1
-            fresh = Backend(self, f"{old.name}.{self._made}", old.service, old.zone,
-                            f"{old.address.partition(':')[0]}:{20_000 + self._made}")
+            fresh = Backend(
+                self,
+                f"{old.name}.{self._made}",
+                old.service,
+                old.zone,
+                f"{old.address.partition(':')[0]}:{20_000 + self._made}",
+            )
             self.backends[at] = fresh
             fresh.begin(None)
 
--- a/oakvale/lab/scale/control.py
+++ b/oakvale/lab/scale/control.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from oakvale.base.address import Address
+from oakvale.base.limits import MB, SECOND, Limits
 from oakvale.base.loop import READ, Clock, Coroutine, Loop, Rank
 from oakvale.lifecycle import daybook
-from oakvale.base.limits import MB, SECOND, Limits
 from oakvale.mains.frames import BadFrame, decode, encode
 from oakvale.mains.links import Mains
 
@@ -86,8 +86,14 @@
     """The loop of a process that holds many hollow parts, which writes errors alone. It ends with its starter, whose
     end closes standard input."""
     daybook.configure("error", 5)
-    limits = Limits.fill(sockets=16_000, memory=4096 * MB, connect=SECOND, backend_idle=9 * SECOND,
-                         counter_timeout=SECOND, requests=4_000)
+    limits = Limits.fill(
+        sockets=16_000,
+        memory=4096 * MB,
+        connect=SECOND,
+        backend_idle=9 * SECOND,
+        counter_timeout=SECOND,
+        requests=4_000,
+    )
     loop = Loop(Clock(), limits)
 
     def watch() -> Coroutine:
--- a/oakvale/lab/scale/gateways.py
+++ b/oakvale/lab/scale/gateways.py
@@ -100,8 +100,14 @@
         self._next = 0
 
     def calls(self) -> dict[str, Callable[[Any], Any]]:
-        return {"look": self.look, "lives": self.lives, "learned": self.learned, "mark": self.mark, "span": self.span,
-                "rate": self.rate}
+        return {
+            "look": self.look,
+            "lives": self.lives,
+            "learned": self.learned,
+            "mark": self.mark,
+            "span": self.span,
+            "rate": self.rate,
+        }
 
     def lives(self, _: Any) -> dict[str, str]:
         return {g.settings.node: g.life for g in self.gateways}
@@ -109,11 +115,15 @@
     def look(self, _: Any) -> dict[str, Any]:
         """What they know now."""
         pictures = [g.plant.picture for g in self.gateways]
-        return {"gateways": len(pictures), "fresh": sum(g.feed.fresh() for g in self.gateways),
-                "lists": Counter(g.digest() for g in self.gateways), "gens": Counter(p.gen for p in pictures),
-                "backends": Counter(len(p.backends) for p in pictures),
-                "listed": Counter(len(p.members) for p in pictures),
-                "duties": sum(len(g.gauge.held()) for g in self.gateways)}
+        return {
+            "gateways": len(pictures),
+            "fresh": sum(g.feed.fresh() for g in self.gateways),
+            "lists": Counter(g.digest() for g in self.gateways),
+            "gens": Counter(p.gen for p in pictures),
+            "backends": Counter(len(p.backends) for p in pictures),
+            "listed": Counter(len(p.members) for p in pictures),
+            "duties": sum(len(g.gauge.held()) for g in self.gateways),
+        }
 
     def learned(self, gen: Any) -> list[float]:
         """When each came to know a configuration."""
@@ -132,15 +142,23 @@
         roles: dict[str, dict[str, Any]] = {}
         for gateway in self.gateways:
             sent = gateway.mains.sent - gateway.marked
-            role = roles.setdefault(gateway.place(), {"gateways": 0, "sent": Counter(), "most": 0, "links": 0,
-                                                      "below": 0})
+            role = roles.setdefault(
+                gateway.place(), {"gateways": 0, "sent": Counter(), "most": 0, "links": 0, "below": 0}
+            )
             role["gateways"] += 1
             role["sent"].update(sent)
             role["most"] = max(role["most"], sent.total())
             role["links"] = max(role["links"], sum(gateway.mains.links()))
             role["below"] = max(role["below"], len(gateway.feed.outlet))
-        return {"roles": roles, "out": self.frames.out, "come": self.frames.come, "bytes_in": self.frames.bytes_in,
-                "counted": self._calls[0], "uncounted": self._calls[1], "waits": self._waits}
+        return {
+            "roles": roles,
+            "out": self.frames.out,
+            "come": self.frames.come,
+            "bytes_in": self.frames.bytes_in,
+            "counted": self._calls[0],
+            "uncounted": self._calls[1],
+            "waits": self._waits,
+        }
 
     def rate(self, rate: Any) -> None:
         """So many calls to the counter a second from now on."""
--- a/oakvale/lab/scale/machines.py
+++ b/oakvale/lab/scale/machines.py
@@ -77,24 +77,49 @@
                     self.groups[group].append(name)
                 self._worker(name, "gateways", {"gateways": gateways[part::parts], "tenants": self.size.tenants})
         parts = min(BEATERS, -(-self.size.backends // 100))
-        listed = [[f"b{n}", f"svc-{n % self.size.services}", NAMES[n // self.size.services % len(NAMES)],
-                   f"{self._net}.{100 + n // 200}.{1 + n % 200}:9000"] for n in range(self.size.backends)]
+        listed = [
+            [
+                f"b{n}",
+                f"svc-{n % self.size.services}",
+                NAMES[n // self.size.services % len(NAMES)],
+                f"{self._net}.{100 + n // 200}.{1 + n % 200}:9000",
+            ]
+            for n in range(self.size.backends)
+        ]
         for part in range(parts):
             self.beaters.append(f"backends {part}")
-            self._worker(self.beaters[-1], "beaters", {"ctl": self.ctl, "beat": self._beat,
-                                                       "backends": listed[part::parts]})
+            self._worker(
+                self.beaters[-1], "beaters", {"ctl": self.ctl, "beat": self._beat, "backends": listed[part::parts]}
+            )
 
     def _settings(self, node: str, ip: str, zone: str, core: bool) -> dict[str, Any]:
-        bind = {"ctl": f"{ip}:{self._port}"} if core else {
-            "http": f"{ip}:{self._port + 1}", "readyz": f"{ip}:{self._port + 2}"}
-        own: dict[str, Any] = {"node": node, "ip": ip, "az": zone, "rgn": ZONES[zone], "voting": core,
-                               "bootstrap": True, "limits": {"mem-mb": 600, "nofile": FILES}}
+        bind = (
+            {"ctl": f"{ip}:{self._port}"}
+            if core
+            else {"http": f"{ip}:{self._port + 1}", "readyz": f"{ip}:{self._port + 2}"}
+        )
+        own: dict[str, Any] = {
+            "node": node,
+            "ip": ip,
+            "az": zone,
+            "rgn": ZONES[zone],
+            "voting": core,
+            "bootstrap": True,
+            "limits": {"mem-mb": 600, "nofile": FILES},
+        }
         if core:
             own["datadir"] = str(Path(self._folder.name) / node)
-        return {"self": own, "network": {"port-range": [self._port + 3, self._port + 4],
-                                         "seeds": [f"{self._addresses[name]}:{self._port}" for name in self.core[:3]],
-                                         "bind": bind, "azs": ZONES},
-                "infra": {"beat": f"{round(self._beat * 1000)}ms"}, "terms": {"tolerance": {"nodes": 1}}}
+        return {
+            "self": own,
+            "network": {
+                "port-range": [self._port + 3, self._port + 4],
+                "seeds": [f"{self._addresses[name]}:{self._port}" for name in self.core[:3]],
+                "bind": bind,
+                "azs": ZONES,
+            },
+            "infra": {"beat": f"{round(self._beat * 1000)}ms"},
+            "terms": {"tolerance": {"nodes": 1}},
+        }
 
     def _process(self, name: str, role: str, told: dict[str, Any], mains: Address) -> None:
         import tomli_w
@@ -119,8 +144,13 @@
             environment = {**os.environ, "OAKVALE_SETTINGS": str(self._file(name, "toml")), "PYTHONPATH": str(ROOT)}
             with open(self._file(name, "log"), "ab") as log:
                 self._running[name] = subprocess.Popen(
-                    [sys.executable, *self._words[name]], cwd=self._folder.name, stdin=subprocess.PIPE, stdout=log,
-                    stderr=log, env=environment)
+                    [sys.executable, *self._words[name]],
+                    cwd=self._folder.name,
+                    stdin=subprocess.PIPE,
+                    stdout=log,
+                    stderr=log,
+                    env=environment,
+                )
 
     def kill(self, names: list[str]) -> None:
         """All at the same moment, with SIGKILL."""
--- a/oakvale/lab/scale/pieces.py
+++ b/oakvale/lab/scale/pieces.py
@@ -42,30 +42,68 @@
 
 def entries(size: Size, text: bytes) -> list[Entry]:
     """What a table of news holds at this size."""
-    found: list[Entry] = [("config", (1, 1), {"gen": 1, "text": text}),
-                          ("core", (1, 2), {"copies": ["127.0.0.1:1"], "witnesses": ["127.0.0.1:1"]})]
+    found: list[Entry] = [
+        ("config", (1, 1), {"gen": 1, "text": text}),
+        ("core", (1, 2), {"copies": ["127.0.0.1:1"], "witnesses": ["127.0.0.1:1"]}),
+    ]
     for n in range(size.backends):
-        found.append((f"backend/b{n}", (1, len(found) + 1), {
-            "svc": f"svc-{n % size.services}", "addr": f"127.1.{n // 200}.{n % 200 + 1}:9000", "gen": "v1",
-            "az": NAMES[n // size.services % len(NAMES)], "slots": 8.0, "state": "ready", "calls": 1, "warm": 0}))
+        found.append(
+            (
+                f"backend/b{n}",
+                (1, len(found) + 1),
+                {
+                    "svc": f"svc-{n % size.services}",
+                    "addr": f"127.1.{n // 200}.{n % 200 + 1}:9000",
+                    "gen": "v1",
+                    "az": NAMES[n // size.services % len(NAMES)],
+                    "slots": 8.0,
+                    "state": "ready",
+                    "calls": 1,
+                    "warm": 0,
+                },
+            )
+        )
     for n in range(size.gateways):
-        found.append((f"gate/gate-{n}", (1, len(found) + 1), {
-            "addr": f"127.2.{n // 200}.{n % 200 + 1}:9001", "az": NAMES[n % len(NAMES)], "life": f"{n:012x}"}))
+        found.append(
+            (
+                f"gate/gate-{n}",
+                (1, len(found) + 1),
+                {"addr": f"127.2.{n // 200}.{n % 200 + 1}:9001", "az": NAMES[n % len(NAMES)], "life": f"{n:012x}"},
+            )
+        )
     return found
 
 
 def _loop() -> Loop:
-    return Loop(Clock(), Limits.fill(sockets=1_000, memory=512 * MB, connect=SECOND, backend_idle=9 * SECOND,
-                                     counter_timeout=SECOND, requests=1_000))
+    return Loop(
+        Clock(),
+        Limits.fill(
+            sockets=1_000,
+            memory=512 * MB,
+            connect=SECOND,
+            backend_idle=9 * SECOND,
+            counter_timeout=SECOND,
+            requests=1_000,
+        ),
+    )
 
 
 def _gateway(loop: Loop) -> Sluice:
     http = listening(("127.0.0.1", 0), 8)
     port = http.getsockname()[1]
-    own = intake.decode({
-        "self": {"node": "gate-0", "ip": "127.0.0.1", "az": NAMES[0], "voting": False, "bootstrap": True},
-        "network": {"port-range": [port, port + 1], "seeds": [], "bind": {"http": f"127.0.0.1:{port}"},
-                    "azs": dict.fromkeys(NAMES, "a")}, "terms": {}, "infra": {}})
+    own = intake.decode(
+        {
+            "self": {"node": "gate-0", "ip": "127.0.0.1", "az": NAMES[0], "voting": False, "bootstrap": True},
+            "network": {
+                "port-range": [port, port + 1],
+                "seeds": [],
+                "bind": {"http": f"127.0.0.1:{port}"},
+                "azs": dict.fromkeys(NAMES, "a"),
+            },
+            "terms": {},
+            "infra": {},
+        }
+    )
     return Sluice(own, {"http": http}, loop)
 
 
@@ -92,8 +130,9 @@
             left[0] -= 1
 
         for n in range(CALLS):
-            asker.ask(counter.own, "count", [f"tenant-{n}", 1e5, 1e5, "gate-1", False, ["life", 1]], 20 * SECOND,
-                      answered)
+            asker.ask(
+                counter.own, "count", [f"tenant-{n}", 1e5, 1e5, "gate-1", False, ["life", 1]], 20 * SECOND, answered
+            )
         while left[0]:
             loop.turn(0.1)
 
@@ -152,5 +191,14 @@
         "a board's pick and end": picks(max(1, size.backends // size.services)),
     }
     loop.close()
-    return [{"step": f"piece: {name}", **size.told(), "ms": worth[0], "worst_ms": worth[1],
-             "state_bytes": len(frame), "config_bytes": len(one)} for name, worth in found.items()]
+    return [
+        {
+            "step": f"piece: {name}",
+            **size.told(),
+            "ms": worth[0],
+            "worst_ms": worth[1],
+            "state_bytes": len(frame),
+            "config_bytes": len(one),
+        }
+        for name, worth in found.items()
+    ]
--- a/oakvale/lab/scale/plots.py
+++ b/oakvale/lab/scale/plots.py
@@ -9,15 +9,34 @@
 
 Curve = tuple[str, str, str, str]  # step, role ("" for the row itself), figure, name
 PLOTS: dict[str, tuple[str, float | None, tuple[Curve, ...]]] = {
-    "capacity-change.svg": ("ms until a change is known", WITHIN, (
-        ("change", "", "p50_ms", "one change, median"), ("change", "", "last_ms", "one change, last"),
-        ("changes", "", "last_ms", "ten in a row, last"))),
-    "capacity-processor.svg": ("% of a core, an ordinary minute", CORE, (
-        ("steady", "primary", "cpu_percent", "primary"), ("steady", "sluice", "cpu_percent", "real gateway"),
-        ("steady", "hollow", "cpu_percent", "hollow gateway, mean"))),
-    "capacity-bytes.svg": ("bytes a second out, an ordinary minute", BYTES, (
-        ("steady", "plain", "sent_bytes_s", "gateway without a role"), ("steady", "relay", "sent_bytes_s", "relay"),
-        ("steady", "counter", "most_bytes_s", "who holds duties"), ("steady", "primary", "sent_bytes_s", "primary"))),
+    "capacity-change.svg": (
+        "ms until a change is known",
+        WITHIN,
+        (
+            ("change", "", "p50_ms", "one change, median"),
+            ("change", "", "last_ms", "one change, last"),
+            ("changes", "", "last_ms", "ten in a row, last"),
+        ),
+    ),
+    "capacity-processor.svg": (
+        "% of a core, an ordinary minute",
+        CORE,
+        (
+            ("steady", "primary", "cpu_percent", "primary"),
+            ("steady", "sluice", "cpu_percent", "real gateway"),
+            ("steady", "hollow", "cpu_percent", "hollow gateway, mean"),
+        ),
+    ),
+    "capacity-bytes.svg": (
+        "bytes a second out, an ordinary minute",
+        BYTES,
+        (
+            ("steady", "plain", "sent_bytes_s", "gateway without a role"),
+            ("steady", "relay", "sent_bytes_s", "relay"),
+            ("steady", "counter", "most_bytes_s", "who holds duties"),
+            ("steady", "primary", "sent_bytes_s", "primary"),
+        ),
+    ),
 }
 
 
@@ -33,8 +52,7 @@
     for name, (title, limit, curves) in PLOTS.items():
         figure, axis = pyplot.subplots(figsize=(7, 4), layout="constrained")
         for step, role, part, label in curves:
-            points = found.role(step, role, part) if role else found.points(
-                step, lambda row, part=part: row.get(part))  # type: ignore[misc]
+            points = found.role(step, role, part) if role else found.points(step, lambda row, part=part: row.get(part))  # type: ignore[misc]
             axis.plot([x for x, _ in points], [y for _, y in points], marker="o", label=label)
         if limit is not None:
             axis.axhline(limit, color="red", linestyle="--", linewidth=1, label="limit of a gateway")
--- a/oakvale/lab/scale/run.py
+++ b/oakvale/lab/scale/run.py
@@ -23,8 +23,17 @@
 
 
 class Run:
-    def __init__(self, size: Size, tell: Tell, span: float = 15.0, patience: float = 60.0, limit: float = 240.0,
-                 beat: float = BEAT, at_once: bool = True, show: Callable[[str], None] = lambda text: None) -> None:
+    def __init__(
+        self,
+        size: Size,
+        tell: Tell,
+        span: float = 15.0,
+        patience: float = 60.0,
+        limit: float = 240.0,
+        beat: float = BEAT,
+        at_once: bool = True,
+        show: Callable[[str], None] = lambda text: None,
+    ) -> None:
         """`span` of a steady part, `patience` with each wait, `limit` of the whole and `beat` in seconds. `at_once`:
         gateways are first begun all together."""
         self._at_once = at_once
@@ -38,9 +47,23 @@
 
     def play(self) -> bool:
         """Whether all steps came to their end."""
-        steps = (self.start, self.backends, self.gateways, self.slowly, self.steady, self.calls, self.change,
-                 self.changes, self.replaced, self.tenth, self.tenth_back, self.primary, self.primary_back, self.zone,
-                 self.zone_back)
+        steps = (
+            self.start,
+            self.backends,
+            self.gateways,
+            self.slowly,
+            self.steady,
+            self.calls,
+            self.change,
+            self.changes,
+            self.replaced,
+            self.tenth,
+            self.tenth_back,
+            self.primary,
+            self.primary_back,
+            self.zone,
+            self.zone_back,
+        )
         whole = True
         try:
             for step in steps:
@@ -58,8 +81,9 @@
                         self.reached.add(name)
                 except (Unfinished, Silent) as error:
                     whole = False
-                    self._row(name, {"failed": str(error), "took_s": round(time.monotonic() - began, 2)}
-                              | self._so_far())
+                    self._row(
+                        name, {"failed": str(error), "took_s": round(time.monotonic() - began, 2)} | self._so_far()
+                    )
                     if step in (self.start, self.backends, self.slowly):
                         break  # nothing can be measured on what did not start
         finally:
@@ -75,9 +99,18 @@
 
     def _row(self, step: str, found: Row) -> None:
         ended = self.machines.ended()
-        self._tell({"step": step, **self.size.told(), **found, **({"ended": ended} if ended else {}),
-                    "load": round(os.getloadavg()[0], 1), "cores": os.cpu_count(), "beat_s": self.beat,
-                    "python": platform.python_version()})
+        self._tell(
+            {
+                "step": step,
+                **self.size.told(),
+                **found,
+                **({"ended": ended} if ended else {}),
+                "load": round(os.getloadavg()[0], 1),
+                "cores": os.cpu_count(),
+                "beat_s": self.beat,
+                "python": platform.python_version(),
+            }
+        )
 
     # ---- what is measured
 
@@ -125,8 +158,12 @@
         for name in machines.up(machines.workers):
             one = machines.ask(name, "look")
             many = one["gateways"]
-            good = {"fresh": one["fresh"], "list": one["lists"].get(digest, 0), "gen": one["gens"].get(self._gen, 0),
-                    "backends": one["backends"].get(self.size.backends, 0)}
+            good = {
+                "fresh": one["fresh"],
+                "list": one["lists"].get(digest, 0),
+                "gen": one["gens"].get(self._gen, 0),
+                "backends": one["backends"].get(self.size.backends, 0),
+            }
             if not lists:
                 del good["list"]
             if min(good.values()) < many:
@@ -163,9 +200,13 @@
             place = one.get("place") or "sluice"
             role = roles.setdefault("idle core" if place == "none" else place, {"machines": 0})
             role["machines"] += 1
-            figures = {"cpu_percent": cpu(name) / seconds * 100,
-                       "mb": used[name]["mb"], "most_mb": used[name]["most_mb"], "fds": used[name]["fds"],
-                       "sent_bytes_s": sum(sent.values()) / seconds}
+            figures = {
+                "cpu_percent": cpu(name) / seconds * 100,
+                "mb": used[name]["mb"],
+                "most_mb": used[name]["most_mb"],
+                "fds": used[name]["fds"],
+                "sent_bytes_s": sum(sent.values()) / seconds,
+            }
             for figure, value in figures.items():  # of several in a role: the dearest
                 role[figure] = max(role.get(figure, 0), round(value, 2))
             by_kind = role.setdefault("sent_by_kind", {})
@@ -177,24 +218,28 @@
             come = sum((Counter(one["come"]) for one in spans.values()), Counter())
             out = sum((Counter(one["out"]) for one in spans.values()), Counter())
             roles["hollow"] = {
-                "machines": hollow, "cpu_percent": round(sum(map(cpu, spans)) / hollow / seconds * 100, 3),
+                "machines": hollow,
+                "cpu_percent": round(sum(map(cpu, spans)) / hollow / seconds * 100, 3),
                 "mb": round(sum(used[name]["mb"] for name in spans) / hollow, 1),
                 "fds": round(sum(used[name]["fds"] for name in spans) / hollow, 1),
                 "come_bytes_s": round(sum(one["bytes_in"] for one in spans.values()) / hollow / seconds, 1),
                 "frames_out_s": round(out.total() / hollow / seconds, 2),
                 "frames_in_s": round(come.total() / hollow / seconds, 2),
-                "in_by_kind_s": {kind or "answers": round(n / hollow / seconds, 3) for kind, n in come.most_common(12)}}
+                "in_by_kind_s": {kind or "answers": round(n / hollow / seconds, 3) for kind, n in come.most_common(12)},
+            }
         for place in ("plain", "relay", "counter"):
             parts = [one["roles"][place] for one in spans.values() if place in one["roles"]]
             if parts:
                 many = sum(part["gateways"] for part in parts)
                 sent = sum((Counter(part["sent"]) for part in parts), Counter())
-                roles[place] = {"machines": many, "sent_bytes_s": round(sent.total() / many / seconds, 1),
-                                "most_bytes_s": round(max(part["most"] for part in parts) / seconds, 1),
-                                "links": max(part["links"] for part in parts),
-                                "below": max(part["below"] for part in parts),
-                                "sent_by_kind": {kind: round(n / many / seconds, 1)
-                                                 for kind, n in sent.most_common(12)}}
+                roles[place] = {
+                    "machines": many,
+                    "sent_bytes_s": round(sent.total() / many / seconds, 1),
+                    "most_bytes_s": round(max(part["most"] for part in parts) / seconds, 1),
+                    "links": max(part["links"] for part in parts),
+                    "below": max(part["below"] for part in parts),
+                    "sent_by_kind": {kind: round(n / many / seconds, 1) for kind, n in sent.most_common(12)},
+                }
         beats: Counter[str] = Counter()
         slow = {"p50_ms": 0.0, "p99_ms": 0.0}  # of the process of backends that waited longest
         for name in machines.up(machines.beaters):
@@ -204,13 +249,20 @@
                 beats[f"{verb} failed"] += bad
             slow = {figure: max(worst, one[figure]) for figure, worst in slow.items()}
         waits = [wait for one in spans.values() for wait in one["waits"]]
-        found: Row = {"seconds": round(seconds, 2), "roles": roles,
-                      "beats": {"counts": dict(beats), **slow},
-                      "all_mb": round(sum(one["mb"] for one in used.values())), "processes": len(used)}
+        found: Row = {
+            "seconds": round(seconds, 2),
+            "roles": roles,
+            "beats": {"counts": dict(beats), **slow},
+            "all_mb": round(sum(one["mb"] for one in used.values())),
+            "processes": len(used),
+        }
         if waits:
-            found["calls"] = {"counted": sum(one["counted"] for one in spans.values()),
-                              "uncounted": sum(one["uncounted"] for one in spans.values()),
-                              "p50_ms": quantile(waits, 0.5), "p99_ms": quantile(waits, 0.99)}
+            found["calls"] = {
+                "counted": sum(one["counted"] for one in spans.values()),
+                "uncounted": sum(one["uncounted"] for one in spans.values()),
+                "p50_ms": quantile(waits, 0.5),
+                "p99_ms": quantile(waits, 0.99),
+            }
         return found
 
     # ---- the steps
@@ -271,8 +323,12 @@
         workers = self.machines.up(self.machines.workers)
         for name in workers:
             self.machines.ask(name, "rate", CALLS * self.machines.ask(name, "look")["gateways"])
-        self._wait(lambda: "" if sum(self.machines.ask(name, "span")["counted"] for name in workers) > 10 else
-                   "few calls were counted", "counters are found")
+        self._wait(
+            lambda: ""
+            if sum(self.machines.ask(name, "span")["counted"] for name in workers) > 10
+            else "few calls were counted",
+            "counters are found",
+        )
         mark = self._mark()
         time.sleep(self._span / 2)
         found = self._cost(mark)
@@ -281,10 +337,17 @@
         return found
 
     def _spread(self, began: float, gen: int) -> Row:
-        came = [(at - began) * 1e3 for name in self.machines.up(self.machines.workers)
-                for at in self.machines.ask(name, "learned", gen)]
-        return {"reached": len(came), "p50_ms": quantile(came, 0.5), "p99_ms": quantile(came, 0.99),
-                "last_ms": quantile(came, 1.0)}
+        came = [
+            (at - began) * 1e3
+            for name in self.machines.up(self.machines.workers)
+            for at in self.machines.ask(name, "learned", gen)
+        ]
+        return {
+            "reached": len(came),
+            "p50_ms": quantile(came, 0.5),
+            "p99_ms": quantile(came, 0.99),
+            "last_ms": quantile(came, 1.0),
+        }
 
     def change(self) -> Row:
         mark, body = self._mark(), configuration(self.size, self._gen + 1)
@@ -294,15 +357,21 @@
         real = {"real_ms": self._real(began)}
         self._wait(self._whole, "all known to all")
         whole = round((time.monotonic() - began) * 1e3, 1)
-        return {"ack_ms": round(acked, 1), "whole_ms": whole, **real,
-                **self._spread(began, self._gen)} | self._cost(mark)
+        return {"ack_ms": round(acked, 1), "whole_ms": whole, **real, **self._spread(began, self._gen)} | self._cost(
+            mark
+        )
 
     def _real(self, began: float) -> list[float]:
         """When each real gateway decides by the newest configuration."""
         found = []
         for name in self.machines.up(self.machines.real):
-            self._wait(lambda name=name: "" if self.machines.ask(name, "status")["gen"] == self._gen  # type: ignore[misc]
-                       else "it has an older one", f"{name} knows it", pause=0.02)
+            self._wait(
+                lambda name=name: ""  # type: ignore[misc]
+                if self.machines.ask(name, "status")["gen"] == self._gen
+                else "it has an older one",
+                f"{name} knows it",
+                pause=0.02,
+            )
             found.append(round((time.monotonic() - began) * 1e3, 1))
         return found
 
@@ -314,9 +383,12 @@
             acked.append(self.machines.order(body, 30))
             self._gen += 1
         self._wait(self._whole, "all known to all")
-        return {"ack_p50_ms": quantile(acked, 0.5), "ack_last_ms": quantile(acked, 1.0),
-                "whole_ms": round((time.monotonic() - began) * 1e3, 1), **self._spread(began, self._gen)
-                } | self._cost(mark)
+        return {
+            "ack_p50_ms": quantile(acked, 0.5),
+            "ack_last_ms": quantile(acked, 1.0),
+            "whole_ms": round((time.monotonic() - began) * 1e3, 1),
+            **self._spread(began, self._gen),
+        } | self._cost(mark)
 
     def replaced(self) -> Row:
         """A part of the backends is released anew: drain, leave, begin."""
@@ -367,8 +439,7 @@
         self._wait(self._beaten, "all backends heard")
         heard = round((time.monotonic() - began) * 1e3, 1)
         time.sleep(self._span / 3)  # beats find the new primary
-        return {"serving_ms": serving, "ack_ms": acked, "whole_ms": whole,
-                "heard_ms": heard} | self._cost(mark)
+        return {"serving_ms": serving, "ack_ms": acked, "whole_ms": whole, "heard_ms": heard} | self._cost(mark)
 
     def primary_back(self) -> Row:
         return self._back(self.machines.core)
--- a/oakvale/lab/scale/sizes.py
+++ b/oakvale/lab/scale/sizes.py
@@ -37,21 +37,43 @@
         if size.gateways == gateways:
             return size
     share = gateways / PLANNED.gateways
-    return Size(gateways, *(max(4, round(count * share)) for count in (
-        PLANNED.backends, PLANNED.services, PLANNED.routes, PLANNED.tenants)))
+    return Size(
+        gateways,
+        *(
+            max(4, round(count * share))
+            for count in (PLANNED.backends, PLANNED.services, PLANNED.routes, PLANNED.tenants)
+        ),
+    )
 
 
 def configuration(size: Size, gen: int) -> bytes:
     """In rows, as operators send it: two keys a tenant; 2.3 MB at the planned size."""
     routes: list[list[Any]] = [
-        [f"route-{n}", f"svc-{n % size.services}.example", f"/v{gen % 10}/area-{n // size.services}/",
-         "safe" if n % 3 else "unsafe", "1200ms", "300ms", 2, f"svc-{n % size.services}"] for n in range(size.routes)]
-    tenants = [[f"tenant-{n}", [f"k{n:06d}-first-key", f"k{n:06d}-other-key"], 100_000, 100_000]
-               for n in range(size.tenants)]
-    return json.dumps({
-        "gen": gen, "limits": {"hdr-bytes": 16384, "body-bytes": 65536, "hdr": "3000ms", "idle": "15000ms"},
-        "routes": {"cols": ["name", "vhost", "prefix", "type", "deadline", "target_time", "tries", "svc"],
-                   "rows": routes},
-        "svcs": {"cols": ["name", "hcheck"], "rows": [[f"svc-{n}", "/healthz"] for n in range(size.services)]},
-        "tenants": {"cols": ["name", "apikeys", "rate-per-s", "burst"], "rows": tenants},
-    }, separators=(",", ":")).encode()
+        [
+            f"route-{n}",
+            f"svc-{n % size.services}.example",
+            f"/v{gen % 10}/area-{n // size.services}/",
+            "safe" if n % 3 else "unsafe",
+            "1200ms",
+            "300ms",
+            2,
+            f"svc-{n % size.services}",
+        ]
+        for n in range(size.routes)
+    ]
+    tenants = [
+        [f"tenant-{n}", [f"k{n:06d}-first-key", f"k{n:06d}-other-key"], 100_000, 100_000] for n in range(size.tenants)
+    ]
+    return json.dumps(
+        {
+            "gen": gen,
+            "limits": {"hdr-bytes": 16384, "body-bytes": 65536, "hdr": "3000ms", "idle": "15000ms"},
+            "routes": {
+                "cols": ["name", "vhost", "prefix", "type", "deadline", "target_time", "tries", "svc"],
+                "rows": routes,
+            },
+            "svcs": {"cols": ["name", "hcheck"], "rows": [[f"svc-{n}", "/healthz"] for n in range(size.services)]},
+            "tenants": {"cols": ["name", "apikeys", "rate-per-s", "burst"], "rows": tenants},
+        },
+        separators=(",", ":"),
+    ).encode()
--- a/oakvale/lab/scale/sums.py
+++ b/oakvale/lab/scale/sums.py
@@ -23,21 +23,54 @@
 UNSEEN = 2.5  # seconds until nobody sends to a gateway that ended: the platform looks twice, a second apart
 YEAR = 365 * 86_400
 FAN_OUT, ZONES = 4, 8
-TIMES = ("serving_ms", "ack_ms", "ack_p50_ms", "ack_last_ms", "known_ms", "processes_ms", "left_ms", "p50_ms",
-         "p99_ms", "last_ms", "heard_ms", "whole_ms")
-FIGURES = {"cpu_percent": "% of a core", "sent_bytes_s": "bytes/s out", "most_bytes_s": "bytes/s out, the most of one",
-           "come_bytes_s": "bytes/s in", "frames_out_s": "messages/s out", "frames_in_s": "messages/s in",
-           "most_mb": "MB at most", "mb": "MB", "fds": "descriptors", "links": "links, the most of one"}
+TIMES = (
+    "serving_ms",
+    "ack_ms",
+    "ack_p50_ms",
+    "ack_last_ms",
+    "known_ms",
+    "processes_ms",
+    "left_ms",
+    "p50_ms",
+    "p99_ms",
+    "last_ms",
+    "heard_ms",
+    "whole_ms",
+)
+FIGURES = {
+    "cpu_percent": "% of a core",
+    "sent_bytes_s": "bytes/s out",
+    "most_bytes_s": "bytes/s out, the most of one",
+    "come_bytes_s": "bytes/s in",
+    "frames_out_s": "messages/s out",
+    "frames_in_s": "messages/s in",
+    "most_mb": "MB at most",
+    "mb": "MB",
+    "fds": "descriptors",
+    "links": "links, the most of one",
+}
 ROLES = ("primary", "backup", "witness", "idle core", "sluice", "hollow", "plain", "relay", "counter")
-EVENTS = {"steady": "An ordinary minute", "calls": "With calls to the counter, 4 a second of each gateway",
-          "change": "One change", "changes": "Ten changes in a row", "replaced": "2 % of the backends released anew",
-          "primary": "The primary killed: takeover, and all beats turn to another",
-          "zone": "A zone killed with its core machine", "gateways": "All gateways begin at once",
-          "slowly": "Gateways begin one process after the other"}
-KINDS = {"watched and watcher: heartbeats on the ring": ("plain", "alive"), "juror: ballots": ("witness", "ballot"),
-         "source of news: the primary": ("primary", "news"), "source of news: a relay": ("relay", "news"),
-         "counter: greetings": ("counter", "greet"), "who asks it: greetings": ("plain", "greet"),
-         "mending: digests of a gateway": ("plain", "digests"), "core machines: heartbeats": ("backup", "core")}
+EVENTS = {
+    "steady": "An ordinary minute",
+    "calls": "With calls to the counter, 4 a second of each gateway",
+    "change": "One change",
+    "changes": "Ten changes in a row",
+    "replaced": "2 % of the backends released anew",
+    "primary": "The primary killed: takeover, and all beats turn to another",
+    "zone": "A zone killed with its core machine",
+    "gateways": "All gateways begin at once",
+    "slowly": "Gateways begin one process after the other",
+}
+KINDS = {
+    "watched and watcher: heartbeats on the ring": ("plain", "alive"),
+    "juror: ballots": ("witness", "ballot"),
+    "source of news: the primary": ("primary", "news"),
+    "source of news: a relay": ("relay", "news"),
+    "counter: greetings": ("counter", "greet"),
+    "who asks it: greetings": ("plain", "greet"),
+    "mending: digests of a gateway": ("plain", "digests"),
+    "core machines: heartbeats": ("backup", "core"),
+}
 
 
 class BadRows(Exception):
@@ -61,8 +94,11 @@
 
 def brief(row: Row) -> str:
     """One line of a row."""
-    known = {name: value for name, value in row.items()
-             if name.endswith("_ms") or name in ("failed", "ended", "reached", "took_s", "config_bytes")}
+    known = {
+        name: value
+        for name, value in row.items()
+        if name.endswith("_ms") or name in ("failed", "ended", "reached", "took_s", "config_bytes")
+    }
     said = ", ".join(f"{name} {value}" for name, value in known.items())
     return f"{row['gateways']} gateways, {row['step']}: {said}"
 
@@ -164,9 +200,12 @@
         return lines
 
     def failed(self) -> list[str]:
-        return [f"- {row['gateways']} gateways, {row['backends']:,} backends, a beat each {row['beat_s']:g} s, "
-                f"`{row['step']}`{' of ' + row['code'] if 'code' in row else ''}: {row['failed']}"
-                for row in self.rows if "failed" in row]
+        return [
+            f"- {row['gateways']} gateways, {row['backends']:,} backends, a beat each {row['beat_s']:g} s, "
+            f"`{row['step']}`{' of ' + row['code'] if 'code' in row else ''}: {row['failed']}"
+            for row in self.rows
+            if "failed" in row
+        ]
 
     def event(self, step: str) -> list[str]:
         lines = self._head("role", "figure")
@@ -181,14 +220,22 @@
         """Of roles that share a process with others."""
         lines = self._head("role, bytes/s out by kind, an ordinary minute")
         for name, (role, kind) in KINDS.items():
-            points = self.points("steady", lambda row, role=role, kind=kind: row.get("roles", {}).get(  # type: ignore[misc]
-                role, {}).get("sent_by_kind", {}).get(kind))
+            points = self.points(
+                "steady",
+                lambda row, role=role, kind=kind: row.get("roles", {})  # type: ignore[misc]
+                .get(role, {})
+                .get("sent_by_kind", {})
+                .get(kind),
+            )
             lines.append(f"| {name} | {' | '.join(self._cells(points))} |")
         return lines
 
     def pieces(self) -> list[str]:
-        lines = [line.replace(self._size(size), str(size)) for size in self.sizes[-1:]
-                 for line in self._head("piece, milliseconds of a core")]
+        lines = [
+            line.replace(self._size(size), str(size))
+            for size in self.sizes[-1:]
+            for line in self._head("piece, milliseconds of a core")
+        ]
         for step in dict.fromkeys(row["step"] for row in self.rows if row["step"].startswith("piece")):
             points = self.points(step, lambda row: row["ms"])
             lines.append(f"| {step.removeprefix('piece: ')} | {' | '.join(self._cells(points))} |")
@@ -236,62 +283,136 @@
 
         beats = PLANNED.backends / BEAT
         per_beat, per_call = self.per_beat(), self.per_call()
-        add("taker of beats: 2,933 beats a second at one primary", per_beat.at(beats) if per_beat else None,
-            "% of a core", 100, "primary's processor against beats, `steady`")
+        add(
+            "taker of beats: 2,933 beats a second at one primary",
+            per_beat.at(beats) if per_beat else None,
+            "% of a core",
+            100,
+            "primary's processor against beats, `steady`",
+        )
         each = REQUESTS / 4
-        add("counter: one of four duties, 51,000 calls a second, one a turn",
-            each * per_call / 20 if per_call else None, "% of a core", CORE,
-            "half of a call's cost, `calls` less `steady`")
+        add(
+            "counter: one of four duties, 51,000 calls a second, one a turn",
+            each * per_call / 20 if per_call else None,
+            "% of a core",
+            CORE,
+            "half of a call's cost, `calls` less `steady`",
+        )
         call = self.piece("a counter's call, both sides")
-        add("the same where its calls come packed", each * call / 20 if call else None, "% of a core", CORE,
-            "piece `a counter's call`")
+        add(
+            "the same where its calls come packed",
+            each * call / 20 if call else None,
+            "% of a core",
+            CORE,
+            "piece `a counter's call`",
+        )
         for cost, name in ((per_call, "one a turn of the loop"), (call, "packed")):
-            add(f"duties for 51,000 calls a second at {CORE} % of a core each, calls {name}",
-                REQUESTS * cost / 20 / CORE if cost else None, "duties", 4, "the same; today there are four")
+            add(
+                f"duties for 51,000 calls a second at {CORE} % of a core each, calls {name}",
+                REQUESTS * cost / 20 / CORE if cost else None,
+                "duties",
+                4,
+                "the same; today there are four",
+            )
         pick = self.piece("a board's pick and end")
-        add("keeper of a quarter of the boards: decisions alone", each * pick / 10 if pick else None, "% of a core",
-            CORE, "piece `a board's pick`, no messages")
+        add(
+            "keeper of a quarter of the boards: decisions alone",
+            each * pick / 10 if pick else None,
+            "% of a core",
+            CORE,
+            "piece `a board's pick`, no messages",
+        )
         config = max((row.get("config_bytes", 0) for row in self.rows), default=0)
         daily = CHANGES * config / 86_400
-        add("relay: 300 changes a day as whole texts, to four below", FAN_OUT * daily or None, "bytes/s", BYTES,
-            "bytes of a configuration")
+        add(
+            "relay: 300 changes a day as whole texts, to four below",
+            FAN_OUT * daily or None,
+            "bytes/s",
+            BYTES,
+            "bytes of a configuration",
+        )
         add("any gateway: the same, received", daily or None, "bytes/s", BYTES, "bytes of a configuration")
-        add("primary: the same, to the first of each zone", ZONES * daily or None, "bytes/s", None,
-            "bytes of a configuration")
+        add(
+            "primary: the same, to the first of each zone",
+            ZONES * daily or None,
+            "bytes/s",
+            None,
+            "bytes of a configuration",
+        )
         for step, what in (("change", "one change"), ("changes", "ten in a row, from the first one's sending")):
             last = self.planned(self.points(step, lambda row: row["last_ms"]))
             add(f"{what}: the last hollow gateway", last[0] if last else None, "ms", WITHIN, f"`{step}`")
         lay, coded = self.piece("a configuration laid out"), self.piece("a frame of a configuration encoded")
         deep = 4  # 59 gateways of a zone, four below each: 1 + 4 + 16 + 38
-        add("one change through four real relays, their processors alone",
-            deep * (lay + FAN_OUT * coded) if lay and coded else None, "ms", WITHIN,
-            "pieces: laid out, then passed on")
+        add(
+            "one change through four real relays, their processors alone",
+            deep * (lay + FAN_OUT * coded) if lay and coded else None,
+            "ms",
+            WITHIN,
+            "pieces: laid out, then passed on",
+        )
         for role, name in (("sluice", "a real gateway"), ("hollow", "the mean hollow gateway")):
             add(f"{name}, an ordinary minute", seen("steady", role, "cpu_percent"), "% of a core", CORE, "`steady`")
         add("a relay, an ordinary minute, out", seen("steady", "relay", "most_bytes_s"), "bytes/s", BYTES, "`steady`")
-        add("who holds duties, an ordinary minute, out", seen("steady", "counter", "most_bytes_s"), "bytes/s", BYTES,
-            "`steady`")
+        add(
+            "who holds duties, an ordinary minute, out",
+            seen("steady", "counter", "most_bytes_s"),
+            "bytes/s",
+            BYTES,
+            "`steady`",
+        )
         digests = self.piece("digests of the table")
-        add("relay: digests, its own and of four below, each 5 s", (1 + FAN_OUT) * digests / 50 if digests else None,
-            "% of a core", CORE, "piece `digests of the table`")
-        add("a real gateway's peak memory", max((row["roles"]["sluice"]["most_mb"] for row in self.rows
-                                                 if "sluice" in row.get("roles", {})), default=None), "MB", MEMORY,
-            "the most of any step and size, also of those that came to no end")
+        add(
+            "relay: digests, its own and of four below, each 5 s",
+            (1 + FAN_OUT) * digests / 50 if digests else None,
+            "% of a core",
+            CORE,
+            "piece `digests of the table`",
+        )
+        add(
+            "a real gateway's peak memory",
+            max(
+                (row["roles"]["sluice"]["most_mb"] for row in self.rows if "sluice" in row.get("roles", {})),
+                default=None,
+            ),
+            "MB",
+            MEMORY,
+            "the most of any step and size, also of those that came to no end",
+        )
         state = max((row.get("state_bytes", 0) for row in self.rows), default=0)
-        add("all begin at once: the whole state from the primary to each", PLANNED.gateways * state / 1e6 or None, "MB",
-            None, "bytes of the whole state")
+        add(
+            "all begin at once: the whole state from the primary to each",
+            PLANNED.gateways * state / 1e6 or None,
+            "MB",
+            None,
+            "bytes of the whole state",
+        )
         encoded = self.piece("the whole state encoded")
-        add("the same: the primary's processor without a heartbeat between", PLANNED.gateways * encoded
-            if encoded else None, "ms", 900, "piece `the whole state encoded`, against the core's 0.9 s of silence")
+        add(
+            "the same: the primary's processor without a heartbeat between",
+            PLANNED.gateways * encoded if encoded else None,
+            "ms",
+            900,
+            "piece `the whole state encoded`, against the core's 0.9 s of silence",
+        )
         look = self.piece("backends looked through for an address")
-        add("all backends begin: looking for equal addresses", PLANNED.backends * look / 2 / 1e3 if look else None,
-            "s of a core", BEAT, "piece, half of the list at the mean, against one beat")
+        add(
+            "all backends begin: looking for equal addresses",
+            PLANNED.backends * look / 2 / 1e3 if look else None,
+            "s of a core",
+            BEAT,
+            "piece, half of the list at the mean, against one beat",
+        )
         news = self.piece("one backend's news at a gateway")
-        add("the same: each gateway's processor for the news", PLANNED.backends * news / 1e3 if news else None,
-            "s of a core", BEAT, "piece `one backend's news`")
+        add(
+            "the same: each gateway's processor for the news",
+            PLANNED.backends * news / 1e3 if news else None,
+            "s of a core",
+            BEAT,
+            "piece `one backend's news`",
+        )
         return lines
 
-
     # ---- availability
 
     def availability(self) -> list[str]:
@@ -301,9 +422,13 @@
             return ["not measured: no acknowledgement after a takeover at three sizes"]
         wait, machines = waits[0] / 1e3, PLANNED.gateways + PLANNED.backends + CORES
         share = CORES / machines / 2  # a machine is primary or backup
-        events = {"a machine fails": FAILURES * 365 * share, "a machine is restarted": RESTARTS * 365 * share,
-                  "a rack or switch goes": RACKS * RACK * share, "a zone goes": ZONE_LOSSES * CORES / ZONES / 2,
-                  "regions part, on the larger side": float(CUTS)}
+        events = {
+            "a machine fails": FAILURES * 365 * share,
+            "a machine is restarted": RESTARTS * 365 * share,
+            "a rack or switch goes": RACKS * RACK * share,
+            "a zone goes": ZONE_LOSSES * CORES / ZONES / 2,
+            "regions part, on the larger side": float(CUTS),
+        }
         lines = ["| event | a year, at the primary or its backup | changes wait, minutes a year |", "|---|---|---|"]
         lines += [f"| {what} | {number(many)} | {number(many * wait / 60)} |" for what, many in events.items()]
         total = sum(events.values()) * wait / 60
@@ -313,11 +438,15 @@
         gateways = FAILURES * PLANNED.gateways / machines * UNSEEN / 86_400 / PLANNED.gateways
         zones = ZONE_LOSSES / ZONES * UNSEEN / YEAR
         quotas = CUTS * (CUT - 8) / 2 / YEAR
-        return [*lines, "", f"Each wait is {number(wait)} s ({waits[1]}). Of {CHANGES} changes a day "
-                f"{number(total * CHANGES / 1440)} a year meet one on the larger side and "
-                f"{number(cut * CHANGES / 1440)} on the smaller. Requests go on without changes; of them a part of "
-                f"{gateways:.1e} meets a gateway that just ended, {zones:.1e} a zone that did, and {quotas:.1e} have "
-                "quotas on the smaller side of a cut after its first 8 s, where none pass."]
+        return [
+            *lines,
+            "",
+            f"Each wait is {number(wait)} s ({waits[1]}). Of {CHANGES} changes a day "
+            f"{number(total * CHANGES / 1440)} a year meet one on the larger side and "
+            f"{number(cut * CHANGES / 1440)} on the smaller. Requests go on without changes; of them a part of "
+            f"{gateways:.1e} meets a gateway that just ended, {zones:.1e} a zone that did, and {quotas:.1e} have "
+            "quotas on the smaller side of a cut after its first 8 s, where none pass.",
+        ]
 
 
 def page(rows: list[Row]) -> str:
@@ -327,6 +456,17 @@
     for step, title in EVENTS.items():
         lines += [f"### {title}", "", *found.event(step), ""]
     lines += ["### Roles that share a process", "", *found.kinds(), ""]
-    lines += ["### Pieces", "", *found.pieces(), "", "### Against the limits", "", *found.limits(), "",
-              "### Availability", "", *found.availability()]
+    lines += [
+        "### Pieces",
+        "",
+        *found.pieces(),
+        "",
+        "### Against the limits",
+        "",
+        *found.limits(),
+        "",
+        "### Availability",
+        "",
+        *found.availability(),
+    ]
     return "\n".join(lines)
--- a/oakvale/lab/sounding/breakages.py
+++ b/oakvale/lab/sounding/breakages.py
@@ -54,8 +54,13 @@
                 setattr(whose, name, former)
 
 
-def _owed_by_primary_alone(self: Ledger, changes: dict[str, Any], owed: set[Seat], then: Then,
-                           real: Callable[..., list[Entry]] = Ledger.propose) -> list[Entry]:
+def _owed_by_primary_alone(
+    self: Ledger,
+    changes: dict[str, Any],
+    owed: set[Seat],
+    then: Then,
+    real: Callable[..., list[Entry]] = Ledger.propose,
+) -> list[Entry]:
     return real(self, changes, {min(owed)}, then)
 
 
@@ -68,14 +73,21 @@
     self._out.append(copying.Reply(ticket, True))
 
 
-def _founder_again(address: str, stored: bytes | None, state: bytes | None, first: View | None,
-                   fresh: Callable[[], str], real: Callable[..., Start] = copying.start) -> Start:
+def _founder_again(
+    address: str,
+    stored: bytes | None,
+    state: bytes | None,
+    first: View | None,
+    fresh: Callable[[], str],
+    real: Callable[..., Start] = copying.start,
+) -> Start:
     addresses = [f"{name}:1" for name in "abc"]
     return real(address, stored, state, founding(addresses, 2), fresh)
 
 
-def _votes_anyway(self: Succession, view: View, ballot: Ballot, sender: Seat,
-                  real: Callable[..., bool] = Succession._may_vote) -> bool:
+def _votes_anyway(
+    self: Succession, view: View, ballot: Ballot, sender: Seat, real: Callable[..., bool] = Succession._may_vote
+) -> bool:
     return real(self, view, ballot, sender) or self.own not in view.witnesses and ballot >= self.state.promised
 
 
@@ -84,6 +96,7 @@
         view = self.state.view
         same = [w for w in view.witnesses if w[0] == sender[0]] if view else []
         message(self, now, same[0] if same else sender, body)
+
     return take
 
 
@@ -93,13 +106,15 @@
     return own is not None and own.number == view.number and self.own in own.witnesses
 
 
-def _own_value(self: Succession, now: int, sender: Seat, body: list[Any],
-               real: Callable[..., None] = Succession._promise) -> None:
+def _own_value(
+    self: Succession, now: int, sender: Seat, body: list[Any], real: Callable[..., None] = Succession._promise
+) -> None:
     real(self, now, sender, [body[0], body[1], None])
 
 
-def _promise_before_disk(self: Succession, state: Any, after: list[Out],
-                         real: Callable[..., None] = Succession._keep) -> None:
+def _promise_before_disk(
+    self: Succession, state: Any, after: list[Out], real: Callable[..., None] = Succession._keep
+) -> None:
     early = [item for item in after if isinstance(item, Say)]
     real(self, state, [item for item in after if not isinstance(item, Say)])
     self._out += early
@@ -116,8 +131,9 @@
     return self._follows(view, sender)
 
 
-def _refusal_counts(self: Copying, number: int, answer: Any,
-                    real: Callable[..., list[copying.Do]] = Copying.answered) -> list[copying.Do]:
+def _refusal_counts(
+    self: Copying, number: int, answer: Any, real: Callable[..., list[copying.Do]] = Copying.answered
+) -> list[copying.Do]:
     return real(self, number, True if answer is False else answer)
 
 
@@ -140,20 +156,21 @@
     return real([ranges, *there], held)
 
 
-def _lacks_counts(self: Copying, backup: Seat, view: View, up_to: Any, answer: Any,
-                  real: Callable[..., None] = Copying._sync_answered) -> None:
+def _lacks_counts(
+    self: Copying, backup: Seat, view: View, up_to: Any, answer: Any, real: Callable[..., None] = Copying._sync_answered
+) -> None:
     real(self, backup, view, up_to, True if isinstance(answer, tuple) else answer)
 
 
-def _staged_counts(self: Copying, number: int, real: Callable[..., list[copying.Do]] = Copying.written
-                   ) -> list[copying.Do]:
+def _staged_counts(
+    self: Copying, number: int, real: Callable[..., list[copying.Do]] = Copying.written
+) -> list[copying.Do]:
     """A piece on its disk, and it calls itself complete."""
     staged, view = self._writes[number][0] == "piece", self.view()
     out = real(self, number)
     return [*out, *self.carry(self.succession.synced(view.number))] if staged and view else out
 
 
-
 def _old_state_leads(self: Copying, view: View) -> None:
     """A primary serves with what its disk holds, before its backups have answered in this life."""
     if not self.active and self.view() == view:
@@ -165,8 +182,15 @@
     return view.primary == self.own and peer not in view.copies
 
 
-def _by_arrival(self: Machine, sender: Seat, number: int, sent: int, life: int, incarnation: str,
-                real: Callable[..., None] = Machine._lease) -> None:
+def _by_arrival(
+    self: Machine,
+    sender: Seat,
+    number: int,
+    sent: int,
+    life: int,
+    incarnation: str,
+    real: Callable[..., None] = Machine._lease,
+) -> None:
     real(self, sender, number, self.now, life, incarnation)
 
 
@@ -178,13 +202,21 @@
     return real(self, view, now - self._silence)
 
 
-def _forgets_grants(self: Leases, own: Seat, silence: int, now: int, view: View | None, served: int,
-                    real: Callable[..., None] = Leases.__init__) -> None:
+def _forgets_grants(
+    self: Leases,
+    own: Seat,
+    silence: int,
+    now: int,
+    view: View | None,
+    served: int,
+    real: Callable[..., None] = Leases.__init__,
+) -> None:
     real(self, own, silence, now, None, served)
 
 
-def _two_at_once(self: Succession, now: int, view: View, whole: bool,
-                 real: Callable[..., View | None] = Succession.wanted) -> View | None:
+def _two_at_once(
+    self: Succession, now: int, view: View, whole: bool, real: Callable[..., View | None] = Succession.wanted
+) -> View | None:
     found = real(self, now, view, whole)
     spare = min((s for s in self._spares if s not in view.witnesses), default=None)
     if found is None or spare is None or set(found.copies) == set(view.copies):
@@ -196,58 +228,168 @@
 QUIET = Bounds(writes=0, kills=0, wipes=0, wakes=0, retries=0)
 
 BREAKAGES = (
-    Breakage("primary-alone", "the primary acknowledges without its backup's sync",
-             ((Ledger, "propose", _owed_by_primary_alone),), replace(QUIET, writes=1)),
-    Breakage("backup-before-sync", "the backup answers before it has synced",
-             ((Copying, "_append", _append_before_sync),), replace(QUIET, writes=1)),
-    Breakage("founder-again", "a disk that was wiped comes back as the seat that it was",
-             ((copying, "start", _founder_again),), replace(QUIET, writes=1, wipes=1)),
-    Breakage("stranger-votes", "a seat whose disk was wiped votes, and counts as the one before it",
-             ((Succession, "_may_vote", _votes_anyway),
-              (Succession, "_promise", _as_its_address(Succession._promise)),
-              (Succession, "_accepted", _as_its_address(Succession._accepted))), replace(QUIET, wipes=1, wakes=1)),
-    Breakage("gap", "a backup takes changes that do not follow on what it has",
-             ((Copying, "_follows_on", lambda self, before: True),), replace(QUIET, writes=2)),
-    Breakage("refusal-counts", "a primary that was replaced takes its backup's no for a yes",
-             ((Copying, "answered", _refusal_counts),), replace(QUIET, writes=1, wakes=1)),
-    Breakage("old-life", "a backup takes what its primary said in an earlier life, or before something newer",
-             ((Copying, "_in_order", _no_order),), replace(QUIET, writes=1, kills=1), "cold"),
-    Breakage("ballots-forgotten", "a witness forgets what it has promised",
-             ((Succession, "_may_vote", _forgets_ballots),), replace(QUIET, wakes=2), heals=4),
-    Breakage("own-value", "a proposer puts its own view to the vote though another may be decided",
-             ((Succession, "_promise", _own_value),), replace(QUIET, wakes=2), heals=4),
-    Breakage("words-before-disk", "a witness answers before what it says is on its disk",
-             ((Succession, "_keep", _promise_before_disk),), replace(QUIET, wakes=2, kills=1), heals=2),
-    Breakage("complete-at-once", "a new copy counts as complete before it has the state",
-             ((Succession, "_learn", _complete_at_once),), replace(QUIET, writes=1, wakes=1), heals=4),
-    Breakage("half-snapshot", "a backup takes a state of which only some pieces are there",
-             ((pieces, "lacking", _some_will_do), (pieces, "join", _joined)), replace(QUIET, wakes=1, retries=2),
-             "laden"),
-    Breakage("lacks-counts", "a primary takes what its backup lacks for a yes",
-             ((Copying, "_sync_answered", _lacks_counts),), replace(QUIET, writes=1, wakes=1), "laden"),
-    Breakage("staged-as-held", "a backup calls itself complete once it has a piece",
-             ((Copying, "written", _staged_counts),), replace(QUIET, wakes=1), "laden"),
-    Breakage("old-state-leads", "a primary serves with what its disk holds before its backups have answered",
-             ((Copying, "_activate", _old_state_leads),), replace(QUIET, writes=1, kills=1)),
-    Breakage("leaves-alone", "a machine that is told to end goes, also with the only complete copy",
-             ((Copying, "may_go", lambda self, now: True),), replace(QUIET, wakes=1, leaves=1)),
-    Breakage("released-early", "a primary lets one go whose copy is not whole elsewhere yet",
-             ((Copying, "_releases", _releases_early),), replace(QUIET, wakes=1, leaves=1)),
-    Breakage("released-by-the-view-before", "a primary lets one go because its view before was whole",
-             ((Copying, "_serves", lambda self, view: self.active and view.primary == self.own),),
-             replace(QUIET, wakes=1, leaves=1)),
-    Breakage("two-at-once", "a view changes its copies and gives a seat to a spare as well",
-             ((Succession, "wanted", _two_at_once),), replace(QUIET, wakes=1, spares=1)),
-    Breakage("void-unkept", "a backup voids a view, and then becomes complete in it",
-             ((Succession, "_void", _voids_nothing),), replace(QUIET, wakes=2), heals=128),
-    Breakage("lease-by-arrival", "a lease counts from when the answer comes, however late that is",
-             ((Machine, "_lease", _by_arrival),), replace(QUIET, wakes=1, beats=1, passes=1)),
-    Breakage("lease-of-any-view", "whoever is asked for a lease grants it, also one that has moved on",
-             ((Leases, "grant", _grants_anybody),), replace(QUIET, wakes=1, beats=1, passes=1)),
-    Breakage("lease-by-old-clock", "a primary that stood still looks at the clock of before",
-             ((Leases, "holds", _looks_at_an_old_clock),), replace(QUIET, wakes=1, beats=1, passes=1)),
-    Breakage("grant-not-waited-for", "who granted a lease serves in the next view before it has run out",
-             ((Leases, "free", lambda self, now: True),), replace(QUIET, wakes=1, beats=1)),
-    Breakage("grant-forgotten", "who begins anew does not reckon with what it granted before",
-             ((Leases, "__init__", _forgets_grants),), replace(QUIET, wakes=1, kills=1, beats=1), heals=8),
+    Breakage(
+        "primary-alone",
+        "the primary acknowledges without its backup's sync",
+        ((Ledger, "propose", _owed_by_primary_alone),),
+        replace(QUIET, writes=1),
+    ),
+    Breakage(
+        "backup-before-sync",
+        "the backup answers before it has synced",
+        ((Copying, "_append", _append_before_sync),),
+        replace(QUIET, writes=1),
+    ),
+    Breakage(
+        "founder-again",
+        "a disk that was wiped comes back as the seat that it was",
+        ((copying, "start", _founder_again),),
+        replace(QUIET, writes=1, wipes=1),
+    ),
+    Breakage(
+        "stranger-votes",
+        "a seat whose disk was wiped votes, and counts as the one before it",
+        (
+            (Succession, "_may_vote", _votes_anyway),
+            (Succession, "_promise", _as_its_address(Succession._promise)),
+            (Succession, "_accepted", _as_its_address(Succession._accepted)),
+        ),
+        replace(QUIET, wipes=1, wakes=1),
+    ),
+    Breakage(
+        "gap",
+        "a backup takes changes that do not follow on what it has",
+        ((Copying, "_follows_on", lambda self, before: True),),
+        replace(QUIET, writes=2),
+    ),
+    Breakage(
+        "refusal-counts",
+        "a primary that was replaced takes its backup's no for a yes",
+        ((Copying, "answered", _refusal_counts),),
+        replace(QUIET, writes=1, wakes=1),
+    ),
+    Breakage(
+        "old-life",
+        "a backup takes what its primary said in an earlier life, or before something newer",
+        ((Copying, "_in_order", _no_order),),
+        replace(QUIET, writes=1, kills=1),
+        "cold",
+    ),
+    Breakage(
+        "ballots-forgotten",
+        "a witness forgets what it has promised",
+        ((Succession, "_may_vote", _forgets_ballots),),
+        replace(QUIET, wakes=2),
+        heals=4,
+    ),
+    Breakage(
+        "own-value",
+        "a proposer puts its own view to the vote though another may be decided",
+        ((Succession, "_promise", _own_value),),
+        replace(QUIET, wakes=2),
+        heals=4,
+    ),
+    Breakage(
+        "words-before-disk",
+        "a witness answers before what it says is on its disk",
+        ((Succession, "_keep", _promise_before_disk),),
+        replace(QUIET, wakes=2, kills=1),
+        heals=2,
+    ),
+    Breakage(
+        "complete-at-once",
+        "a new copy counts as complete before it has the state",
+        ((Succession, "_learn", _complete_at_once),),
+        replace(QUIET, writes=1, wakes=1),
+        heals=4,
+    ),
+    Breakage(
+        "half-snapshot",
+        "a backup takes a state of which only some pieces are there",
+        ((pieces, "lacking", _some_will_do), (pieces, "join", _joined)),
+        replace(QUIET, wakes=1, retries=2),
+        "laden",
+    ),
+    Breakage(
+        "lacks-counts",
+        "a primary takes what its backup lacks for a yes",
+        ((Copying, "_sync_answered", _lacks_counts),),
+        replace(QUIET, writes=1, wakes=1),
+        "laden",
+    ),
+    Breakage(
+        "staged-as-held",
+        "a backup calls itself complete once it has a piece",
+        ((Copying, "written", _staged_counts),),
+        replace(QUIET, wakes=1),
+        "laden",
+    ),
+    Breakage(
+        "old-state-leads",
+        "a primary serves with what its disk holds before its backups have answered",
+        ((Copying, "_activate", _old_state_leads),),
+        replace(QUIET, writes=1, kills=1),
+    ),
+    Breakage(
+        "leaves-alone",
+        "a machine that is told to end goes, also with the only complete copy",
+        ((Copying, "may_go", lambda self, now: True),),
+        replace(QUIET, wakes=1, leaves=1),
+    ),
+    Breakage(
+        "released-early",
+        "a primary lets one go whose copy is not whole elsewhere yet",
+        ((Copying, "_releases", _releases_early),),
+        replace(QUIET, wakes=1, leaves=1),
+    ),
+    Breakage(
+        "released-by-the-view-before",
+        "a primary lets one go because its view before was whole",
+        ((Copying, "_serves", lambda self, view: self.active and view.primary == self.own),),
+        replace(QUIET, wakes=1, leaves=1),
+    ),
+    Breakage(
+        "two-at-once",
+        "a view changes its copies and gives a seat to a spare as well",
+        ((Succession, "wanted", _two_at_once),),
+        replace(QUIET, wakes=1, spares=1),
+    ),
+    Breakage(
+        "void-unkept",
+        "a backup voids a view, and then becomes complete in it",
+        ((Succession, "_void", _voids_nothing),),
+        replace(QUIET, wakes=2),
+        heals=128,
+    ),
+    Breakage(
+        "lease-by-arrival",
+        "a lease counts from when the answer comes, however late that is",
+        ((Machine, "_lease", _by_arrival),),
+        replace(QUIET, wakes=1, beats=1, passes=1),
+    ),
+    Breakage(
+        "lease-of-any-view",
+        "whoever is asked for a lease grants it, also one that has moved on",
+        ((Leases, "grant", _grants_anybody),),
+        replace(QUIET, wakes=1, beats=1, passes=1),
+    ),
+    Breakage(
+        "lease-by-old-clock",
+        "a primary that stood still looks at the clock of before",
+        ((Leases, "holds", _looks_at_an_old_clock),),
+        replace(QUIET, wakes=1, beats=1, passes=1),
+    ),
+    Breakage(
+        "grant-not-waited-for",
+        "who granted a lease serves in the next view before it has run out",
+        ((Leases, "free", lambda self, now: True),),
+        replace(QUIET, wakes=1, beats=1),
+    ),
+    Breakage(
+        "grant-forgotten",
+        "who begins anew does not reckon with what it granted before",
+        ((Leases, "__init__", _forgets_grants),),
+        replace(QUIET, wakes=1, kills=1, beats=1),
+        heals=8,
+    ),
 )
--- a/oakvale/lab/sounding/check.py
+++ b/oakvale/lab/sounding/check.py
@@ -74,18 +74,36 @@
     parser.add_argument("--long", action="store_true", help="search far: several minutes")
     parser.add_argument("--writes", type=int, metavar="N", help="one search with so many writes")
     parser.add_argument("--faults", metavar="NAME=N,...", help=f"one search with so many {', '.join(FAULTS)}")
-    parser.add_argument("--start", choices=("settled", "cold", "laden"), default="settled",
-                        help="of that search: the founding view serves, or nothing was ever started, or it serves, has "
-                             "taken two writes, and sends all in pieces of a row each")
+    parser.add_argument(
+        "--start",
+        choices=("settled", "cold", "laden"),
+        default="settled",
+        help="of that search: the founding view serves, or nothing was ever started, or it serves, has "
+        "taken two writes, and sends all in pieces of a row each",
+    )
     parser.add_argument("--depth", type=int, default=1_000, metavar="N", help="steps from the start, at most")
-    parser.add_argument("--states", type=int, default=20_000_000, metavar="N",
-                        help="of each search, at most; a million take about 0.5 GB")
+    parser.add_argument(
+        "--states",
+        type=int,
+        default=20_000_000,
+        metavar="N",
+        help="of each search, at most; a million take about 0.5 GB",
+    )
     parser.add_argument("--seconds", type=float, default=300.0, metavar="S", help="for each search, at most")
-    parser.add_argument("--walks", type=int, default=0, metavar="N",
-                        help="so many drawn ways instead, each through several takeovers and losses of a disk")
+    parser.add_argument(
+        "--walks",
+        type=int,
+        default=0,
+        metavar="N",
+        help="so many drawn ways instead, each through several takeovers and losses of a disk",
+    )
     parser.add_argument("--seed", type=int, default=1, metavar="N", help="of the drawn ways")
-    parser.add_argument("--broken", metavar="NAME", choices=["all", *(b.name for b in BREAKAGES)],
-                        help="break the protocol on purpose, and show the shortest way to where it shows")
+    parser.add_argument(
+        "--broken",
+        metavar="NAME",
+        choices=["all", *(b.name for b in BREAKAGES)],
+        help="break the protocol on purpose, and show the shortest way to where it shows",
+    )
 
 
 def searches(args: argparse.Namespace) -> list[tuple[str, Bounds]]:
--- a/oakvale/lab/sounding/machine.py
+++ b/oakvale/lab/sounding/machine.py
@@ -39,8 +39,14 @@
 
 
 class Machine:
-    def __init__(self, address: str, addresses: tuple[str, ...], copies: int, leases: bool = False,
-                 zones: dict[str, str] | None = None) -> None:
+    def __init__(
+        self,
+        address: str,
+        addresses: tuple[str, ...],
+        copies: int,
+        leases: bool = False,
+        zones: dict[str, str] | None = None,
+    ) -> None:
         """`addresses` are the founders'; `zones` of all, where any zone may be lost."""
         self.address, self.addresses, self.copies, self.with_leases = address, addresses, copies, leases
         self.zones = zones or {}
@@ -77,11 +83,19 @@
         first = founding(self.addresses, self.copies) if self.founds else None
         if "self" not in self.facts and not first:
             self.drawn += 1
-        began = copying.start(self.address, self.facts.get("self"), self.facts.get("state"), first,
-                              lambda: str(self.drawn))
-        self.part = Copying(began, sorted(self.rows.items()), self.copies, SILENCE, 0,
-                            sorted(self.pieces.items()), self._zone(self.address),
-                            Domains(by_zone=bool(self.zones)))
+        began = copying.start(
+            self.address, self.facts.get("self"), self.facts.get("state"), first, lambda: str(self.drawn)
+        )
+        self.part = Copying(
+            began,
+            sorted(self.rows.items()),
+            self.copies,
+            SILENCE,
+            0,
+            sorted(self.pieces.items()),
+            self._zone(self.address),
+            Domains(by_zone=bool(self.zones)),
+        )
         if self.with_leases:
             self.leases = Leases(began.own, SILENCE, self.now, began.durable.view, 0)
         self._do(self.part.flush())
@@ -266,8 +280,18 @@
 
     def key(self) -> Any:
         """Equal where machines will do the same for ever."""
-        return (self.founds, self.drawn, self.gone, frozen(self.facts), frozen(self.rows), frozen(self.pieces),
-                frozen(self.queue), frozen(self.agains), frozen(self.part), frozen(self.leases))
+        return (
+            self.founds,
+            self.drawn,
+            self.gone,
+            frozen(self.facts),
+            frozen(self.rows),
+            frozen(self.pieces),
+            frozen(self.queue),
+            frozen(self.agains),
+            frozen(self.part),
+            frozen(self.leases),
+        )
 
 
 def frozen(item: Any) -> Any:
@@ -299,9 +323,30 @@
 class Facts:
     """What the model asks of a machine in one state."""
 
-    __slots__ = ("active", "agains", "asks", "campaigns", "complete", "durable", "gone", "kept", "leads", "leases",
-                 "leaving", "life", "may_go", "own", "queue", "released", "seat", "shown", "up", "view", "void",
-                 "waiting")
+    __slots__ = (
+        "active",
+        "agains",
+        "asks",
+        "campaigns",
+        "complete",
+        "durable",
+        "gone",
+        "kept",
+        "leads",
+        "leases",
+        "leaving",
+        "life",
+        "may_go",
+        "own",
+        "queue",
+        "released",
+        "seat",
+        "shown",
+        "up",
+        "view",
+        "void",
+        "waiting",
+    )
 
     def __init__(self, machine: Machine) -> None:
         part = machine.part
@@ -333,9 +378,15 @@
         self.leads = view if view is not None and part is not None and view.primary == part.own else None
         self.asks = tuple(part._asks) if part else ()
         self.campaigns = part is not None and part.succession._campaign is not None
-        self.waiting = frozenset(p.then.number for p in part.ledger._pending if isinstance(p.then, Author)
-                                 ) if part else frozenset()
+        self.waiting = (
+            frozenset(p.then.number for p in part.ledger._pending if isinstance(p.then, Author))
+            if part
+            else frozenset()
+        )
         self.shown: dict[int, Version] = {}  # writes in the table
         if part is not None:
-            self.shown = {value: part.ledger.table.version(key) for key, value in part.ledger.table.items("w")
-                          for key in ["w" + key]}
+            self.shown = {
+                value: part.ledger.table.version(key)
+                for key, value in part.ledger.table.items("w")
+                for key in ["w" + key]
+            }
--- a/oakvale/lab/sounding/model.py
+++ b/oakvale/lab/sounding/model.py
@@ -46,8 +46,17 @@
 
 
 KILLS, WIPES, WAKES, RETRIES, WRITES, BEATS, PASSES, LEAVES = range(8)
-COST = {"kill": KILLS, "wipe": WIPES, "wake": WAKES, "again": RETRIES, "answer": RETRIES, "change": WRITES,
-        "beat": BEATS, "pass": PASSES, "leave": LEAVES}
+COST = {
+    "kill": KILLS,
+    "wipe": WIPES,
+    "wake": WAKES,
+    "again": RETRIES,
+    "answer": RETRIES,
+    "change": WRITES,
+    "beat": BEATS,
+    "pass": PASSES,
+    "leave": LEAVES,
+}
 TIMED = frozenset(("start", "mail", "beat", "answer", "again", "sync"))  # where a machine may look at its clock
 OUTWARD = frozenset(("kill", "wipe", "change", "go"))
 ROUNDS = 12  # of everything that waits for a time, until somebody serves
@@ -108,8 +117,8 @@
     def __init__(self, bounds: Bounds, small: bool = False) -> None:
         """`small`: nothing fits in one message, each row is a piece of its own."""
         self.bounds, self.small = bounds, small
-        self.addresses = tuple(f"{name}:1" for name in NAMES[:bounds.machines + bounds.spares])
-        self.founders = self.addresses[:bounds.machines]
+        self.addresses = tuple(f"{name}:1" for name in NAMES[: bounds.machines + bounds.spares])
+        self.founders = self.addresses[: bounds.machines]
         self.zones = dict(zip(self.addresses, bounds.zones, strict=True)) if bounds.zones else {}
         self._place = {address: n for n, address in enumerate(self.addresses)}
         self._numbers: dict[Any, int] = {}  # a machine's key -> its number
@@ -170,8 +179,10 @@
 
     def cold(self) -> State:
         """Nothing was ever started."""
-        seats = tuple(self._number(place, Machine(address, self.founders, COPIES, self.bounds.beats > 0, self.zones))
-                      for place, address in enumerate(self.addresses))
+        seats = tuple(
+            self._number(place, Machine(address, self.founders, COPIES, self.bounds.beats > 0, self.zones))
+            for place, address in enumerate(self.addresses)
+        )
         return State(seats, (), self._known(Told()), UNSPENT)
 
     def settled(self) -> State:
@@ -202,9 +213,14 @@
                 last = number
                 yield to[number], ("mail", number)
         # nor between the word that one may go and its end: that one is as good as gone
-        wipes = spent[WIPES] < bounds.wipes and told.troubled < 0 and not (
-            bounds.leaves and (any(facts[seat].may_go for seat in seats)
-                               or any(self.mails[n][1] == "released" for n in mail)))
+        wipes = (
+            spent[WIPES] < bounds.wipes
+            and told.troubled < 0
+            and not (
+                bounds.leaves
+                and (any(facts[seat].may_go for seat in seats) or any(self.mails[n][1] == "released" for n in mail))
+            )
+        )
         for place, seat in enumerate(seats):
             own = facts[seat]
             if own.gone:
@@ -246,8 +262,11 @@
             found = self._wakings.get(seats)
             if found is None:
                 found = self._wakings[seats] = tuple(
-                    (place, wake) for place, seat in enumerate(seats) for wake in self.wakes(seats, place)
-                    if self.local(place, seat, wake) != (seat, ()))
+                    (place, wake)
+                    for place, seat in enumerate(seats)
+                    for wake in self.wakes(seats, place)
+                    if self.local(place, seat, wake) != (seat, ())
+                )
             yield from found
 
     def _running(self, seats: tuple[int, ...], place: int) -> tuple[Seat, ...]:
@@ -255,8 +274,11 @@
         return tuple(own for own in owns if own is not None)
 
     def _leavers(self, seats: tuple[int, ...], place: int) -> tuple[Seat, ...]:
-        return tuple(own for own in self._running(seats, place)
-                     if any(self.facts[seat].own == own and self.facts[seat].leaving for seat in seats))
+        return tuple(
+            own
+            for own in self._running(seats, place)
+            if any(self.facts[seat].own == own and self.facts[seat].leaving for seat in seats)
+        )
 
     def wakes(self, seats: tuple[int, ...], place: int) -> Iterator[Event]:
         """What a machine might believe when it looks whether it should do something."""
@@ -294,12 +316,12 @@
             left = [n for n in left if self._to[n] != place]
         cost = COST.get(kind)
         if cost is not None:
-            spent = (*spent[:cost], spent[cost] + 1, *spent[cost + 1:])
+            spent = (*spent[:cost], spent[cost] + 1, *spent[cost + 1 :])
         view = self.facts[now].view
         if kind == "go":
             self._may_be_missed(self.tolds[known], seats, place)
         if now != before:
-            seats = (*seats[:place], now, *seats[place + 1:])
+            seats = (*seats[:place], now, *seats[place + 1 :])
             if kind in OUTWARD or view != self.facts[before].view:
                 known = self._known(self._seen(self._outward(self.tolds[known], place, before, event), view))
             left = [n for n in left if self._to[n] != place or not self._is_over(place, now, n)]
@@ -340,10 +362,10 @@
             place, shorter = len(way), False
             while place > 0:
                 place -= size
-                tried = way[:max(place, 0)] + way[place + size:]
+                tried = way[: max(place, 0)] + way[place + size :]
                 ends = self.replay(state, tried)
                 if ends is not None and ends[1].rule == rule:
-                    way, shorter = tried[:ends[0]], True
+                    way, shorter = tried[: ends[0]], True
                     place = min(place, len(way))
             if size > 1:
                 size //= 2
@@ -356,18 +378,31 @@
         if kind == "mail":
             return own.up and event[1] in state.mail
         if kind == "learn":
-            return own.up and event[1] in self.tolds[state.told].decided and (
-                own.view is None or event[1][0] > own.view[0])
+            return (
+                own.up
+                and event[1] in self.tolds[state.told].decided
+                and (own.view is None or event[1][0] > own.view[0])
+            )
         if kind == "kill":
             return own.up and event[1] <= own.queue
         if kind == "releases":
             return own.active and event[1] in self._leavers(state.seats, place)
         if kind == "wipe":
             return own.seat is not None and self.tolds[state.told].troubled < 0
-        return bool({"start": not own.up, "sync": own.queue, "answer": own.up and event[1:] and event[1] in own.asks,
-                     "again": own.agains, "change": own.active, "beat": own.leads, "pass": True,
-                     "wake": own.up and own.view,
-                     "leave": own.up and not own.leaving, "go": own.may_go}[kind])
+        return bool(
+            {
+                "start": not own.up,
+                "sync": own.queue,
+                "answer": own.up and event[1:] and event[1] in own.asks,
+                "again": own.agains,
+                "change": own.active,
+                "beat": own.leads,
+                "pass": True,
+                "wake": own.up and own.view,
+                "leave": own.up and not own.leaving,
+                "go": own.may_go,
+            }[kind]
+        )
 
     def _outward(self, told: Told, place: int, before: int, event: Event) -> Told:
         kind = event[0]
@@ -465,8 +500,10 @@
         whole = [f for f in others if own is None or f.complete == f.durable >= own[0] - (f.seat in (own[1], *own[2]))]
         late = own is not None and any(view[0] > own[0] for view in told.decided)
         if len(whole) < COPIES - (told.troubled >= 0 or late):
-            raise Broken("who leaves leaves the copies whole", f"{len(whole)} of {COPIES} others in view "
-                                                               f"{own[0] if own else 0} or later")
+            raise Broken(
+                "who leaves leaves the copies whole",
+                f"{len(whole)} of {COPIES} others in view {own[0] if own else 0} or later",
+            )
 
     def _may_say(self, told: Told, seat: int, item: Sent) -> None:
         """Only a witness of the view votes on its successor."""
@@ -507,8 +544,9 @@
         for other in seats:
             then = self.facts[other]
             if then.active and then.view is not None and then.view[0] > view[0] and write not in then.shown:
-                raise Broken("a replaced primary says no",
-                             f"w{write}: view {then.view[0]} serves, and does not hold it")
+                raise Broken(
+                    "a replaced primary says no", f"w{write}: view {then.view[0]} serves, and does not hold it"
+                )
         return self._acked(told, write, version, view[0])
 
     def _lacking(self, seats: tuple[int, ...], view: Any, write: int, version: Version) -> list[Seat]:
@@ -549,8 +587,10 @@
         if disk.complete and disk.complete == disk.durable:
             for n, version, view in told.acked:
                 if view <= disk.durable and disk.kept.get(n) != version:
-                    raise Broken("complete means all acknowledged",
-                                 f"{seat_text(disk.seat)} is complete in view {disk.durable} without w{n}")
+                    raise Broken(
+                        "complete means all acknowledged",
+                        f"{seat_text(disk.seat)} is complete in view {disk.durable} without w{n}",
+                    )
 
     def _one_serves(self, seats: tuple[int, ...], time: int) -> None:
         """Nobody may serve in a later view while a lease of an earlier one holds. Of the later, only what it granted
@@ -560,23 +600,35 @@
             if own.active and own.leads and own.leases and own.leases.holds(own.leads, time * SILENCE):
                 for other in seats:
                     then = self.facts[other]
-                    if (then.active and then.leads and then.leads.number > own.leads.number
-                            and then.leases and then.leases.free(time * SILENCE)):
-                        raise Broken("one serves at a time", f"{seat_text(own.own)} in view {own.leads.number}, and "
-                                     f"{seat_text(then.own)} in view {then.leads.number}")
+                    if (
+                        then.active
+                        and then.leads
+                        and then.leads.number > own.leads.number
+                        and then.leases
+                        and then.leases.free(time * SILENCE)
+                    ):
+                        raise Broken(
+                            "one serves at a time",
+                            f"{seat_text(own.own)} in view {own.leads.number}, and "
+                            f"{seat_text(then.own)} in view {then.leads.number}",
+                        )
 
     def _well(self, told: Told, seats: tuple[int, ...]) -> bool:
         """All are up and agree, and all witnesses are of those: the one that was wiped, or a spare in its place."""
         parts = [self.facts[seat] for seat in seats]
         newest = told.decided[-1] if told.decided else None
-        return (newest is not None and any(p.active for p in parts)
-                and all(p.up and not p.queue and p.view == newest and p.durable == newest[0] for p in parts)
-                and {p.own for p in parts}.issuperset(newest[3]))
+        return (
+            newest is not None
+            and any(p.active for p in parts)
+            and all(p.up and not p.queue and p.view == newest and p.durable == newest[0] for p in parts)
+            and {p.own for p in parts}.issuperset(newest[3])
+        )
 
     # ---- all heals
 
-    def heal(self, state: State, write: int | None = 99, passed: set[State] | None = None,
-             trace: list[Step] | None = None) -> State:
+    def heal(
+        self, state: State, write: int | None = 99, passed: set[State] | None = None, trace: list[Step] | None = None
+    ) -> State:
         """All run, hear each other and are fast from here on: somebody serves, and takes a write. Raises Broken.
 
         `passed` are states from which that was so before; `trace` is given the steps."""
@@ -617,8 +669,11 @@
             if self.known:
                 return False
             newest = max((own.view for own in self._facts() if own.view is not None), default=None)
-            late = [place for place, own in enumerate(self._facts()) if newest is not None and own.view != newest
-                    and not own.gone]
+            late = [
+                place
+                for place, own in enumerate(self._facts())
+                if newest is not None and own.view != newest and not own.gone
+            ]
             if late:
                 for place in late:
                     self._do(place, ("learn", newest))
@@ -634,8 +689,14 @@
     def _serving(self) -> int | None:
         """Who is primary, with all its backups up: only such a one calls itself serving."""
         up = {own.own for own in self._facts()}
-        return next((place for place, own in enumerate(self._facts())
-                     if own.active and own.view is not None and up.issuperset(own.view[2])), None)
+        return next(
+            (
+                place
+                for place, own in enumerate(self._facts())
+                if own.active and own.view is not None and up.issuperset(own.view[2])
+            ),
+            None,
+        )
 
     def _again(self) -> None:
         for place in [place for place, own in enumerate(self._facts()) for _ in range(own.agains)]:
@@ -698,5 +759,7 @@
 
 def view_text(view: Any) -> str:
     number, primary, backups, witnesses = view
-    return (f"view {number} ({seat_text(primary)}+{'+'.join(map(seat_text, backups))}"
-            f" by {''.join(map(seat_text, witnesses))})")
+    return (
+        f"view {number} ({seat_text(primary)}+{'+'.join(map(seat_text, backups))}"
+        f" by {''.join(map(seat_text, witnesses))})"
+    )
--- a/oakvale/lab/sounding/search.py
+++ b/oakvale/lab/sounding/search.py
@@ -33,22 +33,36 @@
 
     def line(self) -> str:
         b = self.bounds
-        what = (f"{self.start}, {b.writes} writes, {b.kills} kills, {b.wipes} wipes, {b.wakes} wakes, "
-                f"{b.retries} retries" + (f", {b.beats} beats, {b.passes} passes" if b.beats else "")
-                + (f", {b.leaves} leaves" if b.leaves else "") + (f", {b.spares} spares" if b.spares else "")
-                + (f", zones {b.zones}" if b.zones else ""))
+        what = (
+            f"{self.start}, {b.writes} writes, {b.kills} kills, {b.wipes} wipes, {b.wakes} wakes, "
+            f"{b.retries} retries"
+            + (f", {b.beats} beats, {b.passes} passes" if b.beats else "")
+            + (f", {b.leaves} leaves" if b.leaves else "")
+            + (f", {b.spares} spares" if b.spares else "")
+            + (f", zones {b.zones}" if b.zones else "")
+        )
         ends = "all" if self.whole else "cut short"
         said = f"BROKEN {self.broken}" if self.broken else "nothing broken"
-        return (f"{what}: {self.states} states ({ends}), {self.steps} steps, depth {self.depth}, "
-                f"{self.machines} of one machine, healed from {self.healed}, {self.seconds:.1f} s: {said}")
+        return (
+            f"{what}: {self.states} states ({ends}), {self.steps} steps, depth {self.depth}, "
+            f"{self.machines} of one machine, healed from {self.healed}, {self.seconds:.1f} s: {said}"
+        )
 
 
 class Search:
     """States are known by a 64-bit hash: of a million, two share one with a chance of 1 in 37 million, and one of
     those would be left out."""
 
-    def __init__(self, bounds: Bounds, start: str = "settled", depth: int = 1_000, most: int = 50_000_000,
-                 seconds: float = 86_400.0, every: int = EVERY, show: Callable[[str], None] | None = None) -> None:
+    def __init__(
+        self,
+        bounds: Bounds,
+        start: str = "settled",
+        depth: int = 1_000,
+        most: int = 50_000_000,
+        seconds: float = 86_400.0,
+        every: int = EVERY,
+        show: Callable[[str], None] | None = None,
+    ) -> None:
         self.model = Model(bounds, small=start == "laden")
         self.found = Found(bounds, start)
         self._depth, self._most, self._seconds, self._every, self._show = depth, most, seconds, every, show
--- a/oakvale/lab/sounding/trace.py
+++ b/oakvale/lab/sounding/trace.py
@@ -12,7 +12,6 @@
 from oakvale.lab.sounding.machine import SILENCE, Event, Sent
 from oakvale.lab.sounding.model import PASSES, TIMED, Broken, Model, State, Step, seat_text, view_text
 
-
 MOST = 60  # steps of healing that are shown
 
 
--- a/oakvale/lab/sounding/walks.py
+++ b/oakvale/lab/sounding/walks.py
@@ -15,16 +15,27 @@
 ANEW = 100  # walks, until what was worked out is forgotten: machines in such depths are seldom alike
 CALM = 0.01  # of a step: all heals before the next, so that another disk may be lost
 # how likely each kind is beside the others that can happen; words and disks must get on, or nothing comes of a fault
-LIKELY = {"mail": 10.0, "sync": 10.0, "start": 1.0, "learn": 1.0, "again": 1.0, "wake": 0.6, "change": 0.5,
-          "answer": 0.3, "kill": 0.2, "wipe": 0.1}
+LIKELY = {
+    "mail": 10.0,
+    "sync": 10.0,
+    "start": 1.0,
+    "learn": 1.0,
+    "again": 1.0,
+    "wake": 0.6,
+    "change": 0.5,
+    "answer": 0.3,
+    "kill": 0.2,
+    "wipe": 0.1,
+}
 TIMES = (0.1, 1.0, 1.0, 6.0)  # each kind on each walk: walks that are all alike miss what takes many of one kind
 SLOW = 0.3  # share of walks on which one machine does little
 LAG = 0.9  # of what it would have done
 
 
 class Walks:
-    def __init__(self, bounds: Bounds = FAR, start: str = "settled", seed: int = 1,
-                 show: Callable[[str], None] | None = None) -> None:
+    def __init__(
+        self, bounds: Bounds = FAR, start: str = "settled", seed: int = 1, show: Callable[[str], None] | None = None
+    ) -> None:
         self.bounds, self.seed, self.walks = bounds, seed, 0
         self.found = Found(bounds, start)
         self._show = show
@@ -49,8 +60,10 @@
     def line(self) -> str:
         found = self.found
         said = f"BROKEN {found.broken}" if found.broken else "nothing broken"
-        return (f"{found.start}, seed {self.seed}: {self.walks} walks of {STEPS} steps at most, {found.steps} steps, "
-                f"{found.machines} of one machine, healed from {found.healed}, {found.seconds:.1f} s: {said}")
+        return (
+            f"{found.start}, seed {self.seed}: {self.walks} walks of {STEPS} steps at most, {found.steps} steps, "
+            f"{found.machines} of one machine, healed from {found.healed}, {found.seconds:.1f} s: {said}"
+        )
 
     def _walk(self, rng: random.Random) -> None:
         model, way = self._model, list[Step]()
@@ -94,9 +107,7 @@
         found.broken, found.way = broken, way
         ends = model.replay(first, way)
         if ends is not None:  # else it shows in what does not happen, and every step may count
-            found.way = model.shortened(first, way[:ends[0]], broken.rule)
+            found.way = model.shortened(first, way[: ends[0]], broken.rule)
         found.trace = trace.lines(model, first, found.way)
         if ends is None:
             found.trace.append(f"     BROKEN {broken}")
-
-
--- a/oakvale/lab/trials/draw.py
+++ b/oakvale/lab/trials/draw.py
@@ -14,8 +14,28 @@
 from oakvale.lab.days import Day, Trouble
 
 Range = tuple[float, float]
-SYLLABLES = ("al", "ber", "cor", "dun", "el", "fen", "gar", "hol", "ist", "kel", "lin", "mor", "nor", "ost", "pel",
-             "ras", "sen", "tor", "ul", "ven")
+SYLLABLES = (
+    "al",
+    "ber",
+    "cor",
+    "dun",
+    "el",
+    "fen",
+    "gar",
+    "hol",
+    "ist",
+    "kel",
+    "lin",
+    "mor",
+    "nor",
+    "ost",
+    "pel",
+    "ras",
+    "sen",
+    "tor",
+    "ul",
+    "ven",
+)
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,8 +60,10 @@
     "give_up": (Way((2, 6), share=(0.2, 0.8), x=(20, 400)),),
     "srv_crash": (Way((2, 6), share=(0.1, 0.5), hows=("", "dark", "gone", "dark gone"), on=SERVICE),),
     "srv_slow": (Way((3, 8), share=(0.1, 0.5), x=(2, 8), on=SERVICE),),
-    "srv_grey": (Way((3, 8), share=(0.1, 0.5), x=(0.05, 0.5), on=SERVICE), Way((3, 8), count=(1, 1), x=(3, 20),
-                                                                               on=SERVICE)),
+    "srv_grey": (
+        Way((3, 8), share=(0.1, 0.5), x=(0.05, 0.5), on=SERVICE),
+        Way((3, 8), count=(1, 1), x=(3, 20), on=SERVICE),
+    ),
     "srv_flap": (Way((3, 8), share=(0.1, 0.4), gap_s=(0.4, 1.5), on=SERVICE),),
     "srv_lying_health": (Way((3, 8), share=(0.1, 0.4), on=SERVICE),),
     "release": (Way(share=(0.3, 1.0), x=(1, 2), gap_s=(0.5, 1.5), on=SERVICE, planned=True),),
@@ -49,17 +71,50 @@
     "answer_lost": (Way((3, 6), share=(0.3, 0.7), x=(0.01, 0.06), hows=("", "reset"), on=SERVICE),),
     "garble": (Way((3, 6), share=(0.3, 0.7), x=(0.01, 0.05), hows=("", "extra", "extra late"), on=SERVICE),),
     "idle_race": (Way((3, 8), share=(0.3, 1.0), x=(0.3, 2), on=SERVICE),),
-    "node_kill": (Way((1, 4), count=(1, 1), hows=(
-        "", "leader", "seed", "acked meet", "leader meet hard", "leader power meet race", "meet drain", "wipe",
-        "acked wipe meet"), on=("core",)), Way((1, 4), share=(0.1, 0.5), on=("edge",))),
-    "herd_kill": (Way((1, 3), share=(0.3, 0.9), hows=("", "power", "meet")),
-                  Way((0, 3), share=(1.0, 1.0), hows=("", "power", "power meet race"), on=("core",))),
+    "node_kill": (
+        Way(
+            (1, 4),
+            count=(1, 1),
+            hows=(
+                "",
+                "leader",
+                "seed",
+                "acked meet",
+                "leader meet hard",
+                "leader power meet race",
+                "meet drain",
+                "wipe",
+                "acked wipe meet",
+            ),
+            on=("core",),
+        ),
+        Way((1, 4), share=(0.1, 0.5), on=("edge",)),
+    ),
+    "herd_kill": (
+        Way((1, 3), share=(0.3, 0.9), hows=("", "power", "meet")),
+        Way((0, 3), share=(1.0, 1.0), hows=("", "power", "power meet race"), on=("core",)),
+    ),
     "after_ack_kill": (Way((0, 4), hows=("", "kill", "timed", "kill timed", "meet", "kill meet race")),),
     "after_ack_wipe": (Way((1, 4), hows=("", "timed", "meet", "meet hard")),),
     "clock_step": (Way((3, 6), share=(0.2, 0.6), x=(0.2, 6), hows=("ahead", "back")),),
-    "core_cut": (Way((1, 8), count=(1, 1), hows=(
-        "", "leader", "leader one-way", "leader off", "acked meet", "leader meet race", "leader seeds", "leader both",
-        "leader meet hard", "one-way meet")),),
+    "core_cut": (
+        Way(
+            (1, 8),
+            count=(1, 1),
+            hows=(
+                "",
+                "leader",
+                "leader one-way",
+                "leader off",
+                "acked meet",
+                "leader meet race",
+                "leader seeds",
+                "leader both",
+                "leader meet hard",
+                "one-way meet",
+            ),
+        ),
+    ),
     "node_cut": (Way((1, 6), share=(0.1, 0.4)),),
     "zone_cut": (Way((1, 4), count=(1, 1)),),
     "disk_slow": (Way((3, 6), count=(1, 1), x=(5, 40), hows=("", "leader", "acked meet")),),
@@ -67,14 +122,23 @@
     "disk_full": (Way((1, 4), count=(1, 1), hows=("", "leader", "acked meet")),),
     "lossy": (Way((2, 6), share=(0.1, 0.4), x=(0.01, 0.1)),),
     "node_slow": (Way((2, 6), share=(0.1, 0.3), x=(2, 6)),),
-    "node_freeze": (Way((0.5, 5), count=(1, 1), hows=("leader", "acked meet", "leader meet race", ""), on=("core",)),
-                    Way((0.5, 4), share=(0.1, 0.4))),
-    "replace_core": (Way(count=(1, 1), x=(0.5, 2), hows=(
-        "", "planned", "leader", "planned leader", "planned meet", "leader meet", "acked"), on=("core",)),
-                     Way(count=(2, 4), x=(0.3, 1), gap_s=(5.1, 6.5), hows=("", "planned", "leader", "acked meet"),
-                         on=("core",))),
-    "reset_conns": (Way(share=(0.1, 0.6), x=(0.2, 0.95), hows=("", "leader")),
-                    Way(count=(1, 1), x=(0.5, 0.99), hows=("leader", "acked"), on=("core",))),
+    "node_freeze": (
+        Way((0.5, 5), count=(1, 1), hows=("leader", "acked meet", "leader meet race", ""), on=("core",)),
+        Way((0.5, 4), share=(0.1, 0.4)),
+    ),
+    "replace_core": (
+        Way(
+            count=(1, 1),
+            x=(0.5, 2),
+            hows=("", "planned", "leader", "planned leader", "planned meet", "leader meet", "acked"),
+            on=("core",),
+        ),
+        Way(count=(2, 4), x=(0.3, 1), gap_s=(5.1, 6.5), hows=("", "planned", "leader", "acked meet"), on=("core",)),
+    ),
+    "reset_conns": (
+        Way(share=(0.1, 0.6), x=(0.2, 0.95), hows=("", "leader")),
+        Way(count=(1, 1), x=(0.5, 0.99), hows=("leader", "acked"), on=("core",)),
+    ),
     "ack_lost": (Way((2, 8), x=(0.3, 0.9), hows=("", "backends")),),
     "order_again": (Way(count=(1, 8), gap_s=(0.2, 1.5), hows=("", "newest")),),
     "config_flood": (Way(count=(20, 150), gap_s=(0.03, 0.2), hows=("timeout", "quota", "idle", "")),),
@@ -87,21 +151,58 @@
     "restart": (Way(gap_s=(0.5, 1.5), on=("edge", "core"), planned=True),),
     "drain": (Way((2, 5), share=(0.1, 0.4), gap_s=(0.5, 1.5), on=("edge",), planned=True),),
 }
-CORE = frozenset({"node_kill", "herd_kill", "after_ack_kill", "after_ack_wipe", "core_cut", "node_cut", "zone_cut",
-                  "disk_slow", "disk_stall", "disk_full", "lossy", "node_slow", "node_freeze", "replace_core",
-                  "clock_step", "seed_turnover", "restart", "closing"})
+CORE = frozenset(
+    {
+        "node_kill",
+        "herd_kill",
+        "after_ack_kill",
+        "after_ack_wipe",
+        "core_cut",
+        "node_cut",
+        "zone_cut",
+        "disk_slow",
+        "disk_stall",
+        "disk_full",
+        "lossy",
+        "node_slow",
+        "node_freeze",
+        "replace_core",
+        "clock_step",
+        "seed_turnover",
+        "restart",
+        "closing",
+    }
+)
 # what bears on the control side comes twice as often
-CONTROL = CORE | {"reset_conns", "ack_lost", "order_again", "config_flood", "config_race", "bad_config",
-                  "config_change", "release", "scale_in"}
+CONTROL = CORE | {
+    "reset_conns",
+    "ack_lost",
+    "order_again",
+    "config_flood",
+    "config_race",
+    "bad_config",
+    "config_change",
+    "release",
+    "scale_in",
+}
 
-NEXT: tuple[tuple[Any, str], ...] = (("replace_core", ""), ("replace_core", "acked"), ("node_kill", "leader power"),
-                                     ("node_kill", "acked wipe"), ("core_cut", "leader off"), ("node_freeze", "leader"))
+NEXT: tuple[tuple[Any, str], ...] = (
+    ("replace_core", ""),
+    ("replace_core", "acked"),
+    ("node_kill", "leader power"),
+    ("node_kill", "acked wipe"),
+    ("core_cut", "leader off"),
+    ("node_freeze", "leader"),
+)
 
 
 def wipes(trouble: Trouble) -> bool:
     """A disk is lost, or a machine with its disk."""
-    return (trouble.kind in ("after_ack_wipe", "replace_core")
-            or trouble.kind in ("closing", "node_kill") and "wipe" in trouble.how)
+    return (
+        trouble.kind in ("after_ack_wipe", "replace_core")
+        or trouble.kind in ("closing", "node_kill")
+        and "wipe" in trouble.how
+    )
 
 
 def _end(day: Day, one: Trouble) -> float:
@@ -118,11 +219,12 @@
 
     def span(one: Trouble) -> tuple[float, float]:
         return one.at, _end(day, one)
+
     for at, one in enumerate(struck):
         if not wipes(one):
             continue
         begin, end = span(one)
-        for other in struck[:at] + struck[at + 1:]:
+        for other in struck[:at] + struck[at + 1 :]:
             its_begin, its_end = span(other)
             if its_begin < end + rest and begin < its_end + rest:
                 return False
@@ -134,8 +236,11 @@
 def drawn(seed: int, like: Day | None = None, kinds: tuple[str, ...] = ()) -> Day:
     """The day of a seed: of the site of `like`, where there is one, with troubles of `kinds` alone, where some are."""
     draw = random.Random(f"day {seed}")
-    site = _site(draw) if like is None else {
-        name: value for name, value in like.model_dump(mode="python").items() if name not in ("troubles", "plan")}
+    site = (
+        _site(draw)
+        if like is None
+        else {name: value for name, value in like.model_dump(mode="python").items() if name not in ("troubles", "plan")}
+    )
     names = [service["name"] for service in site["services"]]
     wanted = [kind for kind in WAYS if not kinds or kind in kinds]
     weights = [2 if kind in CONTROL else 1 for kind in wanted]
@@ -147,10 +252,15 @@
         # those that take a disk first: what can't be borne beside them gives way, or they would hardly ever come
         for row in sorted(rows, key=lambda one: not wipes(Trouble.model_validate(one[1]))):
             part = [*kept, row]
-            day = days.decode(site | {
-                "name": f"drawn-{seed}", "seed": seed,
-                "troubles": tuple(row for planned, row in part if not planned),
-                "plan": tuple(row for planned, row in part if planned)})
+            day = days.decode(
+                site
+                | {
+                    "name": f"drawn-{seed}",
+                    "seed": seed,
+                    "troubles": tuple(row for planned, row in part if not planned),
+                    "plan": tuple(row for planned, row in part if planned),
+                }
+            )
             if fair(day):
                 kept, found = part, day
     return _then_another(draw, found)
@@ -194,32 +304,65 @@
     routes: list[dict[str, Any]] = []
     for _ in range(draw.randint(1, 3)):
         name, backends, slots = names.pop(), draw.randint(2, 8), draw.randint(1, 4)
-        services.append({"name": name, "backends": backends, "slots": slots,
-                         "work_spread": round(draw.uniform(0, 0.8), 2), "reset_when_full": draw.random() < 0.3,
-                         "cold_factor": draw.choice((1.0, 2.0))})
+        services.append(
+            {
+                "name": name,
+                "backends": backends,
+                "slots": slots,
+                "work_spread": round(draw.uniform(0, 0.8), 2),
+                "reset_when_full": draw.random() < 0.3,
+                "cold_factor": draw.choice((1.0, 2.0)),
+            }
+        )
         many = draw.randint(1, 2)
         for number in range(many):
             work = round(10 ** draw.uniform(1.0, 2.4), 1)
             load = draw.uniform(0.15, 0.7)  # of what the service can do
             aim = work * draw.uniform(3, 8) + 50
-            routes.append({
-                "name": f"{name}-{number}", "service": name, "safe": draw.random() < 0.5, "work_ms": work,
-                "per_s": round(max(0.5, min(25.0, load * backends * slots * 1000 / work / many)), 2),
-                "aim_ms": round(aim), "deadline_ms": round(aim * draw.uniform(4, 7)), "tries": draw.randint(1, 3),
-                "prio": draw.randint(0, 2), "worth": draw.choice((1.0, 2.0)), "public": draw.random() < 0.1})
+            routes.append(
+                {
+                    "name": f"{name}-{number}",
+                    "service": name,
+                    "safe": draw.random() < 0.5,
+                    "work_ms": work,
+                    "per_s": round(max(0.5, min(25.0, load * backends * slots * 1000 / work / many)), 2),
+                    "aim_ms": round(aim),
+                    "deadline_ms": round(aim * draw.uniform(4, 7)),
+                    "tries": draw.randint(1, 3),
+                    "prio": draw.randint(0, 2),
+                    "worth": draw.choice((1.0, 2.0)),
+                    "public": draw.random() < 0.1,
+                }
+            )
     if draw.random() < QUIET:
         routes = [route | {"per_s": max(0.5, round(route["per_s"] / 5, 2))} for route in routes]
     whole = sum(route["per_s"] for route in routes)
     tenants, weights = [], [draw.uniform(0.3, 3) for _ in range(draw.randint(1, 6))]
     for number, weight in enumerate(weights):
         rate = whole * weight / sum(weights) * draw.uniform(1.1, 2.0)
-        tenants.append({"name": f"tenant-{number}", "keys": draw.randint(1, 3), "weight": round(weight, 2)} |
-                       ({"rate_per_s": round(rate, 1), "burst": round(rate * draw.uniform(1, 3), 1)}
-                        if draw.random() < 0.8 else {}))
+        tenants.append(
+            {"name": f"tenant-{number}", "keys": draw.randint(1, 3), "weight": round(weight, 2)}
+            | (
+                {"rate_per_s": round(rate, 1), "burst": round(rate * draw.uniform(1, 3), 1)}
+                if draw.random() < 0.8
+                else {}
+            )
+        )
     return {
-        "name": "drawn", "seconds": draw.choice((12.0, 18.0, 24.0, 32.0)), "lead_s": 8.0, "zones": zones,
-        "edges_per_zone": draw.randint(1, 4), "delay_ms": round(draw.uniform(0.2, 5), 2),
-        "client_delay_ms": round(draw.uniform(0.5, 10), 1), "sync_ms": round(draw.uniform(0.5, 8), 1), "cores": cores,
-        "tolerance": (cores - 1) // 2, "services": services, "routes": routes, "tenants": tenants,
-        "bounds": {"retry-slack": 40.0}, "bulk": draw.choice((0, 0, 0, 0, 600)),
-        "link_mbps": draw.choice((1_000.0, 1_000.0, 100.0))}
+        "name": "drawn",
+        "seconds": draw.choice((12.0, 18.0, 24.0, 32.0)),
+        "lead_s": 8.0,
+        "zones": zones,
+        "edges_per_zone": draw.randint(1, 4),
+        "delay_ms": round(draw.uniform(0.2, 5), 2),
+        "client_delay_ms": round(draw.uniform(0.5, 10), 1),
+        "sync_ms": round(draw.uniform(0.5, 8), 1),
+        "cores": cores,
+        "tolerance": (cores - 1) // 2,
+        "services": services,
+        "routes": routes,
+        "tenants": tenants,
+        "bounds": {"retry-slack": 40.0},
+        "bulk": draw.choice((0, 0, 0, 0, 600)),
+        "link_mbps": draw.choice((1_000.0, 1_000.0, 100.0)),
+    }
--- a/oakvale/lab/trials/findings.py
+++ b/oakvale/lab/trials/findings.py
@@ -44,8 +44,12 @@
     base = experiment.variants[0].name
     for day in names + ([ALL] if len(names) > 1 else []):
         for spec in experiment.variants:
-            mine = [one for (its, variant), seeds in by.items() if variant == spec.name and day in (its, ALL)
-                    for one in seeds.values()]
+            mine = [
+                one
+                for (its, variant), seeds in by.items()
+                if variant == spec.name and day in (its, ALL)
+                for one in seeds.values()
+            ]
             ended = [one for one in mine if not one.failed]
             if not mine:
                 continue
@@ -58,8 +62,12 @@
                 if spec.name != base and (both := sorted(own.keys() & other.keys())):
                     sign = 1 if more else -1
                     least = experiment.least if name in ("score", "worth", "served") else 0.0
-                    change = compared([sign * other[seed] for seed in both], [sign * own[seed] for seed in both],
-                                      experiment.confidence, least)
+                    change = compared(
+                        [sign * other[seed] for seed in both],
+                        [sign * own[seed] for seed in both],
+                        experiment.confidence,
+                        least,
+                    )
                     if sign < 0:  # told as it was measured; the word stays
                         its = change.change
                         change = Compared(change.pairs, Median(0 - its.value, 0 - its.high, 0 - its.low), change.word)
@@ -68,10 +76,17 @@
     return found
 
 
-def _by_seed(by: Mapping[tuple[str, str], Mapping[int, Outcome]], days: list[str], variant: str,
-             shown: Callable[[Outcome], float]) -> dict[int, float]:
+def _by_seed(
+    by: Mapping[tuple[str, str], Mapping[int, Outcome]],
+    days: list[str],
+    variant: str,
+    shown: Callable[[Outcome], float],
+) -> dict[int, float]:
     """Seed -> the mean over the days, of seeds that ended on each."""
     runs = [by.get((day, variant), {}) for day in days]
     seeds = set.intersection(*(set(one) for one in runs)) if runs else set()
-    return {seed: fmean(shown(one[seed]) for one in runs) for seed in sorted(seeds)
-            if not any(one[seed].failed for one in runs)}
+    return {
+        seed: fmean(shown(one[seed]) for one in runs)
+        for seed in sorted(seeds)
+        if not any(one[seed].failed for one in runs)
+    }
--- a/oakvale/lab/trials/hunt.py
+++ b/oakvale/lab/trials/hunt.py
@@ -16,8 +16,9 @@
 NO_END = "NO END"
 
 
-def hunted(first: int, many: int, jobs: int, player: Player, spec: Spec, like: Day | None = None,
-           kinds: tuple[str, ...] = ()) -> Iterator[tuple[Day, Outcome]]:
+def hunted(
+    first: int, many: int, jobs: int, player: Player, spec: Spec, like: Day | None = None, kinds: tuple[str, ...] = ()
+) -> Iterator[tuple[Day, Outcome]]:
     """Days of the seeds from `first` on with what came of each, as they end. Batches, so that an early find ends it."""
     batch = max(1, jobs) * 4
     for begin in range(first, first + many, batch):
@@ -70,7 +71,9 @@
     said = " ".join(sorted(rules)).replace(" ", "-").lower()
     path = folder / f"{said}-{day.seed}{suffix}.toml"
     folder.mkdir(parents=True, exist_ok=True)
-    head = [f"# broke {', '.join(sorted(rules))}" + (f" with variant {variant.name}" if variant.name != "base" else ""),
-            f"# {' '.join(first.split())}"[:400]]
+    head = [
+        f"# broke {', '.join(sorted(rules))}" + (f" with variant {variant.name}" if variant.name != "base" else ""),
+        f"# {' '.join(first.split())}"[:400],
+    ]
     path.write_text("\n".join(head) + "\n" + days.dump(day))
     return path
--- a/oakvale/lab/trials/outcome.py
+++ b/oakvale/lab/trials/outcome.py
@@ -71,11 +71,26 @@
     first = min(verdict.broken, key=lambda one: one.at, default=None)
     worth, times = verdict.worth, sorted(latencies(record))
     return Outcome(
-        variant, day.name, record.seed, "", worth.earned, worth.owed, worth.served, worth.refused, worth.failed, broken,
-        "" if first is None else f"{first.rule} at {(first.at - record.began) / 1e6:.3f} s: {first.why} "
-                                 f"({', '.join(first.ids[:4])})",
-        quantile(times, 0.5) / 1e3, quantile(times, 0.99) / 1e3, len(record.arrived), record.fingerprint(), cpu_s,
-        series(day, record, verdict))
+        variant,
+        day.name,
+        record.seed,
+        "",
+        worth.earned,
+        worth.owed,
+        worth.served,
+        worth.refused,
+        worth.failed,
+        broken,
+        ""
+        if first is None
+        else f"{first.rule} at {(first.at - record.began) / 1e6:.3f} s: {first.why} ({', '.join(first.ids[:4])})",
+        quantile(times, 0.5) / 1e3,
+        quantile(times, 0.99) / 1e3,
+        len(record.arrived),
+        record.fingerprint(),
+        cpu_s,
+        series(day, record, verdict),
+    )
 
 
 def latencies(record: Record) -> list[int]:
@@ -107,12 +122,24 @@
     for came in record.arrived:
         if 0 <= (second := (came.at - record.began) // 1_000_000) < long:
             arrivals[came.service].setdefault(came.backend, [0] * long)[second] += 1
-    troubles = [(seconds(one.at), seconds(min(one.until, record.ended)), one.why or str(one.kind))
-                for one in record.happened if one.at >= record.began]
-    takeovers = [(seconds(one.at), one.machine, said(one.event, one.fields)) for one in record.noted
-                 if one.event in TAKEOVERS and one.at >= record.began]
-    return Series(worth, {name: dict(sorted(rows.items())) for name, rows in sorted(arrivals.items())},
-                  news(record), quota(day, record), takeovers, sorted(set(troubles)))
+    troubles = [
+        (seconds(one.at), seconds(min(one.until, record.ended)), one.why or str(one.kind))
+        for one in record.happened
+        if one.at >= record.began
+    ]
+    takeovers = [
+        (seconds(one.at), one.machine, said(one.event, one.fields))
+        for one in record.noted
+        if one.event in TAKEOVERS and one.at >= record.began
+    ]
+    return Series(
+        worth,
+        {name: dict(sorted(rows.items())) for name, rows in sorted(arrivals.items())},
+        news(record),
+        quota(day, record),
+        takeovers,
+        sorted(set(troubles)),
+    )
 
 
 def said(event: str, fields: dict[str, Any]) -> str:
@@ -129,8 +156,9 @@
         gen = one.fields.get("gen")
         if one.event == TAKEN and isinstance(gen, int) and gen in sent and one.at >= sent[gen]:
             found[gen].setdefault(one.machine, one.at)
-    return {str(gen): sorted(round((at - sent[gen]) / 1e6, 4) for at in by.values())
-            for gen, by in sorted(found.items())}
+    return {
+        str(gen): sorted(round((at - sent[gen]) / 1e6, 4) for at in by.values()) for gen, by in sorted(found.items())
+    }
 
 
 def quota(day: Day, record: Record) -> dict[str, list[tuple[float, float]]]:
--- a/oakvale/lab/trials/page.py
+++ b/oakvale/lab/trials/page.py
@@ -37,18 +37,25 @@
             continue
         seed = shown[0].seed
         parts.append(f"<h2>{_text(day)}, seed {seed}</h2>")
-        for draw, title in ((_worth, "Worth over time"), (_arrivals, "Arrivals at each backend, a second"),
-                            (_news, "Spread of news: machines that had a version, by the time since it was sent"),
-                            (_quota, "Use of quotas, as a part of what the rule lets run"),
-                            (_takeovers, "Takeovers and troubles")):
+        for draw, title in (
+            (_worth, "Worth over time"),
+            (_arrivals, "Arrivals at each backend, a second"),
+            (_news, "Spread of news: machines that had a version, by the time since it was sent"),
+            (_quota, "Use of quotas, as a part of what the rule lets run"),
+            (_takeovers, "Takeovers and troubles"),
+        ):
             if (figure := draw(shown)) is not None:
                 parts.append(_image(figure, title))
     if told := [one for one in outcomes if one.failed or one.first]:
-        rows = "".join(f"<li>{_text(one.day)}, {_text(one.variant)}, seed {one.seed}: "
-                       f"{_text(one.failed or one.first)}</li>" for one in told[:100])
+        rows = "".join(
+            f"<li>{_text(one.day)}, {_text(one.variant)}, seed {one.seed}: {_text(one.failed or one.first)}</li>"
+            for one in told[:100]
+        )
         parts.append(f"<h2>What broke</h2><ul>{rows}</ul>")
-    return (f"<!doctype html><html lang=en><meta charset=utf-8><title>{_text(experiment.name)}</title>"
-            f"<style>{STYLE}</style>{''.join(parts)}</html>\n")
+    return (
+        f"<!doctype html><html lang=en><meta charset=utf-8><title>{_text(experiment.name)}</title>"
+        f"<style>{STYLE}</style>{''.join(parts)}</html>\n"
+    )
 
 
 def _text(value: object) -> str:
@@ -58,10 +65,17 @@
 def _variants(experiment: Experiment) -> str:
     rows = "".join(
         f"<li><b>{_text(spec.name)}</b>: "
-        + ("; ".join([f"<code>{_text(k)}</code> = {_text(repr(v))}" for k, v in spec.set.items()]
-                     + [f"<code>{_text(k)}</code> is <code>{_text(v)}</code>" for k, v in spec.swap.items()])
-           or "the code as it stands") + (f". {_text(spec.why)}" if spec.why else "") + "</li>"
-        for spec in experiment.variants)
+        + (
+            "; ".join(
+                [f"<code>{_text(k)}</code> = {_text(repr(v))}" for k, v in spec.set.items()]
+                + [f"<code>{_text(k)}</code> is <code>{_text(v)}</code>" for k, v in spec.swap.items()]
+            )
+            or "the code as it stands"
+        )
+        + (f". {_text(spec.why)}" if spec.why else "")
+        + "</li>"
+        for spec in experiment.variants
+    )
     return f"<ul>{rows}</ul>"
 
 
@@ -77,8 +91,10 @@
             if change is not None:
                 text += f"<br>{change.change.value:+.{digits}f} {change.word}"
             cells.append(f"<td class={change.word if change else 'base'}>{text}</td>")
-        broken = ", ".join([f"{rule} {many}" for rule, many in sorted(row.broken.items())]
-                           + ([f"no end {row.failed}"] if row.failed else []))
+        broken = ", ".join(
+            [f"{rule} {many}" for rule, many in sorted(row.broken.items())]
+            + ([f"no end {row.failed}"] if row.failed else [])
+        )
         cells.append(f"<td>{_text(broken) or f'none in {row.runs}'}</td>")
         body.append(f"<tr>{''.join(cells)}</tr>")
     return f"<table><tr>{head}</tr>{''.join(body)}</table>"
@@ -133,8 +149,12 @@
     figure, (axis,) = _figure(1)
     for one in shown:
         assert one.series is not None
-        axis.plot([second for second, _, _ in one.series.worth],
-                  [earned / owed if owed else 1.0 for _, earned, owed in one.series.worth], label=one.variant, lw=1.4)
+        axis.plot(
+            [second for second, _, _ in one.series.worth],
+            [earned / owed if owed else 1.0 for _, earned, owed in one.series.worth],
+            label=one.variant,
+            lw=1.4,
+        )
     _troubled(axis, shown[0])
     axis.set_ylim(-0.02, 1.05)
     axis.set_ylabel("earned / owed")
@@ -161,13 +181,17 @@
         for column, (one, table) in enumerate(zip(shown, tables, strict=True)):
             axis = axes[row][column]
             if table:
-                drawn = axis.imshow(list(table.values()), aspect="auto", vmin=0, vmax=most, cmap="viridis",
-                                    interpolation="nearest")
+                drawn = axis.imshow(
+                    list(table.values()), aspect="auto", vmin=0, vmax=most, cmap="viridis", interpolation="nearest"
+                )
                 if column == len(shown) - 1:
                     figure.colorbar(drawn, ax=axis)
             axis.set_title(f"{service}, {one.variant}", fontsize="small")
-            axis.set_yticks(range(len(table)) if len(table) <= 12 else [], list(table) if len(table) <= 12 else [],
-                            fontsize="x-small")
+            axis.set_yticks(
+                range(len(table)) if len(table) <= 12 else [],
+                list(table) if len(table) <= 12 else [],
+                fontsize="x-small",
+            )
     axes[-1][0].set_xlabel("seconds of traffic")
     return figure
 
@@ -178,8 +202,14 @@
     figure, (axis,) = _figure(1)
     for number, one in enumerate(shown):
         for at, delays in enumerate((one.series or Series()).news.values()):
-            axis.step([0.0, *delays], range(len(delays) + 1), where="post", color=f"C{number % 10}",
-                      alpha=0.35 + 0.65 / (1 + at), label=f"{one.variant}" if at == 0 else None)
+            axis.step(
+                [0.0, *delays],
+                range(len(delays) + 1),
+                where="post",
+                color=f"C{number % 10}",
+                alpha=0.35 + 0.65 / (1 + at),
+                label=f"{one.variant}" if at == 0 else None,
+            )
     axis.set_xlabel("seconds since the operator sent it, a line for each version")
     axis.set_ylabel("machines")
     axis.legend(fontsize="small")
@@ -190,8 +220,10 @@
     tenants = sorted({name for one in shown if one.series for name in one.series.quota})
     if not tenants:
         return None
-    most = {name: max((use for one in shown for _, use in (one.series or Series()).quota.get(name, [])), default=0.0)
-            for name in tenants}
+    most = {
+        name: max((use for one in shown for _, use in (one.series or Series()).quota.get(name, [])), default=0.0)
+        for name in tenants
+    }
     tenants = sorted(tenants, key=lambda name: (-most[name], name))[:6]  # those that come nearest to it
     figure, axes = _figure(len(tenants), height=1.7)
     for axis, name in zip(axes, tenants, strict=True):
--- a/oakvale/lab/trials/player.py
+++ b/oakvale/lab/trials/player.py
@@ -28,5 +28,10 @@
         return outcome.of(spec.name, day, record, verdict.judge(record), round(time.process_time() - began, 2))
     except Exception as error:
         where = traceback.extract_tb(error.__traceback__)[-1]
-        return Outcome(spec.name, day.name, seed, f"{type(error).__name__}: {error} "
-                       f"({where.name}, line {where.lineno} of {where.filename.rpartition('/')[2]})")
+        return Outcome(
+            spec.name,
+            day.name,
+            seed,
+            f"{type(error).__name__}: {error} "
+            f"({where.name}, line {where.lineno} of {where.filename.rpartition('/')[2]})",
+        )
--- a/oakvale/lab/trials/report.py
+++ b/oakvale/lab/trials/report.py
@@ -15,10 +15,13 @@
         lines += [f"**Interrupted: {len(outcomes)} of {wanted} runs; what follows is of these alone.**", ""]
     if experiment.why:
         lines += [experiment.why, ""]
-    lines += [f"{len(experiment.variants)} variants, {len(experiment.days)} days, {experiment.seeds} seeds from "
-              f"{experiment.first_seed}; differences from `{base}`, paired by seed, with their median and its "
-              f"{experiment.confidence:.0%} interval (bootstrap). A day that breaks a rule scores 0. "
-              f"Under {FEWEST} pairs all is noise.", ""]
+    lines += [
+        f"{len(experiment.variants)} variants, {len(experiment.days)} days, {experiment.seeds} seeds from "
+        f"{experiment.first_seed}; differences from `{base}`, paired by seed, with their median and its "
+        f"{experiment.confidence:.0%} interval (bootstrap). A day that breaks a rule scores 0. "
+        f"Under {FEWEST} pairs all is noise.",
+        "",
+    ]
     for spec in experiment.variants:
         made = [f"`{name}` = {value!r}" for name, value in spec.set.items()]
         made += [f"`{name}` is `{other}`" for name, other in spec.swap.items()]
@@ -26,10 +29,19 @@
     lines += ["", "| day | variant | score | change | verdict | rules broken (runs) |", "|---|---|---|---|---|---|"]
     for row in found:
         change = row.changes.get("score")
-        lines.append(f"| {row.day} | {row.variant} | {_median(row.medians.get('score'), 3)} | {_change(change, 3)} | "
-                     f"{change.word if change else '-'} | {_broken(row)} |")
-    lines += ["", "## All measures", "", "Less is better in times and arrivals (what reached backends, further tries "
-              "with it).", "", f"| day | variant | {' | '.join(MEASURES)} |", f"|---|---|{'---|' * len(MEASURES)}"]
+        lines.append(
+            f"| {row.day} | {row.variant} | {_median(row.medians.get('score'), 3)} | {_change(change, 3)} | "
+            f"{change.word if change else '-'} | {_broken(row)} |"
+        )
+    lines += [
+        "",
+        "## All measures",
+        "",
+        "Less is better in times and arrivals (what reached backends, further tries with it).",
+        "",
+        f"| day | variant | {' | '.join(MEASURES)} |",
+        f"|---|---|{'---|' * len(MEASURES)}",
+    ]
     for row in found:
         cells = []
         for name in MEASURES:
--- a/oakvale/lab/trials/runs.py
+++ b/oakvale/lab/trials/runs.py
@@ -28,8 +28,9 @@
             yield player(day, seed, spec)
         return
     before = set(multiprocessing.active_children())
-    pool = ProcessPoolExecutor(min(many, len(jobs) or 1), multiprocessing.get_context("spawn"), _deaf,
-                               max_tasks_per_child=1)
+    pool = ProcessPoolExecutor(
+        min(many, len(jobs) or 1), multiprocessing.get_context("spawn"), _deaf, max_tasks_per_child=1
+    )
     try:
         waiting = {pool.submit(player, *job): job for job in jobs}
         for future in as_completed(waiting):
--- a/oakvale/lab/trials/shrink.py
+++ b/oakvale/lab/trials/shrink.py
@@ -43,8 +43,9 @@
     return left
 
 
-def smallest(day: Day, breaks: Callable[[Day], bool], most: int = 1_000,
-             told: Callable[[Day], None] = lambda day: None) -> Day:
+def smallest(
+    day: Day, breaks: Callable[[Day], bool], most: int = 1_000, told: Callable[[Day], None] = lambda day: None
+) -> Day:
     """The day reduced as far as it still breaks, `day` itself being known to; asks the predicate at most `most` times
     and then ends with what it has. `told` hears of each smaller day."""
     asked: dict[str, bool] = {}
@@ -69,8 +70,11 @@
         struck = [(part, trouble) for part in ("troubles", "plan") for trouble in getattr(day, part)]
 
         def with_only(some: tuple[tuple[str, Any], ...]) -> bool:
-            candidate = day.model_copy(update={
-                part: tuple(trouble for where, trouble in some if where == part) for part in ("troubles", "plan")})
+            candidate = day.model_copy(
+                update={
+                    part: tuple(trouble for where, trouble in some if where == part) for part in ("troubles", "plan")
+                }
+            )
             if not holds(candidate):
                 return False
             if len(some) < len(best[0].troubles) + len(best[0].plan):
@@ -103,12 +107,13 @@
 def _without_rows(data: dict[str, Any]) -> Iterator[dict[str, Any]]:
     for part in ("services", "zones", "routes", "tenants", "troubles", "plan"):
         for at, row in enumerate(data[part]):
-            less = data | {part: data[part][:at] + data[part][at + 1:]}
+            less = data | {part: data[part][:at] + data[part][at + 1 :]}
             if part == "services":
                 less = _without_service(less, row["name"])
             elif part == "zones":
-                less |= {which: tuple(one for one in data[which] if one["zone"] != row)
-                         for which in ("troubles", "plan")}
+                less |= {
+                    which: tuple(one for one in data[which] if one["zone"] != row) for which in ("troubles", "plan")
+                }
             elif part == "tenants" and not less["tenants"]:
                 less["routes"] = tuple(route | {"public": True} for route in data["routes"])
             yield less
@@ -120,8 +125,11 @@
         split = {service: weight for service, weight in route["split"].items() if service != name}
         if route["service"] != name and (split or not route["split"]):
             routes.append(route | {"split": split})
-    return data | {"routes": tuple(routes)} | {
-        part: tuple(one for one in data[part] if one["on"] != name) for part in ("troubles", "plan")}
+    return (
+        data
+        | {"routes": tuple(routes)}
+        | {part: tuple(one for one in data[part] if one["on"] != name) for part in ("troubles", "plan")}
+    )
 
 
 def _shorter(data: dict[str, Any]) -> Iterator[dict[str, Any]]:
@@ -140,14 +148,25 @@
 def _fewer(data: dict[str, Any]) -> Iterator[dict[str, Any]]:
     if len(data["zones"]) > 1:  # as many edges, all in one zone
         only = data["zones"][0]
-        yield data | {"zones": (only,), "edges_per_zone": len(data["zones"]) * data["edges_per_zone"]} | {
-            part: tuple(one | {"zone": only if one["zone"] else ""} for one in data[part])
-            for part in ("troubles", "plan")}
+        yield (
+            data
+            | {"zones": (only,), "edges_per_zone": len(data["zones"]) * data["edges_per_zone"]}
+            | {
+                part: tuple(one | {"zone": only if one["zone"] else ""} for one in data[part])
+                for part in ("troubles", "plan")
+            }
+        )
     for name in ("edges_per_zone", "cores"):
         for to in _towards(data[name], 1):
             yield data | {name: to, "tolerance": min(data["tolerance"], (to - 1) // 2 if name == "cores" else 99)}
-    for part, name, least in (("services", "backends", 1), ("services", "slots", 1), ("tenants", "keys", 1),
-                              ("routes", "tries", 1), ("troubles", "count", 1), ("plan", "count", 1)):
+    for part, name, least in (
+        ("services", "backends", 1),
+        ("services", "slots", 1),
+        ("tenants", "keys", 1),
+        ("routes", "tries", 1),
+        ("troubles", "count", 1),
+        ("plan", "count", 1),
+    ):
         for at, one in enumerate(data[part]):
             for to in _towards(one[name], least) if one[name] is not None else ():
                 yield _with(data, part, at, **{name: to})
--- a/oakvale/lab/trials/spec.py
+++ b/oakvale/lab/trials/spec.py
@@ -49,8 +49,13 @@
 
     def jobs(self, played: list[Day]) -> list[tuple[Day, int, Spec]]:
         """All runs, seed by seed, so that what an interrupt leaves has pairs."""
-        return [(day, seed, one) for seed in self.seeds_drawn() for name, day in zip(self.days, played, strict=True)
-                for one in self.variants if not one.days or name in one.days]
+        return [
+            (day, seed, one)
+            for seed in self.seeds_drawn()
+            for name, day in zip(self.days, played, strict=True)
+            for one in self.variants
+            if not one.days or name in one.days
+        ]
 
 
 def load(path: str | Path) -> tuple[Experiment, list[Day]]:
--- a/oakvale/lab/trials/statistics.py
+++ b/oakvale/lab/trials/statistics.py
@@ -33,13 +33,20 @@
     found = float(np.median(values))
     if len(values) < 2 or min(values) == max(values):
         return Median(found, found, found)
-    drawn = stats.bootstrap((np.asarray(values, float),), np.median, confidence_level=confidence, n_resamples=DRAWS,
-                            method="percentile", rng=np.random.default_rng(seed))
+    drawn = stats.bootstrap(
+        (np.asarray(values, float),),
+        np.median,
+        confidence_level=confidence,
+        n_resamples=DRAWS,
+        method="percentile",
+        rng=np.random.default_rng(seed),
+    )
     return Median(found, float(drawn.confidence_interval.low), float(drawn.confidence_interval.high))
 
 
-def compared(base: Sequence[float], other: Sequence[float], confidence: float = 0.95, least: float = 0.0,
-             seed: int = 0) -> Compared:
+def compared(
+    base: Sequence[float], other: Sequence[float], confidence: float = 0.95, least: float = 0.0, seed: int = 0
+) -> Compared:
     """`other` against `base`, of the same seeds in the same order, where more is better. It is better or worse if the
     whole interval of the change is on one side of nothing, the change is `least` at least, and the pairs suffice."""
     change = median([b - a for a, b in zip(base, other, strict=True)], confidence, seed)
--- a/oakvale/lab/trials/variants.py
+++ b/oakvale/lab/trials/variants.py
@@ -16,7 +16,6 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-
 ROLES = ("oakvale.headworks.process", "oakvale.sluice.process", "oakvale.intake.model")
 
 
@@ -95,9 +94,13 @@
 
     def __init__(self, whole: dict[str, Any]) -> None:
         self.whole = dict(whole)
-        self._trees = {name: tree for name, module in sorted(sys.modules.items())
-                       if name.startswith("oakvale.") and not name.startswith("oakvale.lab")
-                       and (tree := _tree(module)) is not None}
+        self._trees = {
+            name: tree
+            for name, module in sorted(sys.modules.items())
+            if name.startswith("oakvale.")
+            and not name.startswith("oakvale.lab")
+            and (tree := _tree(module)) is not None
+        }
         before = -1
         while before < len(self.whole):
             before = len(self.whole)
--- a/oakvale/lab/undone.py
+++ b/oakvale/lab/undone.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from oakvale.base.address import parse_address
-from oakvale.headworks.resources import UNSURE, Checked, Config, Give, Reply
 from oakvale.headworks.ledger import Ledger
+from oakvale.headworks.resources import UNSURE, Checked, Config, Give, Reply
 from oakvale.headworks.succession import LASTS, Campaign, Say, Seat, Succession, View, _packed
 from oakvale.penstock.feed import Feed, note
 
@@ -45,9 +45,13 @@
     self._round = ballot[0]
     self._campaign = Campaign(wanted, ballot, now, now)
     packed: list[Any] = [ballot[0], list(ballot[1])]
-    self._keep(replace(self.state, promised=ballot), [
-        *(Say(witness, "prepare", [view.pack(), packed]) for witness in view.witnesses if witness != self.own),
-        Say(self.own, "promise", [view.number, packed, _packed(self.state.accepted)])])
+    self._keep(
+        replace(self.state, promised=ballot),
+        [
+            *(Say(witness, "prepare", [view.pack(), packed]) for witness in view.witnesses if witness != self.own),
+            Say(self.own, "promise", [view.number, packed, _packed(self.state.accepted)]),
+        ],
+    )
 
 
 def next_source(self: Feed, now: int) -> None:
@@ -93,5 +97,5 @@
     one number that came in one another's wake, both were confirmed (drawn day 14003)."""
     found = dict(self.table.items(prefix))
     for pending in self._pending:
-        found |= {key[len(prefix):]: value for key, _, value in pending.entries if key.startswith(prefix)}
+        found |= {key[len(prefix) :]: value for key, _, value in pending.entries if key.startswith(prefix)}
     return {name: value for name, value in found.items() if value is not None}
--- a/oakvale/lane.py
+++ b/oakvale/lane.py
@@ -30,9 +30,16 @@
         self._events: deque[i.Event] = deque()
         self._giving = False
         self._carry: dict[type[i.Action], Callable[[Any], None]] = {
-            i.Attempt: self._attempt, i.Cancel: self._cancel, i.Refuse: self._refuse, i.Fail: self._fail,
-            i.Wake: self._wake, i.Charge: self._charge, i.Watch: self._watch, i.Fetch: self._fetch,
-            i.Log: self._record}
+            i.Attempt: self._attempt,
+            i.Cancel: self._cancel,
+            i.Refuse: self._refuse,
+            i.Fail: self._fail,
+            i.Wake: self._wake,
+            i.Charge: self._charge,
+            i.Watch: self._watch,
+            i.Fetch: self._fetch,
+            i.Log: self._record,
+        }
 
     @property
     def backend_connections(self) -> int:
@@ -104,8 +111,9 @@
             for attempt in [out for out in request.out.values() if not out.written]:
                 self.call_off(attempt)  # it can't run yet: nothing more of it goes out, whatever its effect
 
-    def attempt_ended(self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None,
-                      report: tuple[float, ...] = ()) -> None:
+    def attempt_ended(
+        self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
+    ) -> None:
         request = attempt.request
         if request.out.pop(attempt.hop, None) is None:
             return
@@ -117,8 +125,17 @@
             if passed is not None:
                 self.final(request, passed)
         self.requests.drop_if_done(request)
-        self.give(i.Ended(request.id, attempt.backend, attempt.hop, request.over, ending,
-                          self.loop.now - attempt.sent, report=report))
+        self.give(
+            i.Ended(
+                request.id,
+                attempt.backend,
+                attempt.hop,
+                request.over,
+                ending,
+                self.loop.now - attempt.sent,
+                report=report,
+            )
+        )
 
     # ---- actions
 
--- a/oakvale/lifecycle/acceptor.py
+++ b/oakvale/lifecycle/acceptor.py
@@ -24,8 +24,7 @@
 
 
 class Acceptor:
-    def __init__(self, owner: Owner, listener: Sock, loop: Loop,
-                 ready: Callable[[], bool] = lambda: True) -> None:
+    def __init__(self, owner: Owner, listener: Sock, loop: Loop, ready: Callable[[], bool] = lambda: True) -> None:
         """Connections wait in the backlog until `ready`, but not longer than `limits.unready`."""
         self.owner, self.loop, self.listener, self._ready = owner, loop, listener, ready
         self._full = False
--- a/oakvale/lifecycle/daybook.py
+++ b/oakvale/lifecycle/daybook.py
@@ -76,8 +76,12 @@
 
     def __call__(self, message: dict[str, Any]) -> None:
         at = float(message.get("timestamp", 0.0))
-        first = {"at": stamp(at, int(at % 1 * 1000)), "level": message.get("level", "error"),
-                 "part": message.get("part", "eliot"), "event": message.get("message_type", "")}
+        first = {
+            "at": stamp(at, int(at % 1 * 1000)),
+            "level": message.get("level", "error"),
+            "part": message.get("part", "eliot"),
+            "event": message.get("message_type", ""),
+        }
         self._pipe.write(pairs(first | {k: v for k, v in message.items() if k not in OWN}))
 
 
--- a/oakvale/lifecycle/logs.py
+++ b/oakvale/lifecycle/logs.py
@@ -16,8 +16,12 @@
 
 class KeyValueFormatter(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
-        fields = {"at": stamp(record.created, int(record.msecs)), "level": record.levelname.lower(),
-                  "part": record.name.removeprefix("oakvale."), "event": record.getMessage()}
+        fields = {
+            "at": stamp(record.created, int(record.msecs)),
+            "level": record.levelname.lower(),
+            "part": record.name.removeprefix("oakvale."),
+            "event": record.getMessage(),
+        }
         fields |= extra(record)
         if record.exc_info:
             fields["traceback"] = self.formatException(record.exc_info)
--- a/oakvale/lifecycle/serving.py
+++ b/oakvale/lifecycle/serving.py
@@ -52,11 +52,19 @@
         except BadConfiguration as error:
             log.error("reload refused", extra={"why": str(error)})
             return
-        parts = [part for part in ("name", "listen", "settings", "names", "limits")
-                 if getattr(fresh, part) != getattr(was, part)]
-        log.info("reloaded", extra={
-            "discovery": spelled(fresh.discovery), "counter": fresh.counter and spelled(fresh.counter),
-            "needs_restart": ",".join(parts) or "nothing"})
+        parts = [
+            part
+            for part in ("name", "listen", "settings", "names", "limits")
+            if getattr(fresh, part) != getattr(was, part)
+        ]
+        log.info(
+            "reloaded",
+            extra={
+                "discovery": spelled(fresh.discovery),
+                "counter": fresh.counter and spelled(fresh.counter),
+                "needs_restart": ",".join(parts) or "nothing",
+            },
+        )
         self.host.discovery.move(fresh.discovery)
         if self.host.counter is not None and fresh.counter is not None:
             self.host.counter.move(fresh.counter)
@@ -78,8 +86,9 @@
     Status(server.host.shared).begin()
     gc.collect()
     gc.freeze()  # what lives as long as the process is never looked at again
-    log.info("serving", extra={"gateway": configuration.name, "pid": os.getpid(),
-                               "listen": spelled(configuration.listen)})
+    log.info(
+        "serving", extra={"gateway": configuration.name, "pid": os.getpid(), "listen": spelled(configuration.listen)}
+    )
     try:
         loop.run()
     finally:
--- a/oakvale/lifecycle/status.py
+++ b/oakvale/lifecycle/status.py
@@ -25,11 +25,19 @@
         counts, told = host.tally.fields(), self._told
         since = {name: count - told.get(name, 0) for name, count in counts.items()}
         cpu, memory = host.loop.net.used()
-        log.info("status", extra={name: count for name, count in since.items() if count or name == "requests"} | {
-            "in_hand": len(host.requests), "clients": len(host.clients.all),
-            "backend_connections": host.backend_connections, "idle_connections": host.idle.count,
-            "buffers_taken": host.buffers.taken,
-            "turns": host.loop.turns - self._turns, "cpu_ms": round((cpu - self._cpu) * 1000),
-            "memory_mb": memory})
+        log.info(
+            "status",
+            extra={name: count for name, count in since.items() if count or name == "requests"}
+            | {
+                "in_hand": len(host.requests),
+                "clients": len(host.clients.all),
+                "backend_connections": host.backend_connections,
+                "idle_connections": host.idle.count,
+                "buffers_taken": host.buffers.taken,
+                "turns": host.loop.turns - self._turns,
+                "cpu_ms": round((cpu - self._cpu) * 1000),
+                "memory_mb": memory,
+            },
+        )
         self._cpu, self._turns, self._told = cpu, host.loop.turns, counts
         self.begin()
--- a/oakvale/mains/frames.py
+++ b/oakvale/mains/frames.py
@@ -37,7 +37,7 @@
             break
         at += LENGTH.size
         try:
-            kind, number, body = cbor2.loads(bytes(buffer[at:at + size]))
+            kind, number, body = cbor2.loads(bytes(buffer[at : at + size]))
         except Exception as error:  # whatever a decoder may raise over foreign bytes
             raise BadFrame(repr(error)) from error
         if not isinstance(kind, str) or not isinstance(number, int):
--- a/oakvale/mains/links.py
+++ b/oakvale/mains/links.py
@@ -134,7 +134,7 @@
 
     def send_part(self) -> None:
         data = self._long[0][1]
-        part = data[self._at:self._at + PART]
+        part = data[self._at : self._at + PART]
         self._at += len(part)
         last = self._at == len(data)
         if last:
--- a/oakvale/mains/standing.py
+++ b/oakvale/mains/standing.py
@@ -34,10 +34,19 @@
 
     def standing() -> Fields:
         (cpu, memory), (out, come) = loop.net.used(), mains.links()
-        return {"role": role, "node": node, "up_ms": (loop.now - began) // MS} | tell() | {
-            "links_out": out, "links_in": come, "sent_bytes": mains.sent.total(), "turns": loop.turns,
-            "cpu_ms": round(cpu * 1000), "memory_mb": memory,
-        } | {f"sent.{kind}": count for kind, count in sorted(mains.sent.items())}
+        return (
+            {"role": role, "node": node, "up_ms": (loop.now - began) // MS}
+            | tell()
+            | {
+                "links_out": out,
+                "links_in": come,
+                "sent_bytes": mains.sent.total(),
+                "turns": loop.turns,
+                "cpu_ms": round(cpu * 1000),
+                "memory_mb": memory,
+            }
+            | {f"sent.{kind}": count for kind, count in sorted(mains.sent.items())}
+        )
 
     def again(_: Any) -> None:
         loop.at(loop.now + EACH, again)
--- a/oakvale/memory/names.py
+++ b/oakvale/memory/names.py
@@ -73,7 +73,8 @@
             self._number(name, fresh),
             self._names.zones.get(str(row.get("zone")), len(self._names.zones)),
             self._names.kinds.get(str(row.get("type")), len(self._names.kinds)),
-            whole(str(row.get("group") or 0)), state,
+            whole(str(row.get("group") or 0)),
+            state,
             decimal(str(row["weight"] if row.get("weight") is not None else 1.0)),
             int(decimal(str(row.get("since_ms") or 0)) * 1000),
         )
--- a/oakvale/memory/tally.py
+++ b/oakvale/memory/tally.py
@@ -21,8 +21,13 @@
 
     def fields(self) -> dict[str, Any]:
         fields: dict[str, Any] = {"requests": self.requests}
-        for word, counts in (("answer", self.answers), ("attempt", self.attempts), ("call", self.calls),
-                             ("refused", self.refusals), ("abandoned", self.abandoned),
-                             ("abandoned_attempt", self.abandoned_attempts)):
+        for word, counts in (
+            ("answer", self.answers),
+            ("attempt", self.attempts),
+            ("call", self.calls),
+            ("refused", self.refusals),
+            ("abandoned", self.abandoned),
+            ("abandoned_attempt", self.abandoned_attempts),
+        ):
             fields |= {f"{word}_{key}": counts[key] for key in sorted(counts)}
         return fields
--- a/oakvale/penstock/feed.py
+++ b/oakvale/penstock/feed.py
@@ -123,8 +123,15 @@
 class Feed:
     """A gateway's side: the source that it takes news from now, and the relay to those below."""
 
-    def __init__(self, loop: Loop, mains: Mains, table: Table, own: Callable[[], dict[str, Any]],
-                 sources: Callable[[dict[str, int]], list[str]], changed: Callable[[list[str]], None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        mains: Mains,
+        table: Table,
+        own: Callable[[], dict[str, Any]],
+        sources: Callable[[dict[str, int]], list[str]],
+        changed: Callable[[list[str]], None],
+    ) -> None:
         self.loop, self.mains, self.table = loop, mains, table
         self._own, self._sources, self._changed = own, sources, changed
         self.outlet = Outlet(table)
--- a/oakvale/penstock/table.py
+++ b/oakvale/penstock/table.py
@@ -48,8 +48,11 @@
 
     def items(self, prefix: str) -> list[tuple[str, Any]]:
         """Key behind the prefix and value of what is there."""
-        return [(key[len(prefix):], value) for key, (_, value) in self._entries.items()
-                if value is not None and key.startswith(prefix)]
+        return [
+            (key[len(prefix) :], value)
+            for key, (_, value) in self._entries.items()
+            if value is not None and key.startswith(prefix)
+        ]
 
     def put(self, entries: Iterable[Entry]) -> list[str]:
         """Takes entries that are newer than what is held; gives their keys, and those that it forgets."""
@@ -76,8 +79,9 @@
         """Everything that the sender holds: what is missing there and not newer than it is gone."""
         sent = {key for key, _, _ in entries}
         newest = max((version for _, version, _ in entries), default=NOTHING)
-        gone = [key for key, (version, value) in self._entries.items()
-                if key not in sent and version <= max(newest, floor)]
+        gone = [
+            key for key, (version, value) in self._entries.items() if key not in sent and version <= max(newest, floor)
+        ]
         for key in gone:
             del self._entries[key]
         changed = self.put(entries)
@@ -86,8 +90,10 @@
 
     def since(self, version: Version) -> list[Entry]:
         """Entries newer than a version, oldest first."""
-        return sorted(((key, own, value) for key, (own, value) in self._entries.items() if own > version),
-                      key=lambda entry: entry[1])
+        return sorted(
+            ((key, own, value) for key, (own, value) in self._entries.items() if own > version),
+            key=lambda entry: entry[1],
+        )
 
     def next_floor(self) -> Version:
         """Up to where what was taken away may be forgotten: the newest stay, as long as there are not twice as many."""
--- a/oakvale/penstock/tree.py
+++ b/oakvale/penstock/tree.py
@@ -93,8 +93,9 @@
     return known.turned(bisect_left(known.order, (place(duty), "")), min(count, len(known)))
 
 
-def sources(members: Mapping[str, Member], node: str, zone: str, core: list[str],
-            failed: Mapping[str, int]) -> list[str]:
+def sources(
+    members: Mapping[str, Member], node: str, zone: str, core: list[str], failed: Mapping[str, int]
+) -> list[str]:
     """Addresses to take news from, the best first. `core` begins with the primary."""
     known = members if isinstance(members, Members) else Members(members.values())
     order = [member for member in ring(known) if member.zone == zone]
--- a/oakvale/settings.py
+++ b/oakvale/settings.py
@@ -10,8 +10,14 @@
 
 from oakvale import interface as i
 
-REPORT_NAMES = {"concurrent": "inflight", "load_share": "util", "tps": "qps", "depth": "queue",
-                "mean_ms": "latency_ms", "err_ps": "errors"}
+REPORT_NAMES = {
+    "concurrent": "inflight",
+    "load_share": "util",
+    "tps": "qps",
+    "depth": "queue",
+    "mean_ms": "latency_ms",
+    "err_ps": "errors",
+}
 
 
 def part(data: dict[str, Any], name: str) -> dict[str, Any]:
@@ -89,5 +95,9 @@
     def places(rows: list[Any]) -> dict[str, int]:
         return {str(r["name"] if isinstance(r, dict) else r): k for k, r in enumerate(rows)}
 
-    return Names(places(data.get("classes") or []), places(data.get("tiersOfService") or []),
-                 places(data.get("zones") or []), places(data.get("kinds") or []))
+    return Names(
+        places(data.get("classes") or []),
+        places(data.get("tiersOfService") or []),
+        places(data.get("zones") or []),
+        places(data.get("kinds") or []),
+    )
--- a/oakvale/sluice/dialect.py
+++ b/oakvale/sluice/dialect.py
@@ -21,8 +21,11 @@
     def headers(self, attempt: AttemptOut, left: int) -> Headers:
         request = attempt.request
         order = request.event
-        own = [(b"attempt-id", request.id.encode("latin-1")), (b"time-left", b"%d" % (left // 1000)),
-               (b"backend", order.lane.backend_id(attempt.backend).encode("latin-1"))]
+        own = [
+            (b"attempt-id", request.id.encode("latin-1")),
+            (b"time-left", b"%d" % (left // 1000)),
+            (b"backend", order.lane.backend_id(attempt.backend).encode("latin-1")),
+        ]
         if order.tenant is not None:
             own.append((b"tenant", order.tenant.encode("latin-1")))
         return [*end_to_end(request.headers, OURS), *own]
--- a/oakvale/sluice/gate.py
+++ b/oakvale/sluice/gate.py
@@ -24,9 +24,9 @@
 from oakvale.penstock.tree import Member, Members, sources, watched, watchers
 from oakvale.shared import Shared
 from oakvale.sluice.plant import Plant
-from oakvale.spillway.chains import unpack
 from oakvale.sluice.routes import backends, configured, members
 from oakvale.sluice.tow import Tow
+from oakvale.spillway.chains import unpack
 from oakvale.wire.clients import Incoming, plain
 
 CORE = 24  # core machines' addresses that are remembered
@@ -82,16 +82,44 @@
         self._jurors: list[str] = []
         given = settings.bounds
         terms = Terms(given.quota_win, given.quota_excess, given.quota_slack)
-        self.gauge = Gauge(self.loop, self.mains, terms, settings.node, self.life, self.own,
-                           self._members, lambda: self._jurors, self._quota)
-        self.plant = Plant(self.shared, self.gauge, self.mains, settings.node, sorted(settings.zones), settings.zone,
-                           Retries(given.retry_win, given.retry_ratio, given.retry_slack))
-        self.feed = Feed(self.loop, self.mains, self.table, lambda: {"node": settings.node, "life": self.life},
-                         self._sources, self._changed)
+        self.gauge = Gauge(
+            self.loop,
+            self.mains,
+            terms,
+            settings.node,
+            self.life,
+            self.own,
+            self._members,
+            lambda: self._jurors,
+            self._quota,
+        )
+        self.plant = Plant(
+            self.shared,
+            self.gauge,
+            self.mains,
+            settings.node,
+            sorted(settings.zones),
+            settings.zone,
+            Retries(given.retry_win, given.retry_ratio, given.retry_slack),
+        )
+        self.feed = Feed(
+            self.loop,
+            self.mains,
+            self.table,
+            lambda: {"node": settings.node, "life": self.life},
+            self._sources,
+            self._changed,
+        )
         if given.strict_revoke:  # half of it: a pulse may have been on its way through the relays for the rest
             self.plant.sure = lambda: self.feed.fresh(given.revoke // 2)
-        self.tow = Tow(self.loop, self.mains, self.plant, settings.node, self.life,
-                       lambda: parse_address(self._core[0]) if self._core else None)
+        self.tow = Tow(
+            self.loop,
+            self.mains,
+            self.plant,
+            settings.node,
+            self.life,
+            lambda: parse_address(self._core[0]) if self._core else None,
+        )
         self._born = True  # no news have come yet
         self._watchers: list[Member] = []  # this gateway's, and those that it watches itself
         self._watched: list[Member] = []
@@ -195,8 +223,9 @@
         primary = parse_address(self._core[0]) if self._core else None
         for member in seen:
             if now - heard[f"{member.node} {member.life}"] > MISSED and primary is not None:
-                self.mains.tell(primary, "missing", {"node": member.node, "life": member.life,
-                                                     "watcher": self.settings.node})
+                self.mains.tell(
+                    primary, "missing", {"node": member.node, "life": member.life, "watcher": self.settings.node}
+                )
 
     def _alive(self, conn: Conn, body: Any, _: Answer) -> None:
         self._heard[f"{body[0]} {body[1]}"] = self.loop.now
--- a/oakvale/sluice/plant.py
+++ b/oakvale/sluice/plant.py
@@ -34,8 +34,15 @@
 
 
 OUTCOMES = {
-    i.Ending.SERVED: "served", i.Ending.ERROR: "error", i.Ending.FULL: "full", i.Ending.RESET: "lost",
-    i.Ending.TIMEOUT: "lost", i.Ending.NO_CONNECTION: "lost", i.Ending.CANCELLED: "none", i.Ending.MOOT: "none"}
+    i.Ending.SERVED: "served",
+    i.Ending.ERROR: "error",
+    i.Ending.FULL: "full",
+    i.Ending.RESET: "lost",
+    i.Ending.TIMEOUT: "lost",
+    i.Ending.NO_CONNECTION: "lost",
+    i.Ending.CANCELLED: "none",
+    i.Ending.MOOT: "none",
+}
 
 
 def later(status: int, wait: int, why: bytes) -> Answer:
@@ -61,15 +68,33 @@
 class ServiceLane(Lane):
     """One service: its backends, and the decisions on them."""
 
-    def __init__(self, shared: Shared, boards: Boards, service: str, zones: dict[str, int], zone: str,
-                 seed: int, budget: SharedBudget, without: frozenset[str] = frozenset()) -> None:
+    def __init__(
+        self,
+        shared: Shared,
+        boards: Boards,
+        service: str,
+        zones: dict[str, int],
+        zone: str,
+        seed: int,
+        budget: SharedBudget,
+        without: frozenset[str] = frozenset(),
+    ) -> None:
         """`without`: backends that the tenants of this lane were moved off."""
         self.boards, self.without = boards, without
         self._classes: dict[str, tuple[int, i.RequestClass]] = {}
         self._zones, self.service = zones, service
-        settings = i.Settings(classes=(), plans=(i.Plan(),), zone=zones.get(zone, 0), retry_after=True,
-                              max_attempts=MOST_TRIES, max_retry_after=SECOND, may_cancel=True,
-                              cross_zone_price=1.0, cold_from=1.0, late_earns=True)
+        settings = i.Settings(
+            classes=(),
+            plans=(i.Plan(),),
+            zone=zones.get(zone, 0),
+            retry_after=True,
+            max_attempts=MOST_TRIES,
+            max_retry_after=SECOND,
+            may_cancel=True,
+            cross_zone_price=1.0,
+            cold_from=1.0,
+            late_earns=True,
+        )
         super().__init__(shared, settings, seed, budget)
         self.budget = budget
         self.dialect = SystemDialect()
@@ -84,8 +109,12 @@
 
     def class_of(self, route: Route) -> int:
         """The number of a route among this lane's classes; a changed route keeps its number."""
-        made = i.RequestClass(aim=route.aim, deadline=route.deadline, tries=route.tries,
-                              effect=i.Effect.SAFE if route.safe else i.Effect.UNSAFE)
+        made = i.RequestClass(
+            aim=route.aim,
+            deadline=route.deadline,
+            tries=route.tries,
+            effect=i.Effect.SAFE if route.safe else i.Effect.UNSAFE,
+        )
         known = self._classes.get(route.name)
         if known is None or known[1] != made:
             number = known[0] if known else len(self._classes)
@@ -141,9 +170,14 @@
             if address is None:
                 continue
             self._addresses[number] = address
-            entries.append(i.Entry(number, self._zones.get(backend.zone, len(self._zones)),
-                                   state=i.State.READY if backend.id in up else i.State.DRAINING,
-                                   slots=backend.slots))
+            entries.append(
+                i.Entry(
+                    number,
+                    self._zones.get(backend.zone, len(self._zones)),
+                    state=i.State.READY if backend.id in up else i.State.DRAINING,
+                    slots=backend.slots,
+                )
+            )
         self._ready = {self._numbers[name] for name in up}
         offers = [Offer(b.id, b.zone, b.slots, b.warm) for b in self._known.values() if b.ready]
         if offers != self._offers:
@@ -155,8 +189,9 @@
         """0 for one that is not known here."""
         return self._numbers.get(backend, 0)
 
-    def attempt_ended(self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None,
-                      report: tuple[float, ...] = ()) -> None:
+    def attempt_ended(
+        self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
+    ) -> None:
         """All gateways learn of it, by the keeper of the service's board."""
         order: Order = attempt.request.event
         name, latency, outcome = self.backend_id(attempt.backend), self.loop.now - attempt.sent, OUTCOMES[ending]
@@ -207,12 +242,12 @@
 class Plant(Owner):
     """The owner of clients' connections."""
 
-    def __init__(self, shared: Shared, gauge: Gauge, mains: Mains, node: str, zones: list[str], zone: str,
-                 retries: Retries) -> None:
+    def __init__(
+        self, shared: Shared, gauge: Gauge, mains: Mains, node: str, zones: list[str], zone: str, retries: Retries
+    ) -> None:
         super().__init__(shared)
         self.gauge = gauge
-        self.boards = Boards(shared.loop, mains, gauge, node, zone,
-                             lambda service: self._lane(service).offers())
+        self.boards = Boards(shared.loop, mains, gauge, node, zone, lambda service: self._lane(service).offers())
         self.boards.on_closed = lambda service, zones: self._lane(service).close(zones, self._numbers)
         self.picture = Picture()
         self._zones, self._zone = {name: n for n, name in enumerate(zones)}, zone
@@ -272,22 +307,33 @@
         lane = self._lanes.get(service)
         if lane is None:
             budget = SharedBudget(self._retries, lambda: len(self.picture.members), self._rng.random, self.loop.now)
-            lane = self._lanes[service] = ServiceLane(self.shared, self.boards, service, self._zones, self._zone,
-                                                      self._rng.getrandbits(32), budget)
+            lane = self._lanes[service] = ServiceLane(
+                self.shared, self.boards, service, self._zones, self._zone, self._rng.getrandbits(32), budget
+            )
         return lane
 
     def _lane_of(self, service: str, tenant: str | None) -> ServiceLane:
         """The lane of a tenant that was moved off some backends, if the service has any of them."""
         lane = self._lane(service)
-        without = frozenset(name for name in self.picture.avoid.get(tenant or "", ())
-                            if (found := self.picture.backends.get(name)) is not None and found.service == service)
+        without = frozenset(
+            name
+            for name in self.picture.avoid.get(tenant or "", ())
+            if (found := self.picture.backends.get(name)) is not None and found.service == service
+        )
         if not without:
             return lane
         aside = self._aside.get((service, without))
         if aside is None:
             aside = self._aside[service, without] = ServiceLane(
-                self.shared, self.boards, service, self._zones, self._zone, self._rng.getrandbits(32), lane.budget,
-                without)
+                self.shared,
+                self.boards,
+                service,
+                self._zones,
+                self._zone,
+                self._rng.getrandbits(32),
+                lane.budget,
+                without,
+            )
             aside.learn([b for b in self.picture.backends.values() if b.service == service], self._numbers)
         return aside
 
@@ -331,8 +377,9 @@
         lane = self._lane_of(service, tenant) if picture.avoid else self._lane(service)
         event = i.Request(name, "", lane.class_of(route), 0, 1.0, 1, 0, came + wait)
         order = Order(lane, route, tenant, event, again=self._comes_again(route, wait))
-        return InHand(name, client, incoming.method, incoming.target, incoming.headers, incoming.body,
-                      event.deadline, order)
+        return InHand(
+            name, client, incoming.method, incoming.target, incoming.headers, incoming.body, event.deadline, order
+        )
 
     def _comes_again(self, route: Route, wait: int) -> bool:
         """First tries of a route all wait for the longest that any did, less their way here."""
@@ -366,8 +413,13 @@
             holder = self.picture.tenants.get(order.tenant) if order.tenant is not None else None
             rank = route.prio if holder is None or holder.prio is None else int(holder.prio)
             facts = Facts(route.name, rank, order.tenant or "", route.safe, route.aim)
-        self.boards.ask(order.lane.service, request.deadline - self.loop.now, partial(self._advised, request), facts,
-                        order.lane.without)
+        self.boards.ask(
+            order.lane.service,
+            request.deadline - self.loop.now,
+            partial(self._advised, request),
+            facts,
+            order.lane.without,
+        )
 
     def _advised(self, request: InHand, pick: Pick | Turned | None) -> None:
         order: Order = request.event
--- a/oakvale/sluice/routes.py
+++ b/oakvale/sluice/routes.py
@@ -73,9 +73,12 @@
         """A process's limits with these in force. They bind more tightly than its own, or not at all: those guard its
         memory. Only the times may be longer."""
         return replace(
-            own, header=min(own.header, self.head or own.header),
+            own,
+            header=min(own.header, self.head or own.header),
             body=min(own.body, self.body or own.body),
-            client_head=self.head_time or own.client_head, client_idle=self.idle or own.client_idle)
+            client_head=self.head_time or own.client_head,
+            client_idle=self.idle or own.client_idle,
+        )
 
 
 @dataclass(slots=True, frozen=True)
@@ -99,8 +102,10 @@
 def rows(data: Any) -> list[dict[str, Any]]:
     if not data:
         return []
-    return [{name: value for name, value in zip(data["cols"], row, strict=False) if value is not None}
-            for row in data["rows"]]
+    return [
+        {name: value for name, value in zip(data["cols"], row, strict=False) if value is not None}
+        for row in data["rows"]
+    ]
 
 
 def configured(text: bytes) -> dict[str, Any]:
@@ -113,23 +118,39 @@
         deadline = micros(row["deadline"])
         aim = micros(row["target_time"]) if "target_time" in row else deadline
         host = str(row["vhost"]).lower()
-        by_host.setdefault(host, []).append(Route(
-            str(row["name"]), host, str(row["prefix"]), row["type"] == "safe", deadline, aim,
-            int(row.get("prio") or 0), int(row["tries"]), bool(row.get("public")), parts))
+        by_host.setdefault(host, []).append(
+            Route(
+                str(row["name"]),
+                host,
+                str(row["prefix"]),
+                row["type"] == "safe",
+                deadline,
+                aim,
+                int(row.get("prio") or 0),
+                int(row["tries"]),
+                bool(row.get("public")),
+                parts,
+            )
+        )
     tenants: dict[str, Tenant] = {}
     keys: dict[str, Tenant] = {}
     for row in rows(data.get("tenants")):
-        tenant = Tenant(str(row["name"]), Quota(float(row.get("rate-per-s") or 0), float(row.get("burst") or 0)),
-                        row.get("prio"))
+        tenant = Tenant(
+            str(row["name"]), Quota(float(row.get("rate-per-s") or 0), float(row.get("burst") or 0)), row.get("prio")
+        )
         tenants[tenant.name] = tenant
         keys |= {str(key): tenant for key in row.get("apikeys") or []}
     given = data.get("limits") or {}
     return {
         "gen": int(data["gen"]),
-        "clients": ClientBounds(given.get("hdr-bytes"), given.get("body-bytes"),
-                                *(micros(given[name]) if given.get(name) else None for name in ("hdr", "idle"))),
+        "clients": ClientBounds(
+            given.get("hdr-bytes"),
+            given.get("body-bytes"),
+            *(micros(given[name]) if given.get(name) else None for name in ("hdr", "idle")),
+        ),
         "routes": {host: tuple(sorted(found, key=lambda r: -len(r.prefix))) for host, found in by_host.items()},
-        "tenants": tenants, "keys": keys if data.get("tenants") is not None else None,
+        "tenants": tenants,
+        "keys": keys if data.get("tenants") is not None else None,
     }
 
 
@@ -142,8 +163,15 @@
             name, v = key.removeprefix("backend/"), table.get(key)
             found.pop(name, None)
             if v is not None:
-                found[name] = Backend(name, str(v["svc"]), str(v["addr"]), str(v["az"]), float(v["slots"]),
-                                      v["state"] == "ready", int(v.get("warm") or 0))
+                found[name] = Backend(
+                    name,
+                    str(v["svc"]),
+                    str(v["addr"]),
+                    str(v["az"]),
+                    float(v["slots"]),
+                    v["state"] == "ready",
+                    int(v.get("warm") or 0),
+                )
     return found
 
 
--- a/oakvale/sluice/standing.py
+++ b/oakvale/sluice/standing.py
@@ -12,15 +12,25 @@
 def standing(sluice: Sluice) -> dict[str, Any]:
     now, picture, feed, plant = sluice.loop.now, sluice.plant.picture, sluice.feed, sluice.plant
     source, own = feed.source(), picture.members.get(sluice.settings.node)
-    return {
-        "own": sluice.own, "life": sluice.life, "ready": sluice.ready(),
-        "listed": own is not None and own.life == sluice.life, "gen": picture.gen,
-        "gateways": ",".join(sorted(picture.members)),
-        "source": spelled(source) if source else "", "pulse": "/".join(map(str, feed.pulse)),
-        "news": "/".join(map(str, sluice.table.high)),
-        "news_age_ms": (now - feed.fresh_at) // MS if feed.fresh_at else -1, "relays": len(feed.outlet),
-        "duties": ",".join(sluice.gauge.held()),
-        "clients": len(plant.clients.all), "in_hand": len(plant.requests),
-        "backend_connections": sluice.shared.backend_connections, "idle_connections": sluice.shared.idle.count,
-    } | plant.tally.fields() | by_service(
-        (backend.service, "ready" if backend.ready else "drain") for backend in picture.backends.values())
+    return (
+        {
+            "own": sluice.own,
+            "life": sluice.life,
+            "ready": sluice.ready(),
+            "listed": own is not None and own.life == sluice.life,
+            "gen": picture.gen,
+            "gateways": ",".join(sorted(picture.members)),
+            "source": spelled(source) if source else "",
+            "pulse": "/".join(map(str, feed.pulse)),
+            "news": "/".join(map(str, sluice.table.high)),
+            "news_age_ms": (now - feed.fresh_at) // MS if feed.fresh_at else -1,
+            "relays": len(feed.outlet),
+            "duties": ",".join(sluice.gauge.held()),
+            "clients": len(plant.clients.all),
+            "in_hand": len(plant.requests),
+            "backend_connections": sluice.shared.backend_connections,
+            "idle_connections": sluice.shared.idle.count,
+        }
+        | plant.tally.fields()
+        | by_service((backend.service, "ready" if backend.ready else "drain") for backend in picture.backends.values())
+    )
--- a/oakvale/sluice/tow.py
+++ b/oakvale/sluice/tow.py
@@ -46,8 +46,15 @@
             return None
         if not self.status:
             return "client_gone"
-        return ("served" if 200 <= self.status < 300 else "refused" if self.status in (408, 421, 429, 503)
-                else "failed" if self.status in (502, 504) else "answered")
+        return (
+            "served"
+            if 200 <= self.status < 300
+            else "refused"
+            if self.status in (408, 421, 429, 503)
+            else "failed"
+            if self.status in (502, 504)
+            else "answered"
+        )
 
 
 @dataclass(slots=True)
@@ -61,9 +68,16 @@
 
 
 class Tow:
-    def __init__(self, loop: Loop, mains: Mains, plant: Plant, node: str, life: str,
-                 primary: Callable[[], Address | None],
-                 wall: Callable[[], int] | None = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        mains: Mains,
+        plant: Plant,
+        node: str,
+        life: str,
+        primary: Callable[[], Address | None],
+        wall: Callable[[], int] | None = None,
+    ) -> None:
         self._loop, self._mains, self._plant = loop, mains, plant
         self._node, self._life, self._primary = node, life, primary
         self._wall = wall or (lambda: loop.net.unix_time() // 1000)
@@ -79,8 +93,15 @@
         for key in self._moves.take(entries, self._wall(), born):
             move = moves[key]
             note("moves", tenant=move["tenant"], node=move["node"], order=move["order"])
-            found = [] if born else [Seen(request) for request in self._plant.requests.all()
-                                     if not request.over and self._concerned(request, move)]
+            found = (
+                []
+                if born
+                else [
+                    Seen(request)
+                    for request in self._plant.requests.all()
+                    if not request.over and self._concerned(request, move)
+                ]
+            )
             self._watches[key] = Watch(found, self._loop.now)
             self._look_at(key, move)
         for key in [key for key in self._watches if key not in self._moves.away]:
@@ -106,8 +127,9 @@
         left = []
         for seen in watch.seen:
             order: Order = seen.request.event
-            at = move["kind"] == "gateway" or any(order.lane.backend_id(attempt.backend) == move["node"]
-                                                  for attempt in seen.request.out.values())
+            at = move["kind"] == "gateway" or any(
+                order.lane.backend_id(attempt.backend) == move["node"] for attempt in seen.request.out.values()
+            )
             if at and not seen.there:
                 seen.there = True
                 watch.began += 1
--- a/oakvale/spillway/chains.py
+++ b/oakvale/spillway/chains.py
@@ -78,8 +78,12 @@
     def short(self, most: int = 2) -> list[tuple[frozenset[str], str, float, float]]:
         """The failures, of at most so many places, that can't be held: zones, service, slots refused, asked for."""
         found: dict[tuple[frozenset[str], str], list[float]] = {}
-        for chain in (c for out in failures(self.hierarchy, most) for service in self.limits
-                      for c in self.worked_out(out, service)):
+        for chain in (
+            c
+            for out in failures(self.hierarchy, most)
+            for service in self.limits
+            for c in self.worked_out(out, service)
+        ):
             sums = found.setdefault((chain.out, chain.service), [0.0, 0.0])
             refused = sum(chain.refused.values())
             sums[0] += refused
@@ -94,8 +98,15 @@
     return sorted(single | double, key=lambda zones: (len(zones), sorted(zones)))
 
 
-def plan(version: int, hierarchy: Hierarchy, capacity: Mapping[tuple[str, str], float], loads: Iterable[Load],
-         roster: Iterable[str], headroom: float = HEADROOM, before: Iterable[Chains] = ()) -> Chains:
+def plan(
+    version: int,
+    hierarchy: Hierarchy,
+    capacity: Mapping[tuple[str, str], float],
+    loads: Iterable[Load],
+    roster: Iterable[str],
+    headroom: float = HEADROOM,
+    before: Iterable[Chains] = (),
+) -> Chains:
     """`capacity`: (zone, service) -> slots of mean speed; `before`: versions that some gateway may still go by."""
     if not 0 < headroom <= 1:
         raise ValueError("headroom does not lie between 0 and 1")
@@ -122,13 +133,15 @@
             keeper.setdefault(service, {})[zone] = rest
             part.setdefault(service, {})[zone] = own
             owed.setdefault(service, {})[zone] = max(
-                [own, *(earlier.part.get(service, {}).get(zone, 0.0) for earlier in before)])
+                [own, *(earlier.part.get(service, {}).get(zone, 0.0) for earlier in before)]
+            )
     may = roster.union(*(earlier.roster for earlier in before))
     return Chains(version, headroom, hierarchy, limits, keeper, spare, part, owed, roster, may, tuple(loads))
 
 
-def _spread(hierarchy: Hierarchy, out: frozenset[str], service: str, limits: Mapping[str, float],
-            loads: list[Load]) -> list[Chain]:
+def _spread(
+    hierarchy: Hierarchy, out: frozenset[str], service: str, limits: Mapping[str, float], loads: list[Load]
+) -> list[Chain]:
     """The highest rank first; within it, who is at home goes before who comes from elsewhere, or a failed place
     would push out its neighbours' clients to places still farther away."""
     room = {zone: limit for zone, limit in limits.items() if zone not in out}
@@ -156,12 +169,15 @@
             if work > 1e-9:
                 refused[home][rank] = refused[home].get(rank, 0.0) + work
     order = {home: [zone for tier in hierarchy.tiers(home, taken[home]) for zone in tier] for home in taken}
-    return [Chain(out, service, home, tuple(Step(zone, taken[home][zone]) for zone in order[home]), refused[home])
-            for home in sorted(taken)]
+    return [
+        Chain(out, service, home, tuple(Step(zone, taken[home][zone]) for zone in order[home]), refused[home])
+        for home in sorted(taken)
+    ]
 
 
-def apart(one: Mapping[tuple[str, str], float], other: Mapping[tuple[str, str], float], by: float,
-          least: float) -> bool:
+def apart(
+    one: Mapping[tuple[str, str], float], other: Mapping[tuple[str, str], float], by: float, least: float
+) -> bool:
     """Whether two figures of one key differ by more than a part of the greater, and by more than the least."""
     both = [(one.get(key, 0.0), other.get(key, 0.0)) for key in one.keys() | other.keys()]
     return any(abs(a - b) > max(by * max(a, b), least) for a, b in both)
@@ -170,24 +186,40 @@
 def pack(chains: Chains) -> dict[str, Any]:
     def down(table: Mapping[str, Mapping[str, float]], up: int = 0) -> dict[str, dict[str, float]]:
         """What may be used is never rounded upwards, nor what is reckoned with downwards."""
-        return {name: {zone: (int(value * 10_000) + up) / 10_000 for zone, value in row.items()}
-                for name, row in table.items()}
-
-    return {"version": chains.version, "headroom": chains.headroom,
-            "paths": {zone: list(path) for zone, path in chains.hierarchy.paths.items()},
-            "limits": down(chains.limits), "keeper": down(chains.keeper), "spare": down(chains.spare),
-            "part": down(chains.part), "owed": down(chains.owed, 1),
-            "roster": sorted(chains.roster), "more": sorted(chains.may - chains.roster),
-            "loads": [[load.home, load.service, load.rank, round(load.work, 3)] for load in chains.loads]}
+        return {
+            name: {zone: (int(value * 10_000) + up) / 10_000 for zone, value in row.items()}
+            for name, row in table.items()
+        }
+
+    return {
+        "version": chains.version,
+        "headroom": chains.headroom,
+        "paths": {zone: list(path) for zone, path in chains.hierarchy.paths.items()},
+        "limits": down(chains.limits),
+        "keeper": down(chains.keeper),
+        "spare": down(chains.spare),
+        "part": down(chains.part),
+        "owed": down(chains.owed, 1),
+        "roster": sorted(chains.roster),
+        "more": sorted(chains.may - chains.roster),
+        "loads": [[load.home, load.service, load.rank, round(load.work, 3)] for load in chains.loads],
+    }
 
 
 def unpack(data: Any) -> Chains:
     def table(name: str) -> dict[str, dict[str, float]]:
         return {str(key): {str(zone): float(value) for zone, value in row.items()} for key, row in data[name].items()}
 
-    return Chains(int(data["version"]), float(data["headroom"]),
-                  Hierarchy({str(zone): tuple(map(str, path)) for zone, path in data["paths"].items()}),
-                  table("limits"), table("keeper"), table("spare"), table("part"), table("owed"),
-                  frozenset(map(str, data["roster"])), frozenset(map(str, [*data["roster"], *data["more"]])),
-                  tuple(Load(str(home), str(service), int(rank), float(work))
-                        for home, service, rank, work in data["loads"]))
+    return Chains(
+        int(data["version"]),
+        float(data["headroom"]),
+        Hierarchy({str(zone): tuple(map(str, path)) for zone, path in data["paths"].items()}),
+        table("limits"),
+        table("keeper"),
+        table("spare"),
+        table("part"),
+        table("owed"),
+        frozenset(map(str, data["roster"])),
+        frozenset(map(str, [*data["roster"], *data["more"]])),
+        tuple(Load(str(home), str(service), int(rank), float(work)) for home, service, rank, work in data["loads"]),
+    )
--- a/oakvale/spillway/crest.py
+++ b/oakvale/spillway/crest.py
@@ -68,8 +68,14 @@
 
 
 class Crest:
-    def __init__(self, service: str, draw: Callable[[], float], missing: Missing = _nothing,
-                 away: Away | None = None, cut: Callable[[], float] | None = None) -> None:
+    def __init__(
+        self,
+        service: str,
+        draw: Callable[[], float],
+        missing: Missing = _nothing,
+        away: Away | None = None,
+        cut: Callable[[], float] | None = None,
+    ) -> None:
         """`away`: as the keeper. `cut`: as a gateway by itself; what it may use of its even share."""
         self.service, self._draw, self._missing = service, draw, missing
         self._away, self._cut = away, cut
@@ -114,8 +120,11 @@
     def closed(self, gateway: str) -> frozenset[str]:
         """What is out for a gateway: also a place that is tried, but for the gateway whose request tries it."""
         tries = {zone for zone, ticket in self._tried.items() if self._sent[ticket].ask.gateway == gateway}
-        return frozenset(zone for zone, fall in self.falls.items()
-                         if fall.flow is Flow.OUT or fall.flow is Flow.TRIED and zone not in tries)
+        return frozenset(
+            zone
+            for zone, fall in self.falls.items()
+            if fall.flow is Flow.OUT or fall.flow is Flow.TRIED and zone not in tries
+        )
 
     def flow(self, now: int) -> dict[str, str]:
         """Since the last call: place -> slots' worth of work that went there, of its limit."""
@@ -129,8 +138,11 @@
 
     def news(self) -> list[tuple[str, str, float]]:
         """Places whose flow has changed since the last call: how they stand, and the share that they take."""
-        now = {zone: (fall.flow.value, fall.share()) for zone, fall in self.falls.items()
-               if fall.flow is not Flow.OPEN or zone in self._noted}
+        now = {
+            zone: (fall.flow.value, fall.share())
+            for zone, fall in self.falls.items()
+            if fall.flow is not Flow.OPEN or zone in self._noted
+        }
         told = [(zone, *state) for zone, state in now.items() if self._noted.get(zone) != state]
         self._noted = {zone: state for zone, state in now.items() if state[0] != Flow.OPEN.value}
         return told
@@ -242,11 +254,17 @@
         for zone in places:
             fall = self.falls.setdefault(zone, Fall(since=now))
             fall.tick("beats" not in self._missing(zone), now)
-            others = [other for other in places if other != zone and self.falls.setdefault(
-                other, Fall(since=now)).flow is not Flow.OUT]
+            others = [
+                other
+                for other in places
+                if other != zone and self.falls.setdefault(other, Fall(since=now)).flow is not Flow.OUT
+            ]
             slow = COLD if fall.flow is Flow.FILLING else 1.0
-            if (fall.flow in (Flow.OPEN, Flow.FILLING) and others
-                    and self.sight.failed(zone, int(slow * usual), self._missing(zone), now)):
+            if (
+                fall.flow in (Flow.OPEN, Flow.FILLING)
+                and others
+                and self.sight.failed(zone, int(slow * usual), self._missing(zone), now)
+            ):
                 fall.failed(now)
             if fall.flow is Flow.OUT:
                 self._weirs.pop(zone, None)  # what it was like before says nothing of what comes back
--- a/oakvale/spillway/places.py
+++ b/oakvale/spillway/places.py
@@ -38,7 +38,8 @@
             for name in path:
                 inside.setdefault(name, set()).add(zone)
         return {name: frozenset(zones) for name, zones in inside.items()} | {
-            zone: frozenset({zone}) for zone in self.paths}
+            zone: frozenset({zone}) for zone in self.paths
+        }
 
 
 def hierarchy(zones: Mapping[str, str], above: Mapping[str, str]) -> Hierarchy:
--- a/oakvale/spillway/sight.py
+++ b/oakvale/spillway/sight.py
@@ -78,7 +78,10 @@
         """`usual`: microseconds that an answer takes; `others`: kinds of observers, besides gateways, that miss it.
         Those it answered lately and that wait for nothing speak for it: they must be fewer."""
         told = self.observers(place, usual, now)
-        well = sum(1 for seen in self._seen.get(place, {}).values()
-                   if not seen.since and now - seen.served_at < 2 * SILENT * usual)
+        well = sum(
+            1
+            for seen in self._seen.get(place, {}).values()
+            if not seen.since and now - seen.served_at < 2 * SILENT * usual
+        )
         enough = len(told) + len(set(others)) >= TOLD
         return enough and len(told) >= well and now - self.last_served(place) >= usual
--- a/oakvale/spillway/telling.py
+++ b/oakvale/spillway/telling.py
@@ -20,8 +20,10 @@
         lines.append(f"service {service}")
         for zone, limit in sorted(limits.items()):
             asked = sum(load.work for load in chains.loads if load.service == service and load.home == zone)
-            lines.append(f"  {zone}: takes {limit:.1f} slots, {chains.part[service][zone]:.2f} by each gateway "
-                         f"that can't ask; its clients ask for {asked:.1f}")
+            lines.append(
+                f"  {zone}: takes {limit:.1f} slots, {chains.part[service][zone]:.2f} by each gateway "
+                f"that can't ask; its clients ask for {asked:.1f}"
+            )
             others = [(c, c.out) for c in chains.explain(zone, service) if c.home == zone]
             lines += [f"    fails: {_steps(chain)}" for chain, _ in others]
     return lines
@@ -30,8 +32,11 @@
 def check(chains: Chains) -> list[str]:
     """Failures that can't be held, the worst first; none: an empty list."""
     found = sorted(chains.short(), key=lambda item: (len(item[0]), -item[2] / item[3]))
-    return [f"{' and '.join(sorted(out))} out: {service} lacks {refused:.1f} of {asked:.1f} slots "
-            f"({100 * refused / asked:.0f} %)" for out, service, refused, asked in found]
+    return [
+        f"{' and '.join(sorted(out))} out: {service} lacks {refused:.1f} of {asked:.1f} slots "
+        f"({100 * refused / asked:.0f} %)"
+        for out, service, refused, asked in found
+    ]
 
 
 def explain(chains: Chains, place: str, service: str) -> list[str]:
