--- a/oakvale/towpath/account.py
+++ b/oakvale/towpath/account.py
@@ -15,8 +15,25 @@
 from oakvale.towpath.planning import Plan
 
 ENDS = ("served", "answered", "failed", "refused", "client_gone", "unknown")
-COLUMNS = ("order", "kind", "node", "tenant", "state", "moved", "done", "opens", "closes", "back", "back_done", "again",
-           "in_flight", *ENDS, "unheard", "by", "why")
+COLUMNS = (
+    "order",
+    "kind",
+    "node",
+    "tenant",
+    "state",
+    "moved",
+    "done",
+    "opens",
+    "closes",
+    "back",
+    "back_done",
+    "again",
+    "in_flight",
+    *ENDS,
+    "unheard",
+    "by",
+    "why",
+)
 
 Record = dict[str, Any]
 
@@ -33,39 +50,85 @@
 
 
 def of_plan(plan: Plan) -> Record:
-    return {"empty": stamp(plan.empty) if plan.empty is not None else "", "obstacles": plan.obstacles,
-            "moves": [{"kind": row.unit.kind, "node": row.unit.node, "tenants": list(row.unit.tenants),
-                       **of_window(row.window), "moves": stamp(row.moves) if row.moves is not None else "",
-                       "why": row.why} for row in plan.rows]}
+    return {
+        "empty": stamp(plan.empty) if plan.empty is not None else "",
+        "obstacles": plan.obstacles,
+        "moves": [
+            {
+                "kind": row.unit.kind,
+                "node": row.unit.node,
+                "tenants": list(row.unit.tenants),
+                **of_window(row.window),
+                "moves": stamp(row.moves) if row.moves is not None else "",
+                "why": row.why,
+            }
+            for row in plan.rows
+        ],
+    }
 
 
 def row(move: Record, order: Record | None) -> Record:
     ends = {how: sum(said[4].get(how, 0) for said in move["gates"].values()) for how in ENDS}
-    return {"order": move["order"], "kind": move["kind"], "node": move["node"], "tenant": move["tenant"],
-            "state": move["state"], "moved": stamp(move["at"]), "done": stamp(move["done"]),
-            "opens": stamp(move["opens"]), "closes": stamp(move["closes"]), "back": stamp(move["back_at"]),
-            "back_done": stamp(move["back_done"]), "again": move["again"],
-            "in_flight": sum(said[2] for said in move["gates"].values()), **ends,
-            "unheard": " ".join(move["unheard"]), "by": order["by"] if order else "",
-            "why": order["why"] if order else ""}
+    return {
+        "order": move["order"],
+        "kind": move["kind"],
+        "node": move["node"],
+        "tenant": move["tenant"],
+        "state": move["state"],
+        "moved": stamp(move["at"]),
+        "done": stamp(move["done"]),
+        "opens": stamp(move["opens"]),
+        "closes": stamp(move["closes"]),
+        "back": stamp(move["back_at"]),
+        "back_done": stamp(move["back_done"]),
+        "again": move["again"],
+        "in_flight": sum(said[2] for said in move["gates"].values()),
+        **ends,
+        "unheard": " ".join(move["unheard"]),
+        "by": order["by"] if order else "",
+        "why": order["why"] if order else "",
+    }
 
 
-def told(orders: Iterable[tuple[str, Record]], moves: Iterable[tuple[str, Record]],
-         outside: Iterable[tuple[str, Record]], only: str = "") -> Record:
+def told(
+    orders: Iterable[tuple[str, Record]],
+    moves: Iterable[tuple[str, Record]],
+    outside: Iterable[tuple[str, Record]],
+    only: str = "",
+) -> Record:
     """All that the control state knows of drains, or of one order."""
     known = {name: order for name, order in orders if not only or name == only}
-    rows = [row(move, known.get(move["order"])) for _, move in sorted(moves, key=lambda item: item[1]["at"])
-            if not only or move["order"] == only]
+    rows = [
+        row(move, known.get(move["order"]))
+        for _, move in sorted(moves, key=lambda item: item[1]["at"])
+        if not only or move["order"] == only
+    ]
     return {
-        "orders": [{"id": name, "kind": order["kind"], "target": order["target"], "by": order["by"],
-                    "why": order["why"], "at": stamp(order["at"]), "due": stamp(order["due"]),
-                    "nodes": [node for _, node in order["nodes"]], "state": order["state"],
-                    "reason": order["why_state"], "empty": stamp(order["empty"]), "over": stamp(order["over"])}
-                   for name, order in sorted(known.items(), key=lambda item: item[1]["at"])],
+        "orders": [
+            {
+                "id": name,
+                "kind": order["kind"],
+                "target": order["target"],
+                "by": order["by"],
+                "why": order["why"],
+                "at": stamp(order["at"]),
+                "due": stamp(order["due"]),
+                "nodes": [node for _, node in order["nodes"]],
+                "state": order["state"],
+                "reason": order["why_state"],
+                "empty": stamp(order["empty"]),
+                "over": stamp(order["over"]),
+            }
+            for name, order in sorted(known.items(), key=lambda item: item[1]["at"])
+        ],
         "moves": rows,
-        "outside": [] if only else [
+        "outside": []
+        if only
+        else [
             {"backend": name, "tenant": tenant, "at": stamp(record["at"]), "why": record["why"]}
-            for name, record in sorted(outside, key=lambda item: item[1]["at"]) for tenant in record["tenants"]],
+            for name, record in sorted(outside, key=lambda item: item[1]["at"])
+            for tenant in record["tenants"]
+        ],
     }
 
 
@@ -76,6 +139,14 @@
     writer.writeheader()
     writer.writerows(account["moves"])
     for found in account["outside"]:
-        writer.writerow({"kind": "backend", "node": found["backend"], "tenant": found["tenant"], "state": "outside",
-                         "moved": found["at"], "why": f"the backend: {found['why']}"})
+        writer.writerow(
+            {
+                "kind": "backend",
+                "node": found["backend"],
+                "tenant": found["tenant"],
+                "state": "outside",
+                "moved": found["at"],
+                "why": f"the backend: {found['why']}",
+            }
+        )
     return out.getvalue()
--- a/oakvale/towpath/call.py
+++ b/oakvale/towpath/call.py
@@ -50,8 +50,9 @@
         time.sleep(PAUSE)
 
 
-def _one(address: tuple[str, int], path: str, body: dict[str, Any] | None,
-         timeout: float) -> tuple[int, dict[str, str], bytes]:
+def _one(
+    address: tuple[str, int], path: str, body: dict[str, Any] | None, timeout: float
+) -> tuple[int, dict[str, str], bytes]:
     connection = http.client.HTTPConnection(*address, timeout=timeout)
     try:
         if body is None:
@@ -68,16 +69,20 @@
     """An answer for people."""
     out = [f"time {told['time']}"] if "time" in told else []
     for order in told.get("orders", []):
-        out.append(f"order {order['id']}: {order['kind']} {order['target']}, {order['state']}"
-                   + (f" ({order['reason']})" if order["reason"] else "")
-                   + f", by {order['by']}: {order['why']}, due {order['due']}"
-                   + (f", empty {order['empty']}" if order["empty"] else ""))
+        out.append(
+            f"order {order['id']}: {order['kind']} {order['target']}, {order['state']}"
+            + (f" ({order['reason']})" if order["reason"] else "")
+            + f", by {order['by']}: {order['why']}, due {order['due']}"
+            + (f", empty {order['empty']}" if order["empty"] else "")
+        )
     for move in told.get("moves", []):
         names = ", ".join(name or "public routes" for name in move.get("tenants", [move.get("tenant")]))
         hours = f"hours {move['opens'] or 'always'} to {move['closes'] or 'always'}"
         if "state" in move:
-            out.append(f"  {move['node']} {names}: {move['state']}, moved {move['moved']}, done {move['done'] or '-'}, "
-                       f"in flight {move['in_flight']}" + (f", not heard {move['unheard']}" if move["unheard"] else ""))
+            out.append(
+                f"  {move['node']} {names}: {move['state']}, moved {move['moved']}, done {move['done'] or '-'}, "
+                f"in flight {move['in_flight']}" + (f", not heard {move['unheard']}" if move["unheard"] else "")
+            )
         elif move["moves"]:
             out.append(f"  {move['node']} {names}: moves {move['moves']}, {hours}")
         else:
--- a/oakvale/towpath/course.py
+++ b/oakvale/towpath/course.py
@@ -31,10 +31,24 @@
         asked = {facts.gates[unit.node]["life"]: unit.node}
     else:
         asked = {gate["life"]: node for node, gate in facts.gates.items()}
-    return {"order": order, "kind": unit.kind, "node": unit.node, "tenant": tenant, "way": "out", "state": "leaving",
-            "at": facts.now, "until": 0 if window.closes == FOREVER else window.closes, "done": 0,
-            "opens": window.opens, "closes": window.closes, "back_at": 0, "back_done": 0, "again": 0, "unheard": [],
-            "gates": {life: [node, False, 0, 0, {}] for life, node in asked.items()}}
+    return {
+        "order": order,
+        "kind": unit.kind,
+        "node": unit.node,
+        "tenant": tenant,
+        "way": "out",
+        "state": "leaving",
+        "at": facts.now,
+        "until": 0 if window.closes == FOREVER else window.closes,
+        "done": 0,
+        "opens": window.opens,
+        "closes": window.closes,
+        "back_at": 0,
+        "back_done": 0,
+        "again": 0,
+        "unheard": [],
+        "gates": {life: [node, False, 0, 0, {}] for life, node in asked.items()},
+    }
 
 
 @dataclass(slots=True)
@@ -56,8 +70,12 @@
         """The entries to write now; the next step is made once they are in force."""
         self.hours.use(facts.contracts)
         lives = {gate["life"] for gate in facts.gates.values()}
-        self._off = {life: self._off.get(life, facts.now) for move in facts.moves.values()
-                     for life in move["gates"] if life not in lives}
+        self._off = {
+            life: self._off.get(life, facts.now)
+            for move in facts.moves.values()
+            for life in move["gates"]
+            if life not in lives
+        }
         self.told = {key: said for key, said in self.told.items() if key in facts.moves}
         changes: dict[str, Any] = {}
         for key, move in facts.moves.items():
@@ -68,14 +86,21 @@
         if abs(facts.now - self._written) >= SECOND:
             self._written = facts.now
         else:  # words alone are written once a second at most
-            changes = {key: value for key, value in changes.items()
-                       if value["state"] != facts.moves[key.removeprefix("move/")]["state"]}
+            changes = {
+                key: value
+                for key, value in changes.items()
+                if value["state"] != facts.moves[key.removeprefix("move/")]["state"]
+            }
         for name, order in facts.orders.items():
             state, why = self._standing(name, order, moves, facts)
             if (state, why) != (order["state"], order["why_state"]):
                 over = facts.now if state not in ("open", "empty") else 0
-                changes[f"drain/{name}"] = order | {"state": state, "why_state": why, "over": order["over"] or over,
-                                                    "empty": order["empty"] or (facts.now if state == "empty" else 0)}
+                changes[f"drain/{name}"] = order | {
+                    "state": state,
+                    "why_state": why,
+                    "over": order["over"] or over,
+                    "empty": order["empty"] or (facts.now if state == "empty" else 0),
+                }
         at = last_move(facts)
         if abs(facts.now - at) >= self.hours.pace:
             changes |= self._next(facts)
@@ -120,8 +145,13 @@
         """One that was not waited for any longer is back, and still sends there, or still keeps away."""
         lives = {gate["life"] for gate in facts.gates.values()}
         said = self.told.pop(key, {})
-        back = {life: list(word) for life, word in said.items() if life in lives and word[1] != (move["way"] == "out")
-                and (move["kind"] == "backend" or life in move["gates"])}
+        back = {
+            life: list(word)
+            for life, word in said.items()
+            if life in lives
+            and word[1] != (move["way"] == "out")
+            and (move["kind"] == "backend" or life in move["gates"])
+        }
         if not back:
             return move
         return move | {"state": "leaving" if move["way"] == "out" else "returning", "gates": move["gates"] | back}
@@ -139,11 +169,17 @@
         if order["cancelled"]:
             return ("cancelled" if there else "done"), order["why_state"]
         if order["state"] == "done":  # it was cut off for so long that it was off the list
-            return ("ended", "its node is back: cancel the order, or end the node") if there else (
-                "done", order["why_state"])
+            return (
+                ("ended", "its node is back: cancel the order, or end the node")
+                if there
+                else ("done", order["why_state"])
+            )
         if not there:
-            by_itself = [unit for unit in units([tuple(n) for n in order["nodes"]], facts.tenants)
-                         if not self._all(name, unit, moves, None)]
+            by_itself = [
+                unit
+                for unit in units([tuple(n) for n in order["nodes"]], facts.tenants)
+                if not self._all(name, unit, moves, None)
+            ]
             names = sorted({tenant or "public routes" for unit in by_itself for tenant in unit.tenants})
             return "done", "the node ended before these had moved: " + ", ".join(names) if names else ""
         if order["state"] == "ended":
@@ -160,8 +196,9 @@
         names = f"{unit.node} " + (", ".join(tenant or "public routes" for tenant in unit.tenants))
         found = [moves.get(key_of(name, unit.node, tenant)) for tenant in unit.tenants]
         if any(found):
-            silent = sorted({said[0] for move in found if move for said in move["gates"].values()
-                             if not said[1] or said[3]})
+            silent = sorted(
+                {said[0] for move in found if move for said in move["gates"].values() if not said[1] or said[3]}
+            )
             return f"{names}: on its way, waits for {', '.join(silent) or 'its record'}"
         return f"{names}: its hours were not open"
 
@@ -208,19 +245,23 @@
             return []
         found = [unit for unit in units(nodes, facts.tenants) if self._left_behind(name, unit, facts)]
         if state == "open" and not missing(facts, order["kind"], nodes, name):
-            found += [unit for unit in units(nodes, facts.tenants)
-                      if not self._all(name, unit, facts.moves, None)
-                      and facts.now <= self.hours.lapses(unit, order)]
+            found += [
+                unit
+                for unit in units(nodes, facts.tenants)
+                if not self._all(name, unit, facts.moves, None) and facts.now <= self.hours.lapses(unit, order)
+            ]
         return found
 
     def _returns(self, name: str, unit: Unit, facts: Facts) -> bool:
-        found = [move for tenant in unit.tenants
-                 if (move := facts.moves.get(key_of(name, unit.node, tenant))) is not None]
+        found = [
+            move for tenant in unit.tenants if (move := facts.moves.get(key_of(name, unit.node, tenant))) is not None
+        ]
         return any(move["state"] in ("leaving", "moved") or self._late(move, facts) for move in found)
 
     def _left_behind(self, name: str, unit: Unit, facts: Facts) -> bool:
-        found = [move for tenant in unit.tenants
-                 if (move := facts.moves.get(key_of(name, unit.node, tenant))) is not None]
+        found = [
+            move for tenant in unit.tenants if (move := facts.moves.get(key_of(name, unit.node, tenant))) is not None
+        ]
         return any(self._late(move, facts) for move in found)
 
     @staticmethod
@@ -229,17 +270,22 @@
         if move["state"] not in ("leaving", "returning") or not move["until"] or facts.now <= move["until"]:
             return False
         out = move["way"] == "out"
-        return any(said[1] != out and said[0] in facts.gates and facts.gates[said[0]]["life"] == life
-                   for life, said in move["gates"].items())
+        return any(
+            said[1] != out and said[0] in facts.gates and facts.gates[said[0]]["life"] == life
+            for life, said in move["gates"].items()
+        )
 
     # ---- what is forgotten
 
     def _pruned(self, facts: Facts) -> dict[str, Any]:
         """Orders whose node is gone or whose tenants are back, but for the latest."""
-        over = sorted((order["over"], name) for name, order in facts.orders.items()
-                      if order["state"] == "done" or order["cancelled"] and all(
-                          move["state"] == "returned" for move in facts.moves.values()
-                          if move["order"] == name))
+        over = sorted(
+            (order["over"], name)
+            for name, order in facts.orders.items()
+            if order["state"] == "done"
+            or order["cancelled"]
+            and all(move["state"] == "returned" for move in facts.moves.values() if move["order"] == name)
+        )
         changes: dict[str, Any] = {}
         for _, name in over[:-KEPT]:
             changes[f"drain/{name}"] = None
@@ -259,4 +305,3 @@
     if not found:
         return None
     return {"at": facts.now, "why": why, "tenants": found}
-
--- a/oakvale/towpath/moves.py
+++ b/oakvale/towpath/moves.py
@@ -52,13 +52,18 @@
             move = self._known[key]
             if move["kind"] == "backend":
                 found.setdefault(move["tenant"], set()).add(move["node"])
-        return ({tenant: frozenset(names) for tenant, names in found.items()},
-                any(self._known[key]["kind"] == "gateway" for key in self.away))
+        return (
+            {tenant: frozenset(names) for tenant, names in found.items()},
+            any(self._known[key]["kind"] == "gateway" for key in self.away),
+        )
 
     def owed(self) -> dict[str, Record]:
         """Moves of which the primary waits for this gateway's word."""
-        return {key: move for key, move in self._known.items()
-                if move["state"] in UNSETTLED or (move["way"] == "out") != (key in self.away)}
+        return {
+            key: move
+            for key, move in self._known.items()
+            if move["state"] in UNSETTLED or (move["way"] == "out") != (key in self.away)
+        }
 
 
 def kept(ready: Mapping[str, bool], without: frozenset[str]) -> frozenset[str]:
--- a/oakvale/towpath/planning.py
+++ b/oakvale/towpath/planning.py
@@ -135,8 +135,11 @@
 
 def chosen(left: Iterable[Unit], hours: Hours, now: int) -> tuple[Unit, Window] | None:
     """Of those that may move now, the one whose hours close first."""
-    able = [(window.closes, unit, window) for unit in left
-            if (window := hours.next(unit, now)) is not None and window.opens <= now]
+    able = [
+        (window.closes, unit, window)
+        for unit in left
+        if (window := hours.next(unit, now)) is not None and window.opens <= now
+    ]
     if not able:
         return None
     _, unit, window = min(able)
@@ -160,16 +163,22 @@
             break
         at = max(at, min(coming))
     moved = {row.unit for row in rows}
-    rows += [Row(unit, opening, None, _why(unit, opening, hours, order))
-             for unit, opening in first.items() if unit not in moved]
+    rows += [
+        Row(unit, opening, None, _why(unit, opening, hours, order))
+        for unit, opening in first.items()
+        if unit not in moved
+    ]
     return rows
 
 
 def _why(unit: Unit, window: Window | None, hours: Hours, order: Record) -> str:
     names = ", ".join(tenant or "public routes" for tenant in unit.tenants)
     if window is None:
-        return (f"the hours of {names} are never open together for long enough" if len(unit.tenants) > 1
-                else f"the hours of {names} never open for long enough")
+        return (
+            f"the hours of {names} are never open together for long enough"
+            if len(unit.tenants) > 1
+            else f"the hours of {names} never open for long enough"
+        )
     if hours.lapses(unit, order) < order["due"]:
         return f"the hours of {names} don't open within their longest notice"
     return f"the hours of {names} don't open before the order is due, or too late for all to move"
@@ -179,17 +188,22 @@
     """The nodes that an order names: kind and name."""
     if kind != "zone":
         return [(kind, target)]
-    return ([("gateway", node) for node, gate in sorted(facts.gates.items()) if gate["az"] == target]
-            + [("backend", name) for name, backend in sorted(facts.backends.items())
-               if backend["az"] == target and backend["state"] == "ready"])
+    return [("gateway", node) for node, gate in sorted(facts.gates.items()) if gate["az"] == target] + [
+        ("backend", name)
+        for name, backend in sorted(facts.backends.items())
+        if backend["az"] == target and backend["state"] == "ready"
+    ]
 
 
 def left_nodes(facts: Facts, besides: str = "") -> set[str]:
     """Nodes that orders are emptying or have emptied, and those that not all have come back to after a cancel."""
     away = {move["order"] for move in facts.moves.values() if move["state"] != "returned"}
-    return {node for name, order in facts.orders.items() if name != besides
-            and (order["state"] in LIVE or order["state"] == "cancelled" and name in away)
-            for _, node in order["nodes"]}
+    return {
+        node
+        for name, order in facts.orders.items()
+        if name != besides and (order["state"] in LIVE or order["state"] == "cancelled" and name in away)
+        for _, node in order["nodes"]
+    }
 
 
 def missing(facts: Facts, kind: str, nodes: list[tuple[str, str]], besides: str = "") -> list[str]:
@@ -199,8 +213,11 @@
     for what, node in nodes:
         if what == "backend" and facts.ready(node):
             service, zone = facts.backends[node]["svc"], facts.backends[node]["az"]
-            others = [value for name, value in facts.backends.items()
-                      if name not in going and value["svc"] == service and value["state"] == "ready"]
+            others = [
+                value
+                for name, value in facts.backends.items()
+                if name not in going and value["svc"] == service and value["state"] == "ready"
+            ]
             if kind == "zone":
                 if not others:
                     found.append(f"{node} is among the last backends of {service}")
--- a/oakvale/wire/backends.py
+++ b/oakvale/wire/backends.py
@@ -113,8 +113,11 @@
 
     def headers(self, attempt: AttemptOut, left: int) -> Headers:
         request = attempt.request
-        return [*end_to_end(request.headers, OURS), (b"x-trace-id", request.id.encode()),
-                (b"x-expires-in", b"%du" % left)]
+        return [
+            *end_to_end(request.headers, OURS),
+            (b"x-trace-id", request.id.encode()),
+            (b"x-expires-in", b"%du" % left),
+        ]
 
     def belongs(self, attempt: AttemptOut, status: int, headers: Headers) -> bool:
         return True
@@ -159,8 +162,9 @@
     def serves(self, backend: int) -> bool:
         """Neither leaving nor left: a connection to it may be kept."""
 
-    def attempt_ended(self, attempt: AttemptOut, ending: Ending, answer: Answer | None = None,
-                      report: tuple[float, ...] = ()) -> None:
+    def attempt_ended(
+        self, attempt: AttemptOut, ending: Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
+    ) -> None:
         """Said once of every attempt."""
 
 
@@ -244,8 +248,12 @@
             if not self._may_have_run(attempt):
                 self._finish(Ending.NO_CONNECTION)
             else:
-                attempt.dropped = bool(attempt.idled) and not gone.timed_out and not self._http.trailing_data[0] and (
-                    self._http.their_state is h11.SEND_RESPONSE)
+                attempt.dropped = (
+                    bool(attempt.idled)
+                    and not gone.timed_out
+                    and not self._http.trailing_data[0]
+                    and (self._http.their_state is h11.SEND_RESPONSE)
+                )
                 self._finish(Ending.TIMEOUT if gone.timed_out else Ending.RESET)
             return False
         except (h11.RemoteProtocolError, Spoilt) as error:
@@ -253,8 +261,14 @@
             self._finish(Ending.RESET)
             return False
         http = self._http
-        reusable = (http.our_state is h11.DONE and http.their_state is h11.DONE and not http.trailing_data[0]
-                    and attempt.written and self.host.dialect.named(answer.headers) and self.host.serves(self.backend))
+        reusable = (
+            http.our_state is h11.DONE
+            and http.their_state is h11.DONE
+            and not http.trailing_data[0]
+            and attempt.written
+            and self.host.dialect.named(answer.headers)
+            and self.host.serves(self.backend)
+        )
         if reusable:  # before the module hears of the end: its next attempt may want this connection
             http.start_next_cycle()
             self._share.hold(0)
--- a/oakvale/wire/clients.py
+++ b/oakvale/wire/clients.py
@@ -375,7 +375,7 @@
         if self._http.their_http_version == b"1.1":
             interim = self._http.send(CONTINUE)
             try:
-                self._rest = (interim or b"")[self._sock.send(interim or b""):]
+                self._rest = (interim or b"")[self._sock.send(interim or b"") :]
             except OSError:
                 pass  # nothing of it has gone out
 
--- a/oakvale/wire/counter.py
+++ b/oakvale/wire/counter.py
@@ -19,8 +19,10 @@
 from oakvale.wire.tcp import connect, new_socket, peek
 
 # what the beginning of an answer may look like, which also bounds its length
-PARTIAL = re.compile(rb"(o(k( (-?([0-9.]{1,32}([eE][+-]?[0-9]{0,2})?\r?)?)?)?)?)?"
-                     rb"|b(u(s(y\r?)?)?)?|e(r(r(o(r\r?)?)?)?)?")
+PARTIAL = re.compile(
+    rb"(o(k( (-?([0-9.]{1,32}([eE][+-]?[0-9]{0,2})?\r?)?)?)?)?)?"
+    rb"|b(u(s(y\r?)?)?)?|e(r(r(o(r\r?)?)?)?)?"
+)
 
 
 class Call:
@@ -39,8 +41,13 @@
 
     def allowed(self, limits: Limits) -> bool:
         name = self.name
-        return (abs(self.amount) <= limits.counter_amount and 0 < len(name) <= limits.counter_name
-                and name.isascii() and name.isprintable() and " " not in name)
+        return (
+            abs(self.amount) <= limits.counter_amount
+            and 0 < len(name) <= limits.counter_name
+            and name.isascii()
+            and name.isprintable()
+            and " " not in name
+        )
 
 
 def answer(line: bytes) -> tuple[Ending, float]:
@@ -254,7 +261,7 @@
                 self.owed.append(call)
             elif begin < sent or call is partial:
                 call.begun = True
-                self._partial, self._tail = call, data[max(sent, begin):end]
+                self._partial, self._tail = call, data[max(sent, begin) : end]
             else:
                 waiting.append(call)
             begin = end
--- a/oakvale/wire/http.py
+++ b/oakvale/wire/http.py
@@ -10,10 +10,21 @@
 from oakvale.memory.requests import Headers
 from oakvale.wire.tcp import Gone, read_stamped
 
-HOP_BY_HOP = frozenset({
-    b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate", b"proxy-authorization", b"te",
-    b"trailer", b"transfer-encoding", b"upgrade", b"expect", b"content-length",
-})
+HOP_BY_HOP = frozenset(
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"content-length",
+    }
+)
 
 END = h11.EndOfMessage()
 
@@ -42,8 +53,7 @@
         pool.give(buffer)
 
 
-def more(sock: Sock, http: h11.Connection, pool: BufferPool, due: int,
-         stamped: bool = False) -> Step[int]:
+def more(sock: Sock, http: h11.Connection, pool: BufferPool, due: int, stamped: bool = False) -> Step[int]:
     """Waits until the parser has been given something new; gives the stamp of its arrival. Raises Gone. What has
     come when the time is over counts: whoever sent it was in time."""
     while True:
--- a/test.sh
+++ b/test.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# Lint, types, tests (module size and width are among the tests).
+# Format, lint, types, tests (module size and width are among the tests).
 set -eu
 cd "$(dirname "$0")"
+ruff format --check .
 ruff check .
 mypy
 python -m pytest -q
--- a/tests/basin.py
+++ b/tests/basin.py
@@ -68,8 +68,17 @@
 
 
 class Basin:
-    def __init__(self, seed: int, zones: dict[str, str], slots: dict[str, int], load: float, gateways: int = 2,
-                 hot: float = 0.0, unsafe: float = 0.4, said: float = 1.0) -> None:
+    def __init__(
+        self,
+        seed: int,
+        zones: dict[str, str],
+        slots: dict[str, int],
+        load: float,
+        gateways: int = 2,
+        hot: float = 0.0,
+        unsafe: float = 0.4,
+        said: float = 1.0,
+    ) -> None:
         """`load`: of all slots; `hot`: the share of one tenant; `said`: slots told for each that is there."""
         self.rng, self.now = random.Random(seed), 100 * SECOND
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
@@ -119,8 +128,13 @@
 
     def _gateway(self, name: str, zone: str) -> Gateway:
         gateway = Gateway(name, zone, None, self.chains, self.now)  # type: ignore[arg-type]
-        gateway.crest = Crest("s", self.rng.random, cut=lambda: 0.0 if self.now - gateway.contact < CUT else (
-            1.0 if self.now - gateway.contact < LONG else FEW))
+        gateway.crest = Crest(
+            "s",
+            self.rng.random,
+            cut=lambda: 0.0
+            if self.now - gateway.contact < CUT
+            else (1.0 if self.now - gateway.contact < LONG else FEW),
+        )
         gateway.crest.show(self.chains)
         return gateway
 
@@ -131,10 +145,16 @@
         self.keeper_zone = zone or self.keeper_zone
         self.heard, begun = {}, self.now
         self.turns: dict[str, list[tuple[int, Flow]]] = {name: [] for name in self.places}  # as this one sees them
-        self.keeper = Crest("s", self.rng.random, lambda place: frozenset(self.missed.get(place, set())),
-                            away=lambda may: sum(
-                                FEW if self.now - self.heard.get(g, begun) >= LONG_GONE else 1.0
-                                for g in may if self.now - self.heard.get(g, -HEARD) >= HEARD))
+        self.keeper = Crest(
+            "s",
+            self.rng.random,
+            lambda place: frozenset(self.missed.get(place, set())),
+            away=lambda may: sum(
+                FEW if self.now - self.heard.get(g, begun) >= LONG_GONE else 1.0
+                for g in may
+                if self.now - self.heard.get(g, -HEARD) >= HEARD
+            ),
+        )
         self.keeper.show(self.chains)
         near = [g for g in self.gateways if g.zone == self.keeper_zone and self.now - g.told_at < TOLD]
         if near:
@@ -179,8 +199,14 @@
         rate = self.load * sum(p.slots for p in self.places.values()) * SECOND / WORK / len(self.gateways)
         self.at(self.now + int(self.rng.expovariate(rate) * SECOND) + 1, lambda: self.arrive(gateway))
         tenant = "hot" if self.rng.random() < self.hot else f"t{self.rng.randrange(6)}"
-        request = Request(gateway, self.rng.random() >= self.unsafe, self.rng.choice((0, 2)), tenant,
-                          int(WORK * self.rng.uniform(0.5, 1.5)), self.now)
+        request = Request(
+            gateway,
+            self.rng.random() >= self.unsafe,
+            self.rng.choice((0, 2)),
+            tenant,
+            int(WORK * self.rng.uniform(0.5, 1.5)),
+            self.now,
+        )
         self.requests.append(request)
         self.at(self.now + DEADLINE, lambda: self.end(request, "deadline"))
         ask = self.asks(request)
@@ -195,8 +221,9 @@
         self.send(request, way, gateway.crest)
 
     def asks(self, request: Request) -> Ask:
-        return Ask(request.gateway.name, request.gateway.zone, request.rank, request.tenant, request.safe,
-                   WORK / SECOND, AIM)
+        return Ask(
+            request.gateway.name, request.gateway.zone, request.rank, request.tenant, request.safe, WORK / SECOND, AIM
+        )
 
     def held(self) -> dict[str, tuple[int, float]]:
         return {name: (p.busy + len(p.queue), p.slots * p.said) for name, p in self.places.items()}
@@ -217,8 +244,11 @@
             return self.end(request, "refused")
         zones = getattr(way, "zones", None)
         moves = crest.moves()
-        up = [p for p in self.places.values() if (zones is None or p.name in zones)
-              and (zones is not None or p.name not in request.gateway.closed)] or list(self.places.values())
+        up = [
+            p
+            for p in self.places.values()
+            if (zones is None or p.name in zones) and (zones is not None or p.name not in request.gateway.closed)
+        ] or list(self.places.values())
         best = min(up, key=lambda p: (p.busy + len(p.queue)) / p.slots + (p.name != request.gateway.zone) * 0.5)
         self._ticket += 1
         request.ticket = self._ticket
@@ -265,6 +295,7 @@
                 self.leave(request)
                 self.learn(request, "served")
                 self.end(request, "served")
+
         self.at(self.now + request.work, done)
 
     def silent(self, request: Request, hop: int) -> None:
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -33,10 +33,16 @@
 ID = re.compile(rb"attempt-id: *(\w+)", re.IGNORECASE)
 PLACES = {"i-1": ("one", ("10.0.1.1", 80)), "i-2": ("one", ("10.0.1.2", 80)), "i-3": ("two", ("10.0.2.1", 80))}
 CONFIG = {
-    "gen": 7, "limits": {"idle": "15s"},
-    "routes": {"cols": ["name", "vhost", "prefix", "type", "deadline", "tries", "svc"],
-               "rows": [["read", "a", "/r/", "safe", "5s", 3, "one"], ["book", "a", "/b/", "unsafe", "6s", 3, "one"],
-                        ["move", "a", "/m/", "unsafe", "9s", 2, "two"]]},
+    "gen": 7,
+    "limits": {"idle": "15s"},
+    "routes": {
+        "cols": ["name", "vhost", "prefix", "type", "deadline", "tries", "svc"],
+        "rows": [
+            ["read", "a", "/r/", "safe", "5s", 3, "one"],
+            ["book", "a", "/b/", "unsafe", "6s", 3, "one"],
+            ["move", "a", "/m/", "unsafe", "9s", 2, "two"],
+        ],
+    },
     "svcs": {"cols": ["name"], "rows": [["one"], ["two"]]},
     "tenants": {"cols": ["name", "apikeys"], "rows": [["t1", ["k1"]], ["t2", ["k2"]]]},
 }
@@ -88,13 +94,18 @@
     body = arrival.body()
     fields["Content-Length"] = str(len(body))
     return b"HTTP/1.1 %s\r\n%s\r\n%s" % (
-        status, b"".join(f"{name}: {value}\r\n".encode() for name, value in fields.items()), body)
+        status,
+        b"".join(f"{name}: {value}\r\n".encode() for name, value in fields.items()),
+        body,
+    )
 
 
 def chunked(arrival: Arrival) -> bytes:
     body = arrival.body()
     head = b"HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nSeal: %s\r\nTransfer-Encoding: chunked\r\n\r\n" % (
-        arrival.asked.id.encode(), arrival.sealed)
+        arrival.asked.id.encode(),
+        arrival.sealed,
+    )
     return head + b"4\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n" % (body[:4], len(body) - 4, body[4:])
 
 
@@ -311,13 +322,26 @@
         self.owed: list[Callable[[bool, int, bool], None]] = []
         gauge = SimpleNamespace(ask=self._count, counts=lambda duty: False, holder=lambda duty: None)
         mains = SimpleNamespace(handlers={})
-        self.plant = Plant(Shared(self.loop, given), cast(Any, gauge), cast(Any, mains), "g", ["z"], "z",
-                           Retries(10 * SECOND, 16.0, 60.0))
+        self.plant = Plant(
+            Shared(self.loop, given),
+            cast(Any, gauge),
+            cast(Any, mains),
+            "g",
+            ["z"],
+            "z",
+            Retries(10 * SECOND, 16.0, 60.0),
+        )
         listener = self.net.listen(("10.0.0.1", 80), 64)
         self.listener = listener
         self.acceptor = Acceptor(cast(Any, self.plant), listener, self.loop)
-        self.shutdown = Shutdown(cast(Any, SimpleNamespace(
-            host=self.plant, loop=self.loop, accepting=self.acceptor.task, accept_one=self.acceptor.accept_one)))
+        self.shutdown = Shutdown(
+            cast(
+                Any,
+                SimpleNamespace(
+                    host=self.plant, loop=self.loop, accepting=self.acceptor.task, accept_one=self.acceptor.accept_one
+                ),
+            )
+        )
         self.asked: dict[str, Asked] = {}
         self.callers: list[Caller] = []
         self.ears: list[Ear] = []
@@ -340,8 +364,10 @@
             then(*self.word)
 
     def show(self) -> None:
-        found = {name: Backend(name, service, f"{ip}:{port}", "z", 2.0, name not in self.drained, 0)
-                 for name, (service, (ip, port)) in PLACES.items()}
+        found = {
+            name: Backend(name, service, f"{ip}:{port}", "z", 2.0, name not in self.drained, 0)
+            for name, (service, (ip, port)) in PLACES.items()
+        }
         avoid = {"t2": frozenset({"i-1"})} if self.avoid else {}
         was = self.plant.picture
         self.plant.show(replace(Picture(**parts(self.idle)), backends=found, avoid=avoid, gen=was.gen + 1))
@@ -390,14 +416,19 @@
         elif body:
             framing = b"Content-Length: %d\r\n" % len(body)
         raw = b"%s\r\nHost: a\r\nAttempt-Id: %s\r\nTime-Left: 9000\r\nAuthorization: Bearer k%d\r\n%s\r\n%s" % (
-            line, rid.encode(), 1 + tenant, framing, sent)
+            line,
+            rid.encode(),
+            1 + tenant,
+            framing,
+            sent,
+        )
         raw = b"\r\n" * (kind >> 6 & 1) + raw  # as some clients send behind a body
         self.asked[rid] = Asked(rid, unsafe, raw, line, body)
         return self.asked[rid]
 
     def play(self, schedule: bytes) -> None:
         for at in range(0, len(schedule) - 2, 3):
-            self.step(*schedule[at:at + 3])
+            self.step(*schedule[at : at + 3])
             self.turn()
             self.now += 3 * MS * (schedule[at + 1] & 1)  # connections settle, and are used again
         self.finish()
@@ -549,7 +580,7 @@
             for asked in caller.whole:
                 size += len(asked.raw)
                 owed += size <= caller.line.taken
-        assert len(complete) >= owed, f"{[a.id for a in caller.whole[len(complete):]]} got no verdict, {answers}"
+        assert len(complete) >= owed, f"{[a.id for a in caller.whole[len(complete) :]]} got no verdict, {answers}"
 
 
 def play(schedule: bytes, **limits: Any) -> World:
--- a/tests/data_plane.py
+++ b/tests/data_plane.py
@@ -19,10 +19,14 @@
 KEY = "ctnfzs989anu6wsjnban"
 CONFIG = {
     "gen": 7,
-    "routes": {"cols": ["name", "vhost", "prefix", "type", "deadline", "target_time", "prio", "tries", "public", "svc"],
-               "rows": [["read", "a.example", "/r/", "safe", "5s", "800ms", 2, 2, False, "one"],
-                        ["deep", "a.example", "/r/deep/", "safe", "5s", "800ms", 2, 2, True, "two"],
-                        ["book", "a.example", "/b/", "unsafe", "6000ms", "1s", 1, 2, False, "one"]]},
+    "routes": {
+        "cols": ["name", "vhost", "prefix", "type", "deadline", "target_time", "prio", "tries", "public", "svc"],
+        "rows": [
+            ["read", "a.example", "/r/", "safe", "5s", "800ms", 2, 2, False, "one"],
+            ["deep", "a.example", "/r/deep/", "safe", "5s", "800ms", 2, 2, True, "two"],
+            ["book", "a.example", "/b/", "unsafe", "6000ms", "1s", 1, 2, False, "one"],
+        ],
+    },
     "svcs": {"cols": ["name"], "rows": [["one"], ["two"]]},
     "tenants": {"cols": ["name", "apikeys", "rate-per-s", "burst"], "rows": [["t1", [KEY], 10, 10]]},
 }
@@ -35,8 +39,7 @@
         self.word = (True, 0, True)
         self.asked: list[tuple[str, bool]] = []
 
-    def ask(self, tenant: str, again: bool, then: Callable[[bool, int, bool], None],
-            patience: int) -> None:
+    def ask(self, tenant: str, again: bool, then: Callable[[bool, int, bool], None], patience: int) -> None:
         self.asked.append((tenant, again))
         then(*self.word)
 
@@ -62,8 +65,15 @@
         self.loop = Loop(self.clock, self.limits)
         self.first, self.second, self.other = Party(), Party(), Party()
         self.gauge, self.peers = FakeGauge(), []
-        self.plant = Plant(Shared(self.loop, self.limits), self.gauge, FakeMains(), "g", ["z"], "z",  # type: ignore[arg-type]
-                           Retries(10_000 * MS, 16.0, 60.0))  # plenty: what it earns is tested apart
+        self.plant = Plant(
+            Shared(self.loop, self.limits),
+            self.gauge,  # type: ignore[arg-type]
+            FakeMains(),  # type: ignore[arg-type]
+            "g",
+            ["z"],
+            "z",
+            Retries(10_000 * MS, 16.0, 60.0),
+        )  # plenty: what it earns is tested apart
         listener = listening(("127.0.0.1", 0), 64)
         self.address = listener.getsockname()
         self.acceptor = Acceptor(self.plant, listener, self.loop)
@@ -71,13 +81,23 @@
 
     def show(self, gone: tuple[str, ...] = (), drain: tuple[str, ...] = (), **changes: Any) -> None:
         places = {"i-1": ("one", self.first), "i-2": ("one", self.second), "i-3": ("two", self.other)}
-        backends = {name: Backend(name, service, party.text, "z", 2.0, name not in drain, 0)
-                    for name, (service, party) in places.items() if name not in gone}
+        backends = {
+            name: Backend(name, service, party.text, "z", 2.0, name not in drain, 0)
+            for name, (service, party) in places.items()
+            if name not in gone
+        }
         parts = configured(json.dumps(CONFIG | changes).encode())
         self.plant.show(replace(Picture(**parts), backends=backends))
 
-    def say(self, path: str = "/r/x", rid: str = "a1", key: str | None = KEY, method: str = "GET", body: bytes = b"",
-            **headers: str) -> StandIn:
+    def say(
+        self,
+        path: str = "/r/x",
+        rid: str = "a1",
+        key: str | None = KEY,
+        method: str = "GET",
+        body: bytes = b"",
+        **headers: str,
+    ) -> StandIn:
         fields = {"Host": "a.example", "Attempt-Id": rid, "Time-Left": "5000"}
         fields |= {"Authorization": f"Bearer {key}"} if key else {}
         fields |= {"Content-Length": str(len(body))} if body else {}
@@ -89,9 +109,13 @@
 
     def at_backend(self) -> tuple[str, StandIn, bytes]:
         """The next request that came to a backend of service one: which, its connection, what it read."""
+
         def look() -> Any:
-            return next(((name, peer) for name, party in (("i-1", self.first), ("i-2", self.second))
-                         if (peer := party.take())), None)
+            return next(
+                ((name, peer) for name, party in (("i-1", self.first), ("i-2", self.second)) if (peer := party.take())),
+                None,
+            )
+
         name, peer = self.until(look)
         return name, self._kept(peer), self.reads(peer)
 
--- a/tests/drawn.py
+++ b/tests/drawn.py
@@ -16,8 +16,15 @@
 
 MS = 1_000
 SECOND = 1_000_000
-ENDINGS = (i.Ending.SERVED, i.Ending.ERROR, i.Ending.FULL, i.Ending.TIMEOUT, i.Ending.NO_CONNECTION,
-           i.Ending.RESET, i.Ending.MOOT)
+ENDINGS = (
+    i.Ending.SERVED,
+    i.Ending.ERROR,
+    i.Ending.FULL,
+    i.Ending.TIMEOUT,
+    i.Ending.NO_CONNECTION,
+    i.Ending.RESET,
+    i.Ending.MOOT,
+)
 
 
 class Decides(Protocol):
@@ -27,30 +34,52 @@
 
 def classes(rng: random.Random) -> tuple[i.RequestClass, ...]:
     return tuple(
-        i.RequestClass(aim=rng.choice((300 * MS, SECOND, 1500 * MS)), deadline=rng.choice((2, 4, 5)) * SECOND,
-                       effect=rng.choice(tuple(i.Effect)), group=rng.choice(("all", "zone", "cell")),
-                       memory=rng.choice((0, 500 * MS, 60 * SECOND)), tries=rng.choice((0, 0, 1, 3)))
-        for _ in range(rng.randint(1, 3)))
+        i.RequestClass(
+            aim=rng.choice((300 * MS, SECOND, 1500 * MS)),
+            deadline=rng.choice((2, 4, 5)) * SECOND,
+            effect=rng.choice(tuple(i.Effect)),
+            group=rng.choice(("all", "zone", "cell")),
+            memory=rng.choice((0, 500 * MS, 60 * SECOND)),
+            tries=rng.choice((0, 0, 1, 3)),
+        )
+        for _ in range(rng.randint(1, 3))
+    )
 
 
 def plan(rng: random.Random) -> i.Plan:
     quota = rng.random() < 0.8
-    return i.Plan(rate=rng.choice((0.5, 4.0, 20.0)) if quota else 0.0, burst=rng.choice((2.0, 8.0, 60.0)),
-                  open=rng.choice((0, 0, 3, 10)), price=rng.choice((0.2, 1.0, 2.5)),
-                  over_worth=rng.choice((0.0, 0.3)), over_cost=rng.choice((0.0, 0.0, 1.0)),
-                  ceiling_rate=rng.choice((0.0, 0.0, 10.0)), ceiling_burst=rng.choice((5.0, 30.0)))
+    return i.Plan(
+        rate=rng.choice((0.5, 4.0, 20.0)) if quota else 0.0,
+        burst=rng.choice((2.0, 8.0, 60.0)),
+        open=rng.choice((0, 0, 3, 10)),
+        price=rng.choice((0.2, 1.0, 2.5)),
+        over_worth=rng.choice((0.0, 0.3)),
+        over_cost=rng.choice((0.0, 0.0, 1.0)),
+        ceiling_rate=rng.choice((0.0, 0.0, 10.0)),
+        ceiling_burst=rng.choice((5.0, 30.0)),
+    )
 
 
 def settings(rng: random.Random) -> i.Settings:
     return i.Settings(
-        classes=classes(rng), plans=tuple(plan(rng) for _ in range(rng.randint(1, 3))),
-        fleet=rng.choice((1, 2, 8, 60)), on_request=rng.random() < 0.2, max_attempts=rng.randint(1, 4),
-        max_retry_after=rng.choice((0, 200 * MS, SECOND)), retry_after=rng.random() < 0.8,
-        may_cancel=rng.random() < 0.7, may_count=rng.random() < 0.75,
-        counter_timeout=rng.choice((20 * MS, 50 * MS)), largest=rng.choice((1.0, 4.0)),
-        post_paid=rng.random() < 0.3, late_earns=rng.random() < 0.3, cross_zone_price=rng.choice((0.0, 1.0)),
-        cold_from=rng.choice((0.1, 0.5, 1.0)), ramp=rng.choice((0, 5 * SECOND, 30 * SECOND)),
-        fall_span=rng.choice((500 * MS, SECOND)))
+        classes=classes(rng),
+        plans=tuple(plan(rng) for _ in range(rng.randint(1, 3))),
+        fleet=rng.choice((1, 2, 8, 60)),
+        on_request=rng.random() < 0.2,
+        max_attempts=rng.randint(1, 4),
+        max_retry_after=rng.choice((0, 200 * MS, SECOND)),
+        retry_after=rng.random() < 0.8,
+        may_cancel=rng.random() < 0.7,
+        may_count=rng.random() < 0.75,
+        counter_timeout=rng.choice((20 * MS, 50 * MS)),
+        largest=rng.choice((1.0, 4.0)),
+        post_paid=rng.random() < 0.3,
+        late_earns=rng.random() < 0.3,
+        cross_zone_price=rng.choice((0.0, 1.0)),
+        cold_from=rng.choice((0.1, 0.5, 1.0)),
+        ramp=rng.choice((0, 5 * SECOND, 30 * SECOND)),
+        fall_span=rng.choice((500 * MS, SECOND)),
+    )
 
 
 class Drawn:
@@ -81,8 +110,16 @@
             if form is not i.ListForm.DELTA or rng.random() < 0.3:
                 state = rng.choice((i.State.READY,) * 5 + tuple(i.State))
                 started = rng.choice((0, 0, self.now - rng.randrange(20 * SECOND)))
-                entries.append(i.Entry(backend, rng.randrange(2), cell=rng.randrange(3), state=state,
-                                       weight=rng.choice((1.0, 1.0, 0.5, 3.0)), started=started))
+                entries.append(
+                    i.Entry(
+                        backend,
+                        rng.randrange(2),
+                        cell=rng.randrange(3),
+                        state=state,
+                        weight=rng.choice((1.0, 1.0, 0.5, 3.0)),
+                        started=started,
+                    )
+                )
         listed = rng.choice((0.0, 0.9, 0.9, 0.9, 1.0))  # the list may be empty
         kept = [e for e in entries if form is i.ListForm.DELTA or rng.random() < listed]
         return i.Backends(form, () if form is i.ListForm.FAILED else tuple(kept))
@@ -95,8 +132,16 @@
             cls = len(s.classes)  # of none that is known
         self.live = [*self.live[-30:], rid]
         customer = min(int(rng.expovariate(0.4)), 12)
-        return i.Request(rid, f"c{customer}", cls, customer % len(s.plans), rng.choice((0.5, 1.0, s.largest)),
-                         rng.randint(1, s.fleet), 0, self.now + wait)
+        return i.Request(
+            rid,
+            f"c{customer}",
+            cls,
+            customer % len(s.plans),
+            rng.choice((0.5, 1.0, s.largest)),
+            rng.randint(1, s.fleet),
+            0,
+            self.now + wait,
+        )
 
     def strays(self) -> i.Event:
         """What comes of its own accord, some of it about what is long over."""
@@ -143,8 +188,9 @@
             elif isinstance(action, i.Charge):
                 self.charge(action)
             elif isinstance(action, i.Cancel):
-                self.later(0, i.Ended(action.id, 0, action.hop, action.id in self.done, i.Ending.CANCELLED,
-                                      self.latency))
+                self.later(
+                    0, i.Ended(action.id, 0, action.hop, action.id in self.done, i.Ending.CANCELLED, self.latency)
+                )
             elif isinstance(action, i.Wake):
                 self.later(action.delay + self.rng.randrange(20 * MS), i.Timer(action.token))
             elif isinstance(action, i.Fetch):
@@ -160,8 +206,10 @@
         if rng.random() < 0.1 * self.trouble:
             latency += 4 * SECOND  # it hangs
         over = action.id in self.done or ending is i.Ending.SERVED or rng.random() < 0.05
-        self.later(latency, i.Ended(action.id, action.backend, hop, over, ending, latency,
-                                    true_units=rng.choice((0.0, 0.5, 2.0))))
+        self.later(
+            latency,
+            i.Ended(action.id, action.backend, hop, over, ending, latency, true_units=rng.choice((0.0, 0.5, 2.0))),
+        )
 
     def charge(self, action: i.Charge) -> None:
         rng = self.rng
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -152,8 +152,17 @@
             Jury(loop, mains, cast(Any, Cistern(life)))
             return
         self.members = Members()
-        self.gauge = Gauge(loop, mains, TERMS, self.name, life.name, spelled(self.address), lambda: self.members,
-                           lambda: self.fleet.jurors if self.members else [], self.fleet.quota)
+        self.gauge = Gauge(
+            loop,
+            mains,
+            TERMS,
+            self.name,
+            life.name,
+            spelled(self.address),
+            lambda: self.members,
+            lambda: self.fleet.jurors if self.members else [],
+            self.fleet.quota,
+        )
         self.fleet.later(100, 400, lambda: self.fleet.join(self, life))
 
     def kill(self, off: bool = False) -> None:
@@ -168,8 +177,11 @@
             if machine.life is not None and self.fleet.reaches(machine, self):
                 for number, (target, _) in list(machine.life.waiting.items()):
                     if target is life:
-                        self.fleet.at(self.fleet.now + MS, lambda m=machine, n=number, other=machine.life:  # type: ignore[misc]
-                                      m.run(other, lambda: other.waiting.pop(n, (None, lambda answer: None))[1](None)))
+                        self.fleet.at(
+                            self.fleet.now + MS,
+                            lambda m=machine, n=number, other=machine.life:  # type: ignore[misc]
+                            m.run(other, lambda: other.waiting.pop(n, (None, lambda answer: None))[1](None)),
+                        )
 
     def swift(self) -> None:
         self.slow, self.lossy = 0, 0.0
@@ -197,8 +209,10 @@
     def worst(self) -> tuple[float, int]:
         """The fullest window against what may pass in one, and when it began."""
         most = (self.quota.rate * TERMS.window / SECOND + self.quota.burst) * (1 + TERMS.excess) + TERMS.slack
-        return max(((bisect_right(self.passed, at + TERMS.window - 1) - n) / most, at)
-                   for n, at in enumerate([*self.passed, 0]))
+        return max(
+            ((bisect_right(self.passed, at + TERMS.window - 1) - n) / most, at)
+            for n, at in enumerate([*self.passed, 0])
+        )
 
 
 class Fleet(Time):
@@ -311,8 +325,12 @@
         for machine in up:
             for duty in machine.gauge.held() if machine.gauge else ():
                 holders[duty] = holders.get(duty, 0) + 1
-        able = self.core_up() and len(up) > 1 and not self.cuts and not any(
-            m.slow or m.lossy or m.paused or m.sync_ms > 8 for m in self.machines.values())
+        able = (
+            self.core_up()
+            and len(up) > 1
+            and not self.cuts
+            and not any(m.slow or m.lossy or m.paused or m.sync_ms > 8 for m in self.machines.values())
+        )
         for duty in (f"gauge/{n}" for n in range(DUTIES)):
             assert holders.get(duty, 0) <= 1, f"{duty} is counted twice"
             if holders.get(duty) or not able:
@@ -334,9 +352,12 @@
             when = "kill" if self.now - self.kills < CALM else "trouble" if self.now < self.troubled + CALM else "calm"
             owed = tenant.load < 1 and tenant.owed(self.now)
             self.asked[when] += owed
-            machine.gauge.ask(tenant.name, self.rng.random() < 0.1,  # type: ignore[union-attr]
-                              lambda passes, wait, counted, owed=owed, when=when:  # type: ignore[misc]
-                              self.told(tenant, passes, owed, when))
+            machine.gauge.ask(  # type: ignore[union-attr]
+                tenant.name,
+                self.rng.random() < 0.1,
+                lambda passes, wait, counted, owed=owed, when=when:  # type: ignore[misc]
+                self.told(tenant, passes, owed, when),
+            )
 
     def told(self, tenant: Tenant, passes: bool, owed: bool, when: str) -> None:
         if passes:
@@ -369,8 +390,27 @@
         rng = self.rng
         machine = self.holder() if rng.random() < 0.6 else rng.choice(self.gates)
         span = rng.choice([50, 300, 1_000, 2_500, 5_000, 12_000]) * MS + rng.randrange(200 * MS)
-        kind = rng.choice(["down", "down", "off", "cut", "half", "split", "core cut", "juror", "jurors", "all",
-                           "all gates", "slow", "lossy", "pause", "several", "flap", "disk"])
+        kind = rng.choice(
+            [
+                "down",
+                "down",
+                "off",
+                "cut",
+                "half",
+                "split",
+                "core cut",
+                "juror",
+                "jurors",
+                "all",
+                "all gates",
+                "slow",
+                "lossy",
+                "pause",
+                "several",
+                "flap",
+                "disk",
+            ]
+        )
         others = [m for m in self.gates if m is not machine]
         self.trouble(self.now + span)
         if kind in ("down", "off"):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -34,9 +34,21 @@
 CLASS = RequestClass(aim=1_000_000, deadline=4_000_000, effect=Effect.SAFE)
 HARD = Plan(rate=2.0, burst=8.0, price=1.0, over_cost=1.0)
 SOFT = Plan(rate=10.0, burst=20.0, price=1.5, over_worth=0.3)
-SETTINGS = Settings(classes=(CLASS,), plans=(HARD, SOFT), fleet=2, max_attempts=4, may_cancel=True,
-                    may_count=True, counter_timeout=50_000, largest=4, cold_from=0.2, ramp=10_000_000,
-                    fall_multiple=3.0, fall_span=1_000_000, drain_grace=1_000_000)
+SETTINGS = Settings(
+    classes=(CLASS,),
+    plans=(HARD, SOFT),
+    fleet=2,
+    max_attempts=4,
+    may_cancel=True,
+    may_count=True,
+    counter_timeout=50_000,
+    largest=4,
+    cold_from=0.2,
+    ramp=10_000_000,
+    fall_multiple=3.0,
+    fall_span=1_000_000,
+    drain_grace=1_000_000,
+)
 
 
 class Drive:
@@ -59,8 +71,15 @@
             self.now = min(end, self.now + 250_000)
             self.send(Timer(0))
 
-    def request(self, customer: str = "a", units: float = 1, plan: int = 0, cls: int = 0, spread: int = 2,
-                patience: int = 3_000_000) -> tuple[str, list[Action]]:
+    def request(
+        self,
+        customer: str = "a",
+        units: float = 1,
+        plan: int = 0,
+        cls: int = 0,
+        spread: int = 2,
+        patience: int = 3_000_000,
+    ) -> tuple[str, list[Action]]:
         self.n += 1
         rid = f"r{self.n}"
         return rid, self.send(Request(rid, customer, cls, plan, units, spread, 0, self.now + patience))
@@ -77,13 +96,21 @@
             out += self.count(more, ending)
         return out
 
-    def ask(self, customer: str = "a", units: float = 1, plan: int = 0, ending: Ending = Ending.SERVED,
-            **kw: Any) -> tuple[str, list[Action]]:
+    def ask(
+        self, customer: str = "a", units: float = 1, plan: int = 0, ending: Ending = Ending.SERVED, **kw: Any
+    ) -> tuple[str, list[Action]]:
         rid, actions = self.request(customer, units, plan, **kw)
         return rid, actions + self.count(actions, ending)
 
-    def end(self, rid: str, backend: int, hop: int = 0, ending: Ending = Ending.SERVED,
-            over: bool | None = None, latency: int = 100_000) -> list[Action]:
+    def end(
+        self,
+        rid: str,
+        backend: int,
+        hop: int = 0,
+        ending: Ending = Ending.SERVED,
+        over: bool | None = None,
+        latency: int = 100_000,
+    ) -> list[Action]:
         over = ending is Ending.SERVED if over is None else over
         return self.send(Ended(rid, backend, hop, over, ending, latency))
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""KNOWN-RED.txt at the root: tests that fail for a real fault which is not mended yet, a line each:
+"""KNOWN-RED.txt at the root: tests that fail for a real fault which is not mended yet.
 
-    tests/test_name.py::test_function; the cause; issue N
+A line each, in three parts: `tests/test_name.py::test_function; the cause; issue N`.
 """
 
 from __future__ import annotations
--- a/tests/lines.py
+++ b/tests/lines.py
@@ -95,11 +95,12 @@
         if flags & socket.MSG_TRUNC:
             self.taken -= len(data)
         else:
-            buffer[:len(data)] = data
+            buffer[: len(data)] = data
         return len(data)
 
-    def recvmsg_into(self, buffers: Iterable[Any], ancillary: int = 0, flags: int = 0, /
-                     ) -> tuple[int, list[tuple[int, int, bytes]], int, Any]:
+    def recvmsg_into(
+        self, buffers: Iterable[Any], ancillary: int = 0, flags: int = 0, /
+    ) -> tuple[int, list[tuple[int, int, bytes]], int, Any]:
         return self.recv_into(next(iter(buffers))), [], 0, None
 
     def _whole(self) -> None:
--- a/tests/node.py
+++ b/tests/node.py
@@ -24,10 +24,21 @@
         {"name": "slot-lookup", "effect": "safe", "giveUpUs": 5_000_000, "targetUs": 1_500_000},
         {"name": "save", "effect": "unsafe", "giveUpUs": 5_000_000, "targetUs": 1_500_000},
     ],
-    "fleetSize": 4, "position": 0, "zone": 0, "discovery": "pushed",
-    "zones": ["room-a", "room-b"], "kinds": ["std"],
-    "limits": {"maxAttempts": 4, "mayCancel": True, "retryAfter": True, "maxRetryAfterUs": 1_000_000,
-               "connIdleUs": 30_000_000, "connectTimeoutUs": 250_000, "maxOpen": 100},
+    "fleetSize": 4,
+    "position": 0,
+    "zone": 0,
+    "discovery": "pushed",
+    "zones": ["room-a", "room-b"],
+    "kinds": ["std"],
+    "limits": {
+        "maxAttempts": 4,
+        "mayCancel": True,
+        "retryAfter": True,
+        "maxRetryAfterUs": 1_000_000,
+        "connIdleUs": 30_000_000,
+        "connectTimeoutUs": 250_000,
+        "maxOpen": 100,
+    },
     "report": {"columns": ["concurrent", "load_share"], "how": "answers"},
     "specifics": {"mayCount": True, "counterTimeoutUs": 80_000, "largest": 4},
     "tiersOfService": [{"name": "team", "perSecond": 2.0, "depth": 8.0, "valueFactor": 1.0}],
@@ -112,8 +123,17 @@
 
 
 def row(name: str, address: str, status: str = "active", **changes: Any) -> dict[str, Any]:
-    return {"name": name, "address": address, "zone": "room-a", "type": "std", "group": 1, "status": status,
-            "weight": 1.0, "since_ms": 0, **changes}
+    return {
+        "name": name,
+        "address": address,
+        "zone": "room-a",
+        "type": "std",
+        "group": 1,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": 0,
+        **changes,
+    }
 
 
 class Node:
@@ -125,12 +145,18 @@
         self.listener = listening(("127.0.0.1", 0), 64)
         self.address: tuple[str, int] = self.listener.getsockname()
         known = {"index": 41, "snapshot": True, "endpoints": [row("s-1", self.backend.text)]}
-        data = {"name": "n0", "listen": "%s:%d" % self.address, "discovery": self.discovery.text,  # noqa: UP031
-                "counter": self.counter.text, "seed": "8c1f30d27a5be964", "known": known,
-                "limits": {"sockets": 1024}, "settings": {**SETTINGS, **(settings or {})}}
+        data = {
+            "name": "n0",
+            "listen": "%s:%d" % self.address,  # noqa: UP031
+            "discovery": self.discovery.text,
+            "counter": self.counter.text,
+            "seed": "8c1f30d27a5be964",
+            "known": known,
+            "limits": {"sockets": 1024},
+            "settings": {**SETTINGS, **(settings or {})},
+        }
         configuration = decode(data, {})
-        self.configuration: Configuration = replace(
-            configuration, limits=replace(configuration.limits, **limits))
+        self.configuration: Configuration = replace(configuration, limits=replace(configuration.limits, **limits))
         self.loop = Loop(self.clock, self.configuration.limits)
         self.server = Server(self.configuration, self.listener, self.loop)
         self.host = self.server.host
@@ -196,10 +222,16 @@
             peer.close()
 
 
-def request(rid: str = "9b1f03aa5c7e2d41", method: str = "GET", target: str = "", body: bytes = b"",
-            **headers: Any) -> bytes:
-    fields = {"Host": "app.svc", "X-Trace-Id": rid, "X-Tier": "team", "X-Expires-In": "4000m",
-              "X-Call-Terms": "units=2,spread=3,first=1"}
+def request(
+    rid: str = "9b1f03aa5c7e2d41", method: str = "GET", target: str = "", body: bytes = b"", **headers: Any
+) -> bytes:
+    fields = {
+        "Host": "app.svc",
+        "X-Trace-Id": rid,
+        "X-Tier": "team",
+        "X-Expires-In": "4000m",
+        "X-Call-Terms": "units=2,spread=3,first=1",
+    }
     fields |= {k.replace("_", "-"): v for k, v in headers.items()}
     if body:
         fields["Content-Length"] = str(len(body))
--- a/tests/paired.py
+++ b/tests/paired.py
@@ -92,14 +92,24 @@
     free.close()
     known = {"index": 1, "snapshot": True, "endpoints": [row(f"s-{n}", party(backend)) for n in range(4)]}
     plan = {"name": "team", "perSecond": 1e6, "depth": 1e6, "valueFactor": 1.0}  # nothing is to be refused
-    told = {"name": "n0", "listen": "%s:%d" % address, "seed": "8c1f30d27a5be964", "known": known,  # noqa: UP031
-            "discovery": party(discovery), "counter": party(counter), "limits": {"sockets": 1024},
-            "settings": {**SETTINGS, "tiersOfService": [plan]}}
+    told = {
+        "name": "n0",
+        "listen": "%s:%d" % address,  # noqa: UP031
+        "seed": "8c1f30d27a5be964",
+        "known": known,
+        "discovery": party(discovery),
+        "counter": party(counter),
+        "limits": {"sockets": 1024},
+        "settings": {**SETTINGS, "tiersOfService": [plan]},
+    }
     with TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
         path.write_text(json.dumps(told))
-        process = subprocess.Popen([sys.executable, "-m", "oakvale", "serve", "--log-level", "warning"], cwd=tree,
-                                   env={**os.environ, "LB_CONFIG": str(path), "PYTHONPATH": str(tree)})
+        process = subprocess.Popen(
+            [sys.executable, "-m", "oakvale", "serve", "--log-level", "warning"],
+            cwd=tree,
+            env={**os.environ, "LB_CONFIG": str(path), "PYTHONPATH": str(tree)},
+        )
         try:
             clients: list[socket.socket] = []
             while not clients:
--- a/tests/questions.py
+++ b/tests/questions.py
@@ -27,7 +27,7 @@
 
     def read(self) -> None:
         data = self.line.read()
-        self._came += data[self._read:]
+        self._came += data[self._read :]
         self._read = len(data)
         for kind, number, body in decode(self._came):
             if kind == "q" and number:
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -40,7 +40,7 @@
     rest = memoryview(data)
     while rest:
         try:
-            rest = rest[client.sock.send(rest):]
+            rest = rest[client.sock.send(rest) :]
         except BlockingIOError:
             gate.loop.turn(0.01)
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -22,9 +22,7 @@
     "zone": 0,
     "discovery": "pushed",
     "unheard": {"of": 1},
-    "classes": [
-        {"effect": "safe", "gain": 1.0, "giveUpUs": 4_000_000, "targetUs": 1_000_000, "group": "all"}
-    ],
+    "classes": [{"effect": "safe", "gain": 1.0, "giveUpUs": 4_000_000, "targetUs": 1_000_000, "group": "all"}],
     "limits": {"maxAttempts": 3, "mayCancel": True, "retryAfter": True, "maxRetryAfterUs": 1_000_000},
     "rules": {"coldFrom": 0.2, "rampTimeUs": 10_000_000, "overloadForUs": 1_000_000, "fallMultiple": 3.0},
     "specifics": {"mayCount": True, "counterTimeoutUs": 50_000, "largest": 4},
@@ -111,12 +109,8 @@
     frames = script(("gateway/0", "gateway/1"))
     one, other = run(frames, "1"), run(frames, "2")
     assert one.returncode == 0 and one.stdout == other.stdout and "attempt" in one.stdout
-    together = [
-        [a for a in json.loads(line)["do"] if a[1] == "gateway/1"] for line in one.stdout.splitlines()
-    ]
-    own = [
-        {**f, "news": [e for e in f["news"] if e[0] == "directory" or e[1] == "gateway/1"]} for f in frames
-    ]
+    together = [[a for a in json.loads(line)["do"] if a[1] == "gateway/1"] for line in one.stdout.splitlines()]
+    own = [{**f, "news": [e for e in f["news"] if e[0] == "directory" or e[1] == "gateway/1"]} for f in frames]
     assert [json.loads(line)["do"] for line in run(own).stdout.splitlines()] == together
 
 
--- a/tests/test_attempts_wire.py
+++ b/tests/test_attempts_wire.py
@@ -24,7 +24,7 @@
     """Sends more than the sockets hold, as the gateway takes it."""
     while data:
         try:
-            data = data[backend.sock.send(data):]
+            data = data[backend.sock.send(data) :]
         except BlockingIOError:
             pass
         except OSError:
@@ -45,8 +45,18 @@
     body = bytes(range(256))
     target = "/save/%7Ea//b?x=1&key=00000000b4d65521&y=%2F"
     client = sending.client()
-    client.send(request("a1", method="POST", target=target, body=body, X_Other="kept", TE="trailers",
-                        Connection="keep-alive, X-Hop", X_Hop="dropped"))
+    client.send(
+        request(
+            "a1",
+            method="POST",
+            target=target,
+            body=body,
+            X_Other="kept",
+            TE="trailers",
+            Connection="keep-alive, X-Hop",
+            X_Hop="dropped",
+        )
+    )
     backend = sending.taken(sending.backend)
     data = sending.reads(backend, body)
     head = data.partition(b"\r\n\r\n")[0].lower()
@@ -73,8 +83,15 @@
 def test_a_served_answer_comes_back_unchanged_without_hop_by_hop_headers(sending: Node) -> None:
     client, backend = started(sending)
     body = bytes(range(256)) * 200
-    backend.send(answer(body=body, Content_Type="image/x", X_More="1", Keep_Alive="timeout=5",
-                        Endpoint_Load_Metrics="TEXT inflight=7, queue=2, util=0.61"))
+    backend.send(
+        answer(
+            body=body,
+            Content_Type="image/x",
+            X_More="1",
+            Keep_Alive="timeout=5",
+            Endpoint_Load_Metrics="TEXT inflight=7, queue=2, util=0.61",
+        )
+    )
     reply = sending.reads(client, body)
     head = reply.partition(b"\r\n\r\n")[0].lower()
     assert reply.endswith(body) and head.startswith(b"http/1.1 200")
@@ -83,37 +100,57 @@
     assert sending.came(i.Ended) == i.Ended("a1", 1, 0, True, Ending.SERVED, 0, report=(7.0, 0.61))
 
 
-@pytest.mark.parametrize("text, report", [
-    (b"TEXT inflight=7, queue=2, util=0.61", (7.0, 0.61)), (b"TEXT util=0.5", (0.0, 0.5)), (b"", ()),
-    (b"JSON {}", ()), (b"TEXT inflight=x", ()), (b"TEXT \xff=1", ()), (b"TEXT inflight=nan", ()),
-    (b"TEXT inflight=1e999", ()), (b"TEXT inflight=7, util=-1", ()), (b"TEXT inflight=1_0, util=0.5", ()),
-])
+@pytest.mark.parametrize(
+    "text, report",
+    [
+        (b"TEXT inflight=7, queue=2, util=0.61", (7.0, 0.61)),
+        (b"TEXT util=0.5", (0.0, 0.5)),
+        (b"", ()),
+        (b"JSON {}", ()),
+        (b"TEXT inflight=x", ()),
+        (b"TEXT \xff=1", ()),
+        (b"TEXT inflight=nan", ()),
+        (b"TEXT inflight=1e999", ()),
+        (b"TEXT inflight=7, util=-1", ()),
+        (b"TEXT inflight=1_0, util=0.5", ()),
+    ],
+)
 def test_load_reports(text: bytes, report: tuple[float, ...]) -> None:
     assert load_report(text, ("inflight", "util")) == report
 
 
-@pytest.mark.parametrize("reply, ending", [
-    (answer("500 Oops"), Ending.ERROR),
-    (answer("503 Full", X_Never_Ran="1"), Ending.FULL),
-    (answer("504 Late", X_Never_Ran="1"), Ending.FULL),
-    (answer("503 Full"), Ending.ERROR),  # it may have run
-    (answer("503 Full", X_Never_Ran="0"), Ending.ERROR),
-    (answer("500 Oops", X_Never_Ran="1"), Ending.ERROR),
-    (answer("408 Late"), Ending.ERROR), (answer("429 Busy"), Ending.ERROR),
-    # spoilt: it may have run
-    (b"nonsense\r\n\r\n", Ending.RESET), (b"\x00\xff" * 100 + b"\r\n", Ending.RESET),
-    (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000, Ending.RESET),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", Ending.RESET),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nslots", Ending.RESET),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: " + b"9" * 5000 + b"\r\n\r\nslots", Ending.RESET),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nslots", Ending.RESET),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nslots\r\n0\r\n\r\n",
-     Ending.RESET),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", Ending.RESET),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\n" + b"x" * 1048577, Ending.RESET),
-    (b"HTTP/1.1 200 OK\r\n\r\nslots", Ending.RESET), (b"HTTP/1.0 200 OK\r\n\r\nslots", Ending.RESET),
-    (b"HTTP/1.1 103 Early\r\n\r\n" * 9, Ending.RESET), (b"HTTP/1.1 101 Other\r\n\r\n", Ending.RESET),
-], ids=range(22))
+@pytest.mark.parametrize(
+    "reply, ending",
+    [
+        (answer("500 Oops"), Ending.ERROR),
+        (answer("503 Full", X_Never_Ran="1"), Ending.FULL),
+        (answer("504 Late", X_Never_Ran="1"), Ending.FULL),
+        (answer("503 Full"), Ending.ERROR),  # it may have run
+        (answer("503 Full", X_Never_Ran="0"), Ending.ERROR),
+        (answer("500 Oops", X_Never_Ran="1"), Ending.ERROR),
+        (answer("408 Late"), Ending.ERROR),
+        (answer("429 Busy"), Ending.ERROR),
+        # spoilt: it may have run
+        (b"nonsense\r\n\r\n", Ending.RESET),
+        (b"\x00\xff" * 100 + b"\r\n", Ending.RESET),
+        (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000, Ending.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", Ending.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nslots", Ending.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: " + b"9" * 5000 + b"\r\n\r\nslots", Ending.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nslots", Ending.RESET),
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nslots\r\n0\r\n\r\n",
+            Ending.RESET,
+        ),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", Ending.RESET),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\n" + b"x" * 1048577, Ending.RESET),
+        (b"HTTP/1.1 200 OK\r\n\r\nslots", Ending.RESET),
+        (b"HTTP/1.0 200 OK\r\n\r\nslots", Ending.RESET),
+        (b"HTTP/1.1 103 Early\r\n\r\n" * 9, Ending.RESET),
+        (b"HTTP/1.1 101 Other\r\n\r\n", Ending.RESET),
+    ],
+    ids=range(22),
+)
 def test_what_an_answer_means(sending: Node, reply: bytes, ending: Ending) -> None:
     _, backend = started(sending)
     pushed(sending, backend, reply)
@@ -154,9 +191,14 @@
     assert sending.reads(client, b"x" * 10).startswith(b"HTTP/1.1 200")
 
 
-@pytest.mark.parametrize("begun", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nslots", b"HTTP/1.1 200 OK\r\nContent-Le",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nslots\r\n"])
+@pytest.mark.parametrize(
+    "begun",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nslots",
+        b"HTTP/1.1 200 OK\r\nContent-Le",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nslots\r\n",
+    ],
+)
 def test_an_answer_that_never_ends_is_not_waited_for_to_the_deadline(sending: Node, begun: bytes) -> None:
     """It says more than it sends, and its connection stays open: another attempt has its time."""
     client, backend = started(sending)
@@ -182,8 +224,7 @@
 
 
 @pytest.mark.parametrize("status", ["400 Bad Request", "404 None", "422 Odd"])
-def test_what_no_backend_can_use_is_told_to_the_client_and_not_tried_elsewhere(
-        sending: Node, status: str) -> None:
+def test_what_no_backend_can_use_is_told_to_the_client_and_not_tried_elsewhere(sending: Node, status: str) -> None:
     client, backend = started(sending)
     backend.send(answer(status, body=b"no such slot"))
     reply = sending.reads(client, b"no such slot")
@@ -232,7 +273,8 @@
     sending.clock.now += 2 * MS
     other = row("s-9", sending.backend.text)
     sending.host.discovery.take(
-        {"index": 42, "snapshot": False, "endpoints": [{"name": "s-1", "status": "left"}, other]})
+        {"index": 42, "snapshot": False, "endpoints": [{"name": "s-1", "status": "left"}, other]}
+    )
     sending.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 2)]
     sending.ask(client, "a2")
     again = sending.taken(sending.backend)
@@ -279,8 +321,7 @@
 
 
 @pytest.mark.parametrize("may_run, ending", [(False, Ending.NO_CONNECTION), (True, Ending.RESET)])
-def test_a_break_before_the_last_byte_is_written_never_ran(
-        sending: Node, may_run: bool, ending: Ending) -> None:
+def test_a_break_before_the_last_byte_is_written_never_ran(sending: Node, may_run: bool, ending: Ending) -> None:
     """The backend's side takes little, so that the body stays in the gateway in part. In the whole system a part
     that was written may have run: sent again, it could run twice."""
     sending.host.dialect.part_may_run = may_run
@@ -396,8 +437,9 @@
     assert [e.ending for e in sending.script.of(i.Ended)] == [Ending.SERVED] * 2
 
 
-@pytest.mark.parametrize("reply", [
-    answer(Connection="close"), b"HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nslots", answer() + b"x"])
+@pytest.mark.parametrize(
+    "reply", [answer(Connection="close"), b"HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nslots", answer() + b"x"]
+)
 def test_a_connection_that_can_not_be_used_again_is_closed(sending: Node, reply: bytes) -> None:
     client, backend = started(sending)
     backend.send(reply)
@@ -431,8 +473,7 @@
     backend.send(answer())
     sending.reads(client, b"slots")
     elsewhere = Party()
-    entry = (row("s-1", elsewhere.text) if change == "moved"
-             else row("s-1", sending.backend.text, status=change))
+    entry = row("s-1", elsewhere.text) if change == "moved" else row("s-1", sending.backend.text, status=change)
     sending.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [entry]})
     sending.until(lambda: backend.read() and backend.ended)
     if change == "moved":  # the backend keeps its number, and is found where it listens now
@@ -514,7 +555,8 @@
 
 
 def test_a_fault_in_an_attempt_still_ends_it(
-        sending: Node, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
+    sending: Node, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     def fails(*_: Any) -> bytes:
         raise RuntimeError("odd")
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -1,7 +1,6 @@
 """Backends: choice, limits, ejection, cold starts, drains."""
 
-from oakvale.interface import (
-    Attempt, Backends, Cancel, Charge, Ending, Entry, ListForm, Refuse, State, Timer, Wake)
+from oakvale.interface import Attempt, Backends, Cancel, Charge, Ending, Entry, ListForm, Refuse, State, Timer, Wake
 from tests.helpers import Drive, of
 
 
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -88,6 +88,7 @@
 def test_against_a_plain_model_attempts_wait_hardly_more_than_in_one_queue() -> None:
     """Twelve gateways, four backends of two slots, 70% busy: with the board nearly nobody waits while a slot is
     free elsewhere; by chance alone a third does."""
+
     def waited(choose: bool) -> float:
         one, draw, late = board(), random.Random(11), 0
         busy: dict[str, list[tuple[int, int]]] = {offer.id: [] for offer in HERE}
@@ -171,12 +172,14 @@
 
 def plainly(one: Board, offers: list[Offer], asker: str, zone: str, now: int) -> str:
     """By looking at all of them."""
+
     def cost(offer: Offer) -> float:
         one._cost(offer, one._spots[offer.id], now)  # forgets what is over
         lies = (1 + OWN * leaning(asker, offer.id)) * (FAR if offer.zone != zone else 1.0)
         warm = [end for end in one._kept.get(asker, {}).get(offer.id, []) if end > now]
         lies *= WARM if warm and len(one._spots[offer.id].open) < offer.slots else 1.0
         return lies * one._cost(offer, one._spots[offer.id], now)
+
     return min(offers, key=cost).id
 
 
@@ -198,8 +201,17 @@
         if len(out) > 2 * load * len(offers):
             asker, (name, ticket) = out.pop(draw.randrange(len(out)))
             outcome = draw.choices(("served", "error", "lost", "full"), (94, 3, 2, 1))[0]
-            one.done(name, ticket, "r", int(100 * MS * pace.get(name, 1.0)), outcome, now, 0, asker,
-                     300 * MS * (outcome == "served"))
+            one.done(
+                name,
+                ticket,
+                "r",
+                int(100 * MS * pace.get(name, 1.0)),
+                outcome,
+                now,
+                0,
+                asker,
+                300 * MS * (outcome == "served"),
+            )
 
 
 def test_a_gateway_is_named_the_backend_that_it_has_a_connection_to() -> None:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -114,8 +114,10 @@
     for first, at in enumerate(added):
         end = at + TERMS.window
         within = bisect_right(added, end) - first
-        requests = max(bisect_left(asked, end - k * TERMS.window // 2) - bisect_left(asked, at - k * TERMS.window // 2)
-                       for k in range(3))
+        requests = max(
+            bisect_left(asked, end - k * TERMS.window // 2) - bisect_left(asked, at - k * TERMS.window // 2)
+            for k in range(3)
+        )
         assert within <= TERMS.ratio * requests + TERMS.slack
 
 
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -26,24 +26,38 @@
 grace = "6s"
 new-field = 3
 """
-ROLES = ('build = "true"\n[roles.sluice]\nrun = "python3 -m oakvale sluice"\non = "edge"\nshare = 1.0\n'
-         'serves = ["edge"]\n[roles.headworks]\nrun = "python3 -m oakvale headworks"\non = "core"\ncount = 1\n'
-         'serves = ["ctl"]\n')
+ROLES = (
+    'build = "true"\n[roles.sluice]\nrun = "python3 -m oakvale sluice"\non = "edge"\nshare = 1.0\n'
+    'serves = ["edge"]\n[roles.headworks]\nrun = "python3 -m oakvale headworks"\non = "core"\ncount = 1\n'
+    'serves = ["ctl"]\n'
+)
 
 
 def config(**changes: Any) -> str:
     route = ["r", "a.example", "/x/", "safe", "1200ms", 2, "s"]
-    return json.dumps({
-        "gen": 7, "routes": {"cols": ["name", "vhost", "prefix", "type", "deadline", "tries", "svc"], "rows": [route]},
-        "svcs": {"cols": ["name"], "rows": [["s"]]},
-        "tenants": {"cols": ["name", "apikeys", "rate-per-s"], "rows": [["t", ["k1", "k2"], 5]]}, **changes})
-
-
-@pytest.mark.parametrize("kind, text, holds", [
-    ("settings", SETTINGS, ["core-a-1 at 10.1.0.33", "fits: headworks", "ctl: 10.1.0.33:8783", "ports 7340 to 7355"]),
-    ("deploy", ROLES, ["sluice on edge: a share of 1 of a zone", "headworks on core: 1 of a zone", "serves ctl"]),
-    ("config", config(), ["gen 7", "routes: 1, 1 of them safe", "services: s", "tenants: 1 with 2 keys"]),
-])
+    return json.dumps(
+        {
+            "gen": 7,
+            "routes": {"cols": ["name", "vhost", "prefix", "type", "deadline", "tries", "svc"], "rows": [route]},
+            "svcs": {"cols": ["name"], "rows": [["s"]]},
+            "tenants": {"cols": ["name", "apikeys", "rate-per-s"], "rows": [["t", ["k1", "k2"], 5]]},
+            **changes,
+        }
+    )
+
+
+@pytest.mark.parametrize(
+    "kind, text, holds",
+    [
+        (
+            "settings",
+            SETTINGS,
+            ["core-a-1 at 10.1.0.33", "fits: headworks", "ctl: 10.1.0.33:8783", "ports 7340 to 7355"],
+        ),
+        ("deploy", ROLES, ["sluice on edge: a share of 1 of a zone", "headworks on core: 1 of a zone", "serves ctl"]),
+        ("config", config(), ["gen 7", "routes: 1, 1 of them safe", "services: s", "tenants: 1 with 2 keys"]),
+    ],
+)
 def test_a_good_file_says_what_it_holds(kind: str, text: str, holds: list[str], tmp_path: Path) -> None:
     (tmp_path / "file").write_text(text)
     result = invoke(["check", kind, str(tmp_path / "file")])
@@ -67,8 +81,11 @@
     ("deploy", ROLES.replace("python3 -m oakvale sluice", "env python3"), "[roles.sluice] run: 'env' is a shell"),
     ("deploy", ROLES.replace('["ctl"]', '["ctrl"]'), "[roles.headworks] serves is not a list"),
     ("deploy", ROLES.replace('["ctl"]', "[]"), "[roles] no role serves 'ctl'"),
-    ("deploy", ROLES.replace('"core"', '"edge"').replace('["ctl"]', '["ctl", "edge"]'),
-     "[roles.headworks] serves 'edge' on edge"),
+    (
+        "deploy",
+        ROLES.replace('"core"', '"edge"').replace('["ctl"]', '["ctl", "edge"]'),
+        "[roles.headworks] serves 'edge' on edge",
+    ),
     ("config", "{", "not JSON"),
     ("config", config(svcs={"cols": ["name"], "rows": []}), "routes.r: unknown service 's'"),
     ("config", config(tenants={"cols": ["name", "apikeys"], "rows": [["t"]]}), "tenants.rows[0]: not 2 values"),
--- a/tests/test_cistern.py
+++ b/tests/test_cistern.py
@@ -59,9 +59,16 @@
         return f"k{rng.randrange(9)}", rng.randbytes(rng.choice((3, 90, 9_000)))
 
     for n in range(writes):
-        what: Any = rng.choice((("rows", [row(), row()]), ("gone", ["k1", row()[0]]), ("fact", ("state", b"%d" % n)),
-                                ("stage", [(rng.randbytes(1), rng.randbytes(2_000))]), ("unstage", [rng.randbytes(1)]),
-                                ("whole", [row(), row()]) if n % 9 == 0 else ("rows", [row()])))
+        what: Any = rng.choice(
+            (
+                ("rows", [row(), row()]),
+                ("gone", ["k1", row()[0]]),
+                ("fact", ("state", b"%d" % n)),
+                ("stage", [(rng.randbytes(1), rng.randbytes(2_000))]),
+                ("unstage", [rng.randbytes(1)]),
+                ("whole", [row(), row()]) if n % 9 == 0 else ("rows", [row()]),
+            )
+        )
         held.apply([what])
         cistern._commit([(n, what)])
     last = ("fact", ("state", b"last"))
@@ -80,7 +87,7 @@
     if how == "torn":
         data = data[:at]
     elif how == "zeroed":
-        data[at - at % 4096:at - at % 4096 + 4096] = bytes(min(4096, len(data) - (at - at % 4096)))
+        data[at - at % 4096 : at - at % 4096 + 4096] = bytes(min(4096, len(data) - (at - at % 4096)))
     elif how == "flipped":
         data[at] ^= 1 << rng.randrange(8)
     elif how == "noise":
@@ -98,8 +105,9 @@
 
 @pytest.mark.parametrize("which", ["oakvale.db", "oakvale.db-wal", "oakvale.mark"])
 @pytest.mark.parametrize("how", ["torn", "zeroed", "flipped", "noise", "gone"])
-def test_a_file_is_whole_or_it_is_begun_anew(tmp_path: Path, files: list[tuple[Path, Held]], which: str,
-                                             how: str, notes: list[str]) -> None:
+def test_a_file_is_whole_or_it_is_begun_anew(
+    tmp_path: Path, files: list[tuple[Path, Held]], which: str, how: str, notes: list[str]
+) -> None:
     """Never an older state, a mixed one, or an error that comes back at each start; and it can be worked with."""
     for seed, (file, held) in enumerate(files):
         folder = tmp_path / str(seed)
@@ -208,8 +216,17 @@
     cistern._db.execute("pragma synchronous=off")  # a bound of the file, not of the disk's time
     text, most = rng.randbytes(200_000), 0
     for n in range(10_000):
-        cistern._commit([(n, ("rows", [("config" if n % 50 == 0 else f"b{n % 300}",
-                                        text + b"%d" % n if n % 50 == 0 else b"x" * 200)]))])
+        cistern._commit(
+            [
+                (
+                    n,
+                    (
+                        "rows",
+                        [("config" if n % 50 == 0 else f"b{n % 300}", text + b"%d" % n if n % 50 == 0 else b"x" * 200)],
+                    ),
+                )
+            ]
+        )
         if n % 500 == 499:
             most = max(most, sum(file.stat().st_size for file in tmp_path.iterdir()))
     assert most < 300 * 400 + 3 * 200_000 + store.LOG
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -32,7 +32,7 @@
     """A client that sends a byte of its request at a time."""
     client, data = node.client(), request("a1")
     for k in range(times):
-        client.send(data[k:k + 1])
+        client.send(data[k : k + 1])
         node.turns()
         node.pass_time(pause)
     return client
@@ -46,7 +46,8 @@
     client = node.client()
     node.ask(client, X_Second_Try="1")
     assert node.came(i.Request) == i.Request(
-        "9b1f03aa5c7e2d41", "00000000b4d65521", 0, 0, 2.0, 3, 1, node.clock.now + 4_000_000, 2)
+        "9b1f03aa5c7e2d41", "00000000b4d65521", 0, 0, 2.0, 3, 1, node.clock.now + 4_000_000, 2
+    )
 
 
 @pytest.mark.parametrize("text, wait", [("480m", 480_000), ("480u", 480), ("1.5m", 1_500), ("0m", 0)])
@@ -103,32 +104,67 @@
 
 GOOD: dict[str, Any] = {"rid": "a1", "target": "/slot-lookup?key=00000000b4d65521"}
 BAD: list[tuple[dict[str, Any], int]] = [
-    ({"X_Trace_Id": ""}, 400), ({"rid": "has space"}, 400), ({"rid": "x" * 65}, 400),
-    ({"target": "/slot-lookup"}, 400), ({"target": "/slot-lookup?key=xyz"}, 400),
-    ({"target": "/slot-lookup?key=b4d65521"}, 400), ({"target": "/nothing?key=00000000b4d65521"}, 404),
-    ({"target": "/"}, 404), ({"target": "*"}, 404), ({"method": "PUT"}, 405), ({"method": "HEAD"}, 405),
-    ({"X_Tier": ""}, 400), ({"X_Tier": "gold"}, 400), ({"X_Expires_In": ""}, 400),
-    ({"X_Expires_In": "480"}, 400), ({"X_Expires_In": "-5m"}, 400), ({"X_Expires_In": "5s"}, 400),
-    ({"X_Call_Terms": ""}, 400), ({"X_Call_Terms": "units=2"}, 400),
+    ({"X_Trace_Id": ""}, 400),
+    ({"rid": "has space"}, 400),
+    ({"rid": "x" * 65}, 400),
+    ({"target": "/slot-lookup"}, 400),
+    ({"target": "/slot-lookup?key=xyz"}, 400),
+    ({"target": "/slot-lookup?key=b4d65521"}, 400),
+    ({"target": "/nothing?key=00000000b4d65521"}, 404),
+    ({"target": "/"}, 404),
+    ({"target": "*"}, 404),
+    ({"method": "PUT"}, 405),
+    ({"method": "HEAD"}, 405),
+    ({"X_Tier": ""}, 400),
+    ({"X_Tier": "gold"}, 400),
+    ({"X_Expires_In": ""}, 400),
+    ({"X_Expires_In": "480"}, 400),
+    ({"X_Expires_In": "-5m"}, 400),
+    ({"X_Expires_In": "5s"}, 400),
+    ({"X_Call_Terms": ""}, 400),
+    ({"X_Call_Terms": "units=2"}, 400),
     ({"X_Call_Terms": "units=nan,spread=1,first=0"}, 400),
     ({"X_Call_Terms": "units=1e12,spread=1,first=0"}, 400),
-    ({"X_Call_Terms": "units=0,spread=1,first=0"}, 400), ({"X_Call_Terms": "units=1,spread=0,first=0"}, 400),
-    ({"X_Call_Terms": "units=1,spread=x,first=0"}, 400), ({"X_Call_Terms": "units"}, 400),
+    ({"X_Call_Terms": "units=0,spread=1,first=0"}, 400),
+    ({"X_Call_Terms": "units=1,spread=0,first=0"}, 400),
+    ({"X_Call_Terms": "units=1,spread=x,first=0"}, 400),
+    ({"X_Call_Terms": "units"}, 400),
     # what Python's own readers would take, and what is out of range: a fleet of 4, units of 4 at most
-    *(({"X_Call_Terms": f"units={units},spread={spread},first={first}"}, 400) for units, spread, first in (
-        ("1_0", 1, 0), ("inf", 1, 0), ("+1", 1, 0), (" 1", 1, 0), ("4.01", 1, 0), ("-2", 1, 0), (".5", 1, 0),
-        ("1", "1_0", 0), ("1", "+1", 0), ("1", "-1", 0), ("1", "2.5", 0), ("1", 5, 0), ("1", 70000, 0),
-        ("1", 1, 4), ("1", 1, "-1"), ("1", 1, "9" * 5000), ("1", "²", 0), ("", 1, 0))),
+    *(
+        ({"X_Call_Terms": f"units={units},spread={spread},first={first}"}, 400)
+        for units, spread, first in (
+            ("1_0", 1, 0),
+            ("inf", 1, 0),
+            ("+1", 1, 0),
+            (" 1", 1, 0),
+            ("4.01", 1, 0),
+            ("-2", 1, 0),
+            (".5", 1, 0),
+            ("1", "1_0", 0),
+            ("1", "+1", 0),
+            ("1", "-1", 0),
+            ("1", "2.5", 0),
+            ("1", 5, 0),
+            ("1", 70000, 0),
+            ("1", 1, 4),
+            ("1", 1, "-1"),
+            ("1", 1, "9" * 5000),
+            ("1", "²", 0),
+            ("", 1, 0),
+        )
+    ),
     ({"X_Call_Terms": "units=1,spread=1,first=0,units=4"}, 400),
     ({"X_Call_Terms": "units=1,spread=1,first=0,note=" + "x" * 200}, 400),
-    ({"X_Tier": "team\r\nX-Tier: team"}, 400), ({"rid": "a1\r\nX-Trace-Id: a2"}, 400),
-    ({"X_Expires_In": "nanm"}, 400), ({"X_Expires_In": "1_0m"}, 400), ({"X_Expires_In": "9" * 40 + "m"}, 400),
+    ({"X_Tier": "team\r\nX-Tier: team"}, 400),
+    ({"rid": "a1\r\nX-Trace-Id: a2"}, 400),
+    ({"X_Expires_In": "nanm"}, 400),
+    ({"X_Expires_In": "1_0m"}, 400),
+    ({"X_Expires_In": "9" * 40 + "m"}, 400),
 ]
 
 
 @pytest.mark.parametrize("bad, status", BAD, ids=range(len(BAD)))
-def test_bad_requests_get_4xx_at_once_and_the_connection_goes_on(
-        node: Node, bad: dict[str, Any], status: int) -> None:
+def test_bad_requests_get_4xx_at_once_and_the_connection_goes_on(node: Node, bad: dict[str, Any], status: int) -> None:
     node.script.answers[i.Request] = refuse
     client = node.client()
     client.send(request(**{**GOOD, **bad}))
@@ -142,21 +178,25 @@
     assert node.reads(client, b"later\n").startswith(b"HTTP/1.1 429")
 
 
-@pytest.mark.parametrize("data, status", [
-    (b"nonsense\r\n\r\n", 400),
-    (b"GET /slot-lookup HTTP/1.1\r\nbad header\r\n\r\n", 400),
-    (b"GET /slot-lookup HTTP/1.1\r\n\r\n", 400),  # no Host
-    (b"GET /slot-lookup HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 40_000 + b"\r\n\r\n", 431),
-    (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: 65537\r\n\r\n", 413),
-    (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", 400),
-    (b"POST /save HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + b"x" * 65537, 413),
-    (b"POST /save HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
-    (b"POST /save HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip\r\n\r\n", 501),
-    (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", 400),
-    (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: 5, 6\r\n\r\n", 400),
-    (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: -5\r\n\r\n", 400),
-    (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: " + b"9" * 5000 + b"\r\n\r\n", 400),
-], ids=range(13))
+@pytest.mark.parametrize(
+    "data, status",
+    [
+        (b"nonsense\r\n\r\n", 400),
+        (b"GET /slot-lookup HTTP/1.1\r\nbad header\r\n\r\n", 400),
+        (b"GET /slot-lookup HTTP/1.1\r\n\r\n", 400),  # no Host
+        (b"GET /slot-lookup HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 40_000 + b"\r\n\r\n", 431),
+        (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: 65537\r\n\r\n", 413),
+        (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n", 400),
+        (b"POST /save HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + b"x" * 65537, 413),
+        (b"POST /save HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
+        (b"POST /save HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip\r\n\r\n", 501),
+        (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", 400),
+        (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: 5, 6\r\n\r\n", 400),
+        (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: -5\r\n\r\n", 400),
+        (b"POST /save HTTP/1.1\r\nHost: a\r\nContent-Length: " + b"9" * 5000 + b"\r\n\r\n", 400),
+    ],
+    ids=range(13),
+)
 def test_lost_framing_gets_an_answer_and_a_clean_close(node: Node, data: bytes, status: int) -> None:
     client = node.client()
     client.send(data)
@@ -171,14 +211,19 @@
 HIDDEN = request("b2", body=b"")
 
 
-@pytest.mark.parametrize("framing, body", [
-    (b"Content-Length: %d\r\nTransfer-Encoding: chunked", b"0\r\n\r\n" + HIDDEN),
-    (b"Transfer-Encoding: chunked\r\nContent-Length: %d", b"0\r\n\r\n" + HIDDEN),
-    (b"Transfer-Encoding: chunked\r\nContent-Length: %d", b"%x\r\n%s\r\n0\r\n\r\n" % (len(HIDDEN), HIDDEN)),
-], ids=range(3))
+@pytest.mark.parametrize(
+    "framing, body",
+    [
+        (b"Content-Length: %d\r\nTransfer-Encoding: chunked", b"0\r\n\r\n" + HIDDEN),
+        (b"Transfer-Encoding: chunked\r\nContent-Length: %d", b"0\r\n\r\n" + HIDDEN),
+        (b"Transfer-Encoding: chunked\r\nContent-Length: %d", b"%x\r\n%s\r\n0\r\n\r\n" % (len(HIDDEN), HIDDEN)),
+    ],
+    ids=range(3),
+)
 @pytest.mark.parametrize("line", [b"POST /save?key=00000000b4d65521 HTTP/1.1"])
 def test_a_body_with_a_length_and_chunks_gets_400_and_nothing_in_it_is_read(
-        node: Node, line: bytes, framing: bytes, body: bytes) -> None:
+    node: Node, line: bytes, framing: bytes, body: bytes
+) -> None:
     """Another request may hide in it: passed on, it would run though no client sent it."""
     client = node.client()
     head = request("a1", "POST", "/save?key=00000000b4d65521").partition(b"\r\n")[2][:-2]
@@ -189,11 +234,14 @@
     assert node.script.of(i.Request) == [] and client.came.count(b"HTTP/1.1") == 1
 
 
-@pytest.mark.parametrize("lines", [
-    b"GET /slot-lookup?key=00000000b4d65521 HTTP/1.1\r\nContent-Length: 5\r\n",
-    b"GET /slot-lookup?key=00000000b4d65521 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n",
-    b"POST /save?key=00000000b4d65521 HTTP/1.0\r\nTransfer-Encoding: chunked\r\n",
-])
+@pytest.mark.parametrize(
+    "lines",
+    [
+        b"GET /slot-lookup?key=00000000b4d65521 HTTP/1.1\r\nContent-Length: 5\r\n",
+        b"GET /slot-lookup?key=00000000b4d65521 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n",
+        b"POST /save?key=00000000b4d65521 HTTP/1.0\r\nTransfer-Encoding: chunked\r\n",
+    ],
+)
 def test_chunks_where_none_can_be_get_400(node: Node, lines: bytes) -> None:
     client = node.client()
     client.send(lines + request("a1").partition(b"\r\n")[2] + b"5\r\nhello\r\n0\r\n\r\n")
@@ -227,7 +275,7 @@
     client = node.client()
     data = request("a1") + request("a2")
     for k in range(0, len(data), 7):
-        client.send(data[k:k + 7])
+        client.send(data[k : k + 7])
         node.turns(1)
     node.until(lambda: client.read().count(b"HTTP/1.1 429") == 2)
     client.send(request("a3") + request("a4") + request("a5"))
@@ -497,10 +545,13 @@
     node.close()
 
 
-@pytest.mark.parametrize("head", [
-    b"CONNECT a:80 HTTP/1.1\r\nHost: a\r\n\r\n",
-    b"GET /odd HTTP/1.1\r\nHost: a\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n",
-])
+@pytest.mark.parametrize(
+    "head",
+    [
+        b"CONNECT a:80 HTTP/1.1\r\nHost: a\r\n\r\n",
+        b"GET /odd HTTP/1.1\r\nHost: a\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n",
+    ],
+)
 def test_a_wish_for_another_protocol_is_answered_in_this_one(node: Node, head: bytes) -> None:
     client = node.client()
     client.send(head)
@@ -511,8 +562,7 @@
 
 def test_clients_that_wait_for_100_continue(node: Node) -> None:
     client = node.client()
-    head = request("a1", method="POST", target="/save?key=00000000b4d65521", Expect="100-continue",
-                   Content_Length="4")
+    head = request("a1", method="POST", target="/save?key=00000000b4d65521", Expect="100-continue", Content_Length="4")
     client.send(head)
     node.reads(client, b"HTTP/1.1 100 Continue\r\n\r\n")
     client.send(b"body")
@@ -520,7 +570,8 @@
 
 
 def test_a_fault_in_the_module_answers_that_request_and_serves_the_rest(
-        node: Node, caplog: pytest.LogCaptureFixture) -> None:
+    node: Node, caplog: pytest.LogCaptureFixture
+) -> None:
     def fails(request: i.Request) -> list[i.Action]:
         if request.id == "bad":
             raise KeyError("odd")
@@ -554,7 +605,8 @@
 
 
 def test_a_fault_before_the_module_answers_that_request(
-        node: Node, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
+    node: Node, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
     def fails() -> bool:
         raise RuntimeError("odd")
 
--- a/tests/test_counter_wire.py
+++ b/tests/test_counter_wire.py
@@ -40,21 +40,37 @@
     assert node.came(i.Counted) == i.Counted("q:a:1", Ending.SERVED, 12.5, 3 * MS)
 
 
-@pytest.mark.parametrize("amount, text", [
-    (0.0, "0"), (-2.5, "-2.5"), (1e8, "100000000"), (3.25e-5, "0.0000325"), (1e-20, "0"),
-    (123456.789012345, "123456.789012345"),
-])
+@pytest.mark.parametrize(
+    "amount, text",
+    [
+        (0.0, "0"),
+        (-2.5, "-2.5"),
+        (1e8, "100000000"),
+        (3.25e-5, "0.0000325"),
+        (1e-20, "0"),
+        (123456.789012345, "123456.789012345"),
+    ],
+)
 def test_amounts_are_plain_decimals(amount: float, text: str) -> None:
     words = Call("n", amount, 1, 0).line().decode().split()
     assert float(words[2]) == pytest.approx(float(text), abs=1e-12) and "e" not in words[2]
     assert len(words) == 4
 
 
-@pytest.mark.parametrize("charge", [
-    i.Charge("q:a:1", 1.1e9, 1000), i.Charge("q:a:1", -1.1e9, 1000), i.Charge("q:a:1", float("nan"), 1000),
-    i.Charge("q:a:1", float("inf"), 1000), i.Charge("", 1, 1000), i.Charge("x" * 65, 1, 1000),
-    i.Charge("q a", 1, 1000), i.Charge("q\r\nadd", 1, 1000), i.Charge("qé", 1, 1000),
-])
+@pytest.mark.parametrize(
+    "charge",
+    [
+        i.Charge("q:a:1", 1.1e9, 1000),
+        i.Charge("q:a:1", -1.1e9, 1000),
+        i.Charge("q:a:1", float("nan"), 1000),
+        i.Charge("q:a:1", float("inf"), 1000),
+        i.Charge("", 1, 1000),
+        i.Charge("x" * 65, 1, 1000),
+        i.Charge("q a", 1, 1000),
+        i.Charge("q\r\nadd", 1, 1000),
+        i.Charge("qé", 1, 1000),
+    ],
+)
 def test_a_call_that_the_counter_would_not_take_is_never_written(node: Node, charge: i.Charge) -> None:
     call(node, charge)
     assert outcomes(node) == [(charge.name, Ending.FULL, 0.0)]
@@ -80,8 +96,13 @@
     for part in (b"ok 0\r\nok 1\r\nbu", b"sy\r", b"\nok 3\r\nok 4\r\n"):
         counter.send(part)
         node.turns()
-    assert outcomes(node) == [("n0", Ending.SERVED, 0), ("n1", Ending.SERVED, 1), ("n2", Ending.FULL, 0),
-                              ("n3", Ending.SERVED, 3), ("n4", Ending.SERVED, 4)]
+    assert outcomes(node) == [
+        ("n0", Ending.SERVED, 0),
+        ("n1", Ending.SERVED, 1),
+        ("n2", Ending.FULL, 0),
+        ("n3", Ending.SERVED, 3),
+        ("n4", Ending.SERVED, 4),
+    ]
     assert node.counter.take() is None
 
 
@@ -174,7 +195,7 @@
         def send(self, data: bytes) -> int:
             if not self.room:
                 raise BlockingIOError
-            sent = self.sock.send(data[:self.room])
+            sent = self.sock.send(data[: self.room])
             self.room -= sent
             return sent
 
@@ -184,16 +205,36 @@
     connection._sock = Narrow(cast(socket.socket, connection._sock))  # type: ignore[assignment]
     call(node, *(i.Charge(n, 1.0, 1_000_000_000) for n in ("n1", "n2", "n3")))
     counter.close(reset=True)
-    assert sorted(outcomes(node)[1:]) == [("n1", Ending.RESET, 0.0), ("n2", Ending.NO_CONNECTION, 0.0),
-                                          ("n3", Ending.NO_CONNECTION, 0.0)]
+    assert sorted(outcomes(node)[1:]) == [
+        ("n1", Ending.RESET, 0.0),
+        ("n2", Ending.NO_CONNECTION, 0.0),
+        ("n3", Ending.NO_CONNECTION, 0.0),
+    ]
 
 
 @pytest.mark.parametrize(
-    "bad", [b"what\r\n", b"ok x\r\n", b"ok nan\r\n", b"ok inf\r\n", b"ok\r\n", b"x" * 300, b"ok 1_0\r\n",
-            b"ok  1\r\n", b"ok +1\r\n", b"ok 1e999\r\n", "ok ²\r\n".encode(), b"\xff", b"ok 1 x", b"busyy"],
-    ids=range(14))
+    "bad",
+    [
+        b"what\r\n",
+        b"ok x\r\n",
+        b"ok nan\r\n",
+        b"ok inf\r\n",
+        b"ok\r\n",
+        b"x" * 300,
+        b"ok 1_0\r\n",
+        b"ok  1\r\n",
+        b"ok +1\r\n",
+        b"ok 1e999\r\n",
+        "ok ²\r\n".encode(),
+        b"\xff",
+        b"ok 1 x",
+        b"busyy",
+    ],
+    ids=range(14),
+)
 def test_a_spoilt_line_was_added_and_a_new_connection_is_made(
-        node: Node, bad: bytes, caplog: pytest.LogCaptureFixture) -> None:
+    node: Node, bad: bytes, caplog: pytest.LogCaptureFixture
+) -> None:
     """Also one that has no end: what is written behind it would wait in vain."""
     counter = one(node, "n1")
     call(node, i.Charge("n9", 1.0, 1_000_000))  # behind it: written, and never to be answered
@@ -206,12 +247,11 @@
     assert outcomes(node)[2:] == [("n2", Ending.SERVED, 3.0)]
 
 
-@pytest.mark.parametrize(
-    "line", [b"ok 12.5\r\n", b"ok -0.25\r\n", b"ok 1.5e-7\r\n", b"busy\r\n", b"error\r\n"])
+@pytest.mark.parametrize("line", [b"ok 12.5\r\n", b"ok -0.25\r\n", b"ok 1.5e-7\r\n", b"busy\r\n", b"error\r\n"])
 def test_an_answer_may_come_a_byte_at_a_time(node: Node, line: bytes) -> None:
     counter = one(node, "n1")
     for k in range(len(line)):
-        counter.send(line[k:k + 1])
+        counter.send(line[k : k + 1])
         node.turns(1)
     assert len(outcomes(node)) == 1 and outcomes(node)[0][1] in (Ending.SERVED, Ending.FULL)
     assert node.host.counter is not None and len(node.host.counter.connections) == 1
@@ -263,8 +303,7 @@
     fresh.send(b"ok 7\r\n")
     assert outcomes(node) == [("x", Ending.TIMEOUT, 0.0)]
     node.pass_time(TIMEOUT // 2)
-    assert outcomes(node) == [("x", Ending.TIMEOUT, 0.0), ("same", Ending.TIMEOUT, 0.0),
-                              ("same", Ending.SERVED, 7.0)]
+    assert outcomes(node) == [("x", Ending.TIMEOUT, 0.0), ("same", Ending.TIMEOUT, 0.0), ("same", Ending.SERVED, 7.0)]
 
 
 def test_no_more_connections_than_may_be_to_a_silent_counter(node: Node) -> None:
@@ -306,8 +345,7 @@
     assert not connection.usable(later) and connection.ended
 
 
-def test_a_lost_counter_is_said_once_and_so_is_its_return(
-        node: Node, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_lost_counter_is_said_once_and_so_is_its_return(node: Node, caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO")
     for k in range(3):
         one(node, f"n{k}")
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -97,8 +97,10 @@
                 self.callers.append(caller)
             self.orders += 1
             name = f"o{self.orders}"
-            caller.unsent += (f"POST /oakvale/Test.Order/{name} HTTP/1.1\r\nHost: c\r\nContent-Length: {9 * len(name)}"
-                              f"\r\n\r\n{name * 9}").encode()
+            caller.unsent += (
+                f"POST /oakvale/Test.Order/{name} HTTP/1.1\r\nHost: c\r\nContent-Length: {9 * len(name)}"
+                f"\r\n\r\n{name * 9}"
+            ).encode()
             caller.sent.append(name)
             caller.push((0, 0, 7, 40)[which & 3])
         elif what < 11 and self.gives:
@@ -134,11 +136,11 @@
         for caller in self.callers:
             names = [body.decode() for status, body in caller.answers() if status != 408]
             late = len(names) < len(caller.answers())  # the last of an order came too late
-            assert names == caller.sent[:len(names)], f"{caller.sent} heard {names}"
+            assert names == caller.sent[: len(names)], f"{caller.sent} heard {names}"
             excused = caller.left or late or caller.slow and caller.line.closed
             assert excused or len(names) == len(caller.sent), f"{caller.sent} heard {names}"
             taken = [name for name in self.taken if name in caller.sent]
-            assert taken == caller.sent[:len(taken)], f"{caller.sent} were taken as {taken}"
+            assert taken == caller.sent[: len(taken)], f"{caller.sent} were taken as {taken}"
         self.loop.close()
 
     def turn(self) -> None:
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -28,8 +28,9 @@
 
 class Play:
     def __init__(self, seed: int = 1) -> None:
-        layout = Layout(tuple((f"edge-{n}", "zxy"[n % 3]) for n in range(4)),
-                        tuple((f"core-{n}", "zxy"[n % 3]) for n in range(3)))
+        layout = Layout(
+            tuple((f"edge-{n}", "zxy"[n % 3]) for n in range(4)), tuple((f"core-{n}", "zxy"[n % 3]) for n in range(3))
+        )
         self.works = Works(layout, seed)
         self._form = json.loads(Books(day(), Random(seed)).first().text)
         self.highest = 0  # of what was acknowledged
@@ -118,8 +119,11 @@
 
     def during(self, station: Station, since: int, until: int) -> list[tuple[str, int, int]]:
         """Verb, status and how long it took, of what a machine was asked then."""
-        return [(verb, status, end - at) for verb, name, status, at, end in self.said
-                if name == station.name and since <= at < until]
+        return [
+            (verb, status, end - at)
+            for verb, name, status, at, end in self.said
+            if name == station.name and since <= at < until
+        ]
 
 
 def ends_well(play: Play) -> None:
--- a/tests/test_daybook.py
+++ b/tests/test_daybook.py
@@ -53,7 +53,8 @@
     note("nothing", "debug")
     assert lines() == [
         "level=info part=mains.links event=view view=3 primary=10.0.0.1:7340",
-        'level=warning part=mains.links event="bad frame" why="two \\"words\\"\\n"']
+        'level=warning part=mains.links event="bad frame" why="two \\"words\\"\\n"',
+    ]
 
 
 def test_a_fault_and_records_of_logging_come_with_their_traceback_on_the_same_log(lines: Lines) -> None:
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -53,8 +53,13 @@
 
 
 def test_a_small_system_serves_tells_how_it_stands_and_ends() -> None:
-    process = subprocess.Popen([sys.executable, "-m", "oakvale", "demo", "--stay"], cwd=ROOT, text=True,
-                               stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "oakvale", "demo", "--stay"],
+        cwd=ROOT,
+        text=True,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+    )
     assert process.stdout is not None
     watchdog = threading.Timer(60, process.kill)  # what is read below then ends
     watchdog.start()
--- a/tests/test_discovery_wire.py
+++ b/tests/test_discovery_wire.py
@@ -33,10 +33,19 @@
 
 def test_changes_and_whole_lists(node: Node) -> None:
     discovery = watch(node)
-    discovery.send(HEAD + chunk(change(43, row("s-1", "127.0.0.1:7070", "leaving", since_ms=1.5),
-                                       row("s-2", "127.0.0.1:7071", zone="room-b", weight=2))))
-    assert lists(node)[1] == i.Backends(ListForm.DELTA, (
-        i.Entry(1, 0, 0, 1, State.DRAINING, 1.0, 1500), i.Entry(2, 1, 0, 1, State.READY, 2.0, 0)))
+    discovery.send(
+        HEAD
+        + chunk(
+            change(
+                43,
+                row("s-1", "127.0.0.1:7070", "leaving", since_ms=1.5),
+                row("s-2", "127.0.0.1:7071", zone="room-b", weight=2),
+            )
+        )
+    )
+    assert lists(node)[1] == i.Backends(
+        ListForm.DELTA, (i.Entry(1, 0, 0, 1, State.DRAINING, 1.0, 1500), i.Entry(2, 1, 0, 1, State.READY, 2.0, 0))
+    )
     discovery.send(chunk(change(44, {"name": "s-1", "status": "left"})))
     assert lists(node)[2].entries[0].state is State.GONE
     discovery.send(chunk(change(50, row("s-2", "127.0.0.1:7071"), snapshot=True)))
@@ -48,7 +57,7 @@
     lines = b"".join(chunk(change(k, row(f"s-{k}", "127.0.0.1:7070")), None) for k in range(42, 46))
     data = HEAD + lines
     for k in range(0, len(data), 11):
-        discovery.send(data[k:k + 11])
+        discovery.send(data[k : k + 11])
         node.turns(1)
     assert len(lists(node)) == 5
     two_chunks_one_line = chunk(change(46, row("s-46", "127.0.0.1:7070")))
@@ -92,18 +101,23 @@
     assert len(lists(node)) == 2 and node.host.can_serve()
 
 
-@pytest.mark.parametrize("bad", [
-    b"4\r\nnope\r\n1\r\n\n\r\n", b"3\r\n[]\n\r\n", b"3\r\n{}\n\r\n",
-    chunk({"index": 1, "snapshot": False, "endpoints": [{"name": "x"}]}),
-    chunk({"index": 1, "snapshot": False, "endpoints": [row("x", "nowhere")]}),
-    chunk({"index": 1, "snapshot": False, "endpoints": [row("x", "127.0.0.1:1", "odd")]}),
-    chunk({"index": 1, "snapshot": False, "endpoints": ["x"]}),
-    chunk({"index": 1, "snapshot": False, "endpoints": 5}),
-    chunk({"index": "x", "snapshot": False, "endpoints": []}),
-    b"nonsense\r\n", b"0\r\n\r\n",
-])
-def test_bad_lines_are_logged_and_the_watch_made_anew(
-        node: Node, bad: bytes, caplog: pytest.LogCaptureFixture) -> None:
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"4\r\nnope\r\n1\r\n\n\r\n",
+        b"3\r\n[]\n\r\n",
+        b"3\r\n{}\n\r\n",
+        chunk({"index": 1, "snapshot": False, "endpoints": [{"name": "x"}]}),
+        chunk({"index": 1, "snapshot": False, "endpoints": [row("x", "nowhere")]}),
+        chunk({"index": 1, "snapshot": False, "endpoints": [row("x", "127.0.0.1:1", "odd")]}),
+        chunk({"index": 1, "snapshot": False, "endpoints": ["x"]}),
+        chunk({"index": 1, "snapshot": False, "endpoints": 5}),
+        chunk({"index": "x", "snapshot": False, "endpoints": []}),
+        b"nonsense\r\n",
+        b"0\r\n\r\n",
+    ],
+)
+def test_bad_lines_are_logged_and_the_watch_made_anew(node: Node, bad: bytes, caplog: pytest.LogCaptureFixture) -> None:
     discovery = watch(node)
     discovery.send(HEAD + bad)
     node.until(lambda: discovery.read() and discovery.ended)
@@ -147,8 +161,7 @@
     assert len(lists(node)) == 1
 
 
-def test_a_lost_discovery_is_said_once_and_so_is_its_return(
-        node: Node, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_lost_discovery_is_said_once_and_so_is_its_return(node: Node, caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO")
     for _ in range(4):
         watch(node).close()
--- a/tests/test_domains.py
+++ b/tests/test_domains.py
@@ -29,8 +29,10 @@
     view = found.core.view() if found is not None and found.core is not None else None
     if view is None or not world.well():
         return False
-    return (max(places(world, view.copies).values()) < len(view.copies)
-            and max(places(world, view.witnesses).values()) <= len(view.witnesses) - view.majority)
+    return (
+        max(places(world, view.copies).values()) < len(view.copies)
+        and max(places(world, view.witnesses).values()) <= len(view.witnesses) - view.majority
+    )
 
 
 def lose(world: World, place: str, span: int) -> None:
--- a/tests/test_drain_call.py
+++ b/tests/test_drain_call.py
@@ -63,7 +63,8 @@
 
 
 def test_an_order_follows_the_primary_and_is_sent_again_unchanged(
-        headworks: Headworks, capsys: pytest.CaptureFixture[str]) -> None:
+    headworks: Headworks, capsys: pytest.CaptureFixture[str]
+) -> None:
     headworks.answers = [(307, {}), (503, {"error": "not known to be kept"}), (200, PLAN)]
     main(["drain", "order", "o1", "--ctl", headworks.address, *ORDER])
     body = {"kind": "backend", "target": "b0", "by": "ana", "why": "disk", "due": "2026-12-03T04:00:00-05:00"}
@@ -73,7 +74,8 @@
 
 @pytest.mark.parametrize(("what", "status"), [("plan", 200), ("order", 409)])
 def test_what_stands_in_the_way_is_printed_and_ends_with_1(
-        headworks: Headworks, capsys: pytest.CaptureFixture[str], what: str, status: int) -> None:
+    headworks: Headworks, capsys: pytest.CaptureFixture[str], what: str, status: int
+) -> None:
     headworks.answers = [(status, STAYS if status == 200 else {"error": "it is the last", "plan": STAYS})]
     with pytest.raises(SystemExit) as ended:
         main(["drain", what, *(["o1"] if what == "order" else []), "--ctl", headworks.address, *ORDER])
@@ -81,11 +83,13 @@
     assert "in the way: b0 is the last backend of book in east" in capsys.readouterr().out
 
 
-def test_the_account_is_exported_as_csv_and_as_json(
-        headworks: Headworks, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_account_is_exported_as_csv_and_as_json(headworks: Headworks, capsys: pytest.CaptureFixture[str]) -> None:
     told: dict[str, Any] = {
-        "time": "T", "orders": [], "moves": [{"order": "o1", "node": "b0", "tenant": "north", "in_flight": 2}],
-        "outside": [{"backend": "b1", "tenant": "north", "at": "T3", "why": "drain"}]}
+        "time": "T",
+        "orders": [],
+        "moves": [{"order": "o1", "node": "b0", "tenant": "north", "in_flight": 2}],
+        "outside": [{"backend": "b1", "tenant": "north", "at": "T3", "why": "drain"}],
+    }
     headworks.answers = [(200, told), (200, told)]
     main(["drain", "account", "--ctl", headworks.address])
     head, moved, outside = capsys.readouterr().out.splitlines()
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -55,11 +55,16 @@
     way = Waterway(5, faults=False)
     way.tenants = ("", *hours)
     minute = way.now // MINUTE
-    way.contracts = {name: Contract(name, "UTC", ((Span((minute + begin) % 1440, (minute + end) % 1440),)
-                                                  if begin < end else (),) * 7)
-                     for name, (begin, end) in hours.items()}
-    way.backends = {name: {"svc": name[:4], "az": name[5:9], "state": "ready"}
-                    for name in (NODE, "book-east1", "book-west0", "rate-east0", "rate-east1", "rate-west0")}
+    way.contracts = {
+        name: Contract(
+            name, "UTC", ((Span((minute + begin) % 1440, (minute + end) % 1440),) if begin < end else (),) * 7
+        )
+        for name, (begin, end) in hours.items()
+    }
+    way.backends = {
+        name: {"svc": name[:4], "az": name[5:9], "state": "ready"}
+        for name in (NODE, "book-east1", "book-west0", "rate-east0", "rate-east1", "rate-west0")
+    }
     for gate in way.gates.values():
         gate.backends = dict(way.backends)
     return way
@@ -115,7 +120,8 @@
 def test_the_last_of_a_service_in_a_zone_is_not_drained() -> None:
     way = world(ana=(-60, 300))
     assert way.order("w", "backend", "book-west0", MINUTE).obstacles == [
-        "book-west0 is the last backend of book in west"]
+        "book-west0 is the last backend of book in west"
+    ]
     assert not way.order("e", "backend", NODE, 5 * MINUTE).obstacles
     why = way.order("f", "backend", "book-east1", MINUTE).obstacles
     assert any("last backend of book in east" in line for line in why)
@@ -194,8 +200,7 @@
     way.cancel("b")
     way.run(5 * MINUTE)
     assert states(way) == {"": "returned", "ana": "moved", "ben": "returned"}
-    assert all(NODE in gate.moves.avoid.get("ana", ()) and "ben" not in gate.moves.avoid
-               for gate in way.gates.values())
+    assert all(NODE in gate.moves.avoid.get("ana", ()) and "ben" not in gate.moves.avoid for gate in way.gates.values())
 
 
 def test_a_second_order_for_a_node_is_refused_until_the_first_is_cancelled() -> None:
--- a/tests/test_drains_core.py
+++ b/tests/test_drains_core.py
@@ -45,21 +45,32 @@
         self.followed: dict[tuple[str, str], int] = {}  # gateway and move -> when it was followed first
         super().__init__(seed, equips=self.equip)
         self.run(3 * SECOND)
-        self.change_now({"config": {"gen": 1, "text": CONFIG}}
-                        | {f"gate/{node}": {"addr": "x:1", "az": "east", "life": f"life-{node}"} for node in self.gates}
-                        | {f"backend/b{n}": self.backend(n, "ready") for n in range(3)})
+        self.change_now(
+            {"config": {"gen": 1, "text": CONFIG}}
+            | {f"gate/{node}": {"addr": "x:1", "az": "east", "life": f"life-{node}"} for node in self.gates}
+            | {f"backend/b{n}": self.backend(n, "ready") for n in range(3)}
+        )
         self.at(self.now, self._gates)
 
     @staticmethod
     def backend(number: int, state: str) -> dict[str, Any]:
-        return {"svc": "book", "addr": f"10.9.0.{number}:80", "az": "east", "gen": "v1", "slots": 2.0, "state": state,
-                "calls": 1, "warm": 0}
+        return {
+            "svc": "book",
+            "addr": f"10.9.0.{number}:80",
+            "az": "east",
+            "gen": "v1",
+            "slots": 2.0,
+            "state": state,
+            "calls": 1,
+            "warm": 0,
+        }
 
     def equip(self, machine: Machine, loop: Loop) -> None:
         core, ip = machine.core, machine.address[0]
         assert core is not None
-        self.drains[ip] = Drains(core, cast(Any, loop), core.mains, str(self.path), PACE,
-                                 lambda: DAY0 + self.now + self.steps.get(ip, 0))
+        self.drains[ip] = Drains(
+            core, cast(Any, loop), core.mains, str(self.path), PACE, lambda: DAY0 + self.now + self.steps.get(ip, 0)
+        )
         settings = self.settings(machine, False)
         self.backends[ip] = Backends(core, cast(Any, loop), settings)
         self.backends[ip]._sweep = lambda _: None  # type: ignore[method-assign]
@@ -87,8 +98,11 @@
         return out[0].status, orjson.loads(out[0].body)
 
     def order(self, name: str, backend: str = "b0", verb: str = "order") -> tuple[int, Any]:
-        return self.ask(verb, name, {"kind": "backend", "target": backend, "by": "ana", "why": "a disk",
-                                     "due": "2026-12-04T00:00:00+00:00"})
+        return self.ask(
+            verb,
+            name,
+            {"kind": "backend", "target": backend, "by": "ana", "why": "a disk", "due": "2026-12-04T00:00:00+00:00"},
+        )
 
     def _gates(self) -> None:
         self.at(self.now + 250 * MS, self._gates)
@@ -174,8 +188,15 @@
         found = cores.serving()
         assert found is not None
         out: list[Reply] = []
-        body = {"svc": "book", "addr": "10.9.0.0:80", "az": "east", "gen": "v1", "slots": 2, "state": state,
-                "calls": calls}
+        body = {
+            "svc": "book",
+            "addr": "10.9.0.0:80",
+            "az": "east",
+            "gen": "v1",
+            "slots": 2,
+            "state": state,
+            "calls": calls,
+        }
         backends = cores.backends[found.address[0]]
         if state == "left":
             backends.leave("b0", b"", out.append)
--- a/tests/test_flume.py
+++ b/tests/test_flume.py
@@ -242,12 +242,17 @@
     lives = {s.name: s.process.works.sluice.life for s in stations if s.up and s.process is not None}
     return len(lives) == len(stations) and all(
         {n: m.life for n, m in s.process.works.sluice.plant.picture.members.items()} == lives  # type: ignore[union-attr]
-        for s in stations)
+        for s in stations
+    )
 
 
 def test_a_system_comes_up_and_comes_back_after_half_of_it_was_killed() -> None:
-    works = Works(Layout(tuple((f"edge-{n}", ZONES[n % 2]) for n in range(6)),
-                         tuple((f"core-{n}", ZONES[n % 2]) for n in range(3))), 3)
+    works = Works(
+        Layout(
+            tuple((f"edge-{n}", ZONES[n % 2]) for n in range(6)), tuple((f"core-{n}", ZONES[n % 2]) for n in range(3))
+        ),
+        3,
+    )
     works.begin()
     works.run_for(3 * SECOND)
     assert whole(works.edges) and sum(s.process.works.core.serving() for s in works.cores if s.process) == 1
@@ -268,8 +273,9 @@
     works.run_for(3 * SECOND)
     serves = [s for s in works.cores if s.process is not None and s.process.works.core.serving()]
     kind = "node_kill" if on else "herd_kill"
-    trouble = Trouble.model_validate({"kind": kind, "at": 0.0, "on": on, "how": how, "for_s": 2.0,
-                                      **({"count": 1} if on else {"share": 1.0})})
+    trouble = Trouble.model_validate(
+        {"kind": kind, "at": 0.0, "on": on, "how": how, "for_s": 2.0, **({"count": 1} if on else {"share": 1.0})}
+    )
     getattr(Troubles(works, Random(3)), f"_{kind}")(trouble)
     if on:
         assert [s for s in works.cores if s.process is None] == serves
@@ -280,8 +286,13 @@
 @pytest.mark.parametrize("planned", [True, False])
 def test_a_core_machine_is_replaced_by_an_empty_one_at_another_address(planned: bool) -> None:
     told: list[tuple[str, tuple[str, ...], tuple[str, ...]]] = []
-    works = Works(Layout((("edge", "z"),), tuple((f"core-{n}", "z") for n in range(3))), 5, happened=(
-        lambda kind, at, until, machines, planned=False, others=(): told.append((kind.value, machines, others))))
+    works = Works(
+        Layout((("edge", "z"),), tuple((f"core-{n}", "z") for n in range(3))),
+        5,
+        happened=(
+            lambda kind, at, until, machines, planned=False, others=(): told.append((kind.value, machines, others))
+        ),
+    )
     works.begin()
     works.run_for(4 * SECOND)
     old = works.cores[0]
@@ -299,27 +310,40 @@
 
 
 def test_changes_meet_who_returns_and_are_sent_again_where_their_answers_are_lost() -> None:
-    record = play(day([
-        {"kind": "ack_lost", "at": 1.0, "for_s": 6.0, "x": 0.5}, {"kind": "reset_conns", "at": 2.0, "share": 1.0},
-        {"kind": "node_kill", "at": 3.0, "on": "core", "how": "leader meet race", "for_s": 1.0},
-        {"kind": "order_again", "at": 7.0, "count": 4, "gap_s": 0.1}],
-        [{"kind": "config_flood", "at": 1.0, "count": 40, "gap_s": 0.05, "how": "timeout"}]), 4)
+    record = play(
+        day(
+            [
+                {"kind": "ack_lost", "at": 1.0, "for_s": 6.0, "x": 0.5},
+                {"kind": "reset_conns", "at": 2.0, "share": 1.0},
+                {"kind": "node_kill", "at": 3.0, "on": "core", "how": "leader meet race", "for_s": 1.0},
+                {"kind": "order_again", "at": 7.0, "count": 4, "gap_s": 0.1},
+            ],
+            [{"kind": "config_flood", "at": 1.0, "count": 40, "gap_s": 0.05, "how": "timeout"}],
+        ),
+        4,
+    )
     lost = [reply for reply in record.replied if reply.lost and reply.status == 200]
-    assert len(lost) > 10 and all(any(
-        again.gen == reply.gen and again.sent > reply.at for again in record.replied) for reply in lost)
+    assert len(lost) > 10 and all(
+        any(again.gen == reply.gen and again.sent > reply.at for again in record.replied) for reply in lost
+    )
     assert len({order.gen for order in record.ordered if order.acked_at}) > 40 and len(record.told) > 4
     acked = [order.content_digest for order in record.ordered if order.acked_at]
     assert len(acked) - len(set(acked)) >= 4  # sent again, and confirmed again
-    ends = sorted([(order.at, 1) for order in record.ordered] + [(order.acked_at, -1) for order in record.ordered
-                                                                 if order.acked_at])
+    ends = sorted(
+        [(order.at, 1) for order in record.ordered]
+        + [(order.acked_at, -1) for order in record.ordered if order.acked_at]
+    )
     assert max(sum(step for _, step in ends[:n]) for n in range(len(ends))) <= 10  # eight, and the two that race
     assert [one.machines for one in record.happened if one.kind is Event.RESET]
 
 
 def test_a_process_that_ends_by_itself_is_told_of_and_started_again() -> None:
     told: list[tuple[str, tuple[str, ...]]] = []
-    works = Works(Layout((("edge", "z"),), (("core", "z"),)), 1,
-                  happened=lambda kind, at, until, machines, **_: told.append((kind.value, machines)))
+    works = Works(
+        Layout((("edge", "z"),), (("core", "z"),)),
+        1,
+        happened=lambda kind, at, until, machines, **_: told.append((kind.value, machines)),
+    )
     works.begin()
     works.run_for(SECOND)
     process = works.edges[0].process
@@ -332,18 +356,40 @@
 
 
 def day(troubles: list[dict[str, Any]] | None = None, plan: list[dict[str, Any]] | None = None) -> Day:
-    return decode({
-        "name": "small", "seconds": 12.0, "lead_s": 6.0, "zones": list(ZONES), "edges_per_zone": 1,
-        "services": [{"name": "alpha", "backends": 3}], "tenants": [{"name": "ten", "rate_per_s": 20, "burst": 20}],
-        "routes": [{"name": "read", "service": "alpha", "per_s": 8, "work_ms": 40, "aim_ms": 300, "deadline_ms": 1200},
-                   {"name": "book", "service": "alpha", "safe": False, "per_s": 4, "work_ms": 60, "aim_ms": 400,
-                    "deadline_ms": 1500}],
-        "troubles": troubles or [], "plan": plan or []})
-
-
-ROUGH = [{"kind": "node_kill", "at": 2.0}, {"kind": "node_kill", "at": 3.0, "on": "core", "how": "power", "for_s": 2.0},
-         {"kind": "config_change", "at": 4.0}, {"kind": "lossy", "at": 6.0, "for_s": 1.0, "on": "edge"},
-         {"kind": "closing", "at": 10.0, "how": "power"}]
+    return decode(
+        {
+            "name": "small",
+            "seconds": 12.0,
+            "lead_s": 6.0,
+            "zones": list(ZONES),
+            "edges_per_zone": 1,
+            "services": [{"name": "alpha", "backends": 3}],
+            "tenants": [{"name": "ten", "rate_per_s": 20, "burst": 20}],
+            "routes": [
+                {"name": "read", "service": "alpha", "per_s": 8, "work_ms": 40, "aim_ms": 300, "deadline_ms": 1200},
+                {
+                    "name": "book",
+                    "service": "alpha",
+                    "safe": False,
+                    "per_s": 4,
+                    "work_ms": 60,
+                    "aim_ms": 400,
+                    "deadline_ms": 1500,
+                },
+            ],
+            "troubles": troubles or [],
+            "plan": plan or [],
+        }
+    )
+
+
+ROUGH = [
+    {"kind": "node_kill", "at": 2.0},
+    {"kind": "node_kill", "at": 3.0, "on": "core", "how": "power", "for_s": 2.0},
+    {"kind": "config_change", "at": 4.0},
+    {"kind": "lossy", "at": 6.0, "for_s": 1.0, "on": "edge"},
+    {"kind": "closing", "at": 10.0, "how": "power"},
+]
 
 
 def test_a_quiet_day_breaks_no_rule_and_is_served() -> None:
@@ -360,11 +406,19 @@
 
 def test_a_seed_replays_to_the_byte_whatever_hashes_texts_have() -> None:
     """Sets of texts come in another order with each PYTHONHASHSEED: nothing that is decided may follow it."""
-    code = ("from tests.test_flume import ROUGH, day\nfrom oakvale.lab.play import play\nprint("
-            "play(day(ROUGH), 5).fingerprint())")
+    code = (
+        "from tests.test_flume import ROUGH, day\nfrom oakvale.lab.play import play\nprint("
+        "play(day(ROUGH), 5).fingerprint())"
+    )
     here = play(day(ROUGH), 5).fingerprint()
-    there = subprocess.run([sys.executable, "-c", code], cwd=ROOT, env={**os.environ, "PYTHONHASHSEED": "7"},
-                           capture_output=True, text=True, check=True).stdout.strip()
+    there = subprocess.run(
+        [sys.executable, "-c", code],
+        cwd=ROOT,
+        env={**os.environ, "PYTHONHASHSEED": "7"},
+        capture_output=True,
+        text=True,
+        check=True,
+    ).stdout.strip()
     assert there == here != play(day(ROUGH), 6).fingerprint()
 
 
--- a/tests/test_gauge.py
+++ b/tests/test_gauge.py
@@ -9,7 +9,7 @@
 import pytest
 
 from oakvale.gauge.ballots import MARGIN, ROUND, SPAN, TURN, Ask, Candidate, Juror, Word
-from oakvale.gauge.floors import AT_START, ALONE, Alone, Floors, Quota, Read, Terms
+from oakvale.gauge.floors import ALONE, AT_START, Alone, Floors, Quota, Read, Terms
 
 MS, SECOND = 1_000, 1_000_000
 TERMS = Terms(5 * SECOND, 0.1, 20)
@@ -164,8 +164,11 @@
     for gateways in (2, 9, 60):
         rng = random.Random(gateways)
         fleet = [Alone(TERMS, rng.random, 0) for _ in range(gateways)]
-        passed = [now for now in range(0, 60 * SECOND, 10 * MS)
-                  if fleet[rng.randrange(gateways)].passes("t", QUOTA, gateways, 0, now)]
+        passed = [
+            now
+            for now in range(0, 60 * SECOND, 10 * MS)
+            if fleet[rng.randrange(gateways)].passes("t", QUOTA, gateways, 0, now)
+        ]
         assert 0.4 * ALONE * TERMS.spare(QUOTA) * 12 < len(passed)
         judge(passed, 1.4 * ALONE * TERMS.spare(QUOTA))
 
--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -14,8 +14,15 @@
 from oakvale.towpath.clocks import HEARD, SECOND, SETTLE, Agreement
 from oakvale.towpath.hours import DAY, MINUTES, Calendar, Contract, Span, windows
 
-ZONES = ("UTC", "America/Jamaica", "Asia/Jakarta", "America/New_York", "Europe/Berlin", "Australia/Lord_Howe",
-         "Asia/Kathmandu")
+ZONES = (
+    "UTC",
+    "America/Jamaica",
+    "Asia/Jakarta",
+    "America/New_York",
+    "Europe/Berlin",
+    "Australia/Lord_Howe",
+    "Asia/Kathmandu",
+)
 MINUTE = 60 * SECOND
 
 
@@ -51,13 +58,19 @@
 def test_drawn_contracts_against_the_slow_model(seed: int) -> None:
     rng = random.Random(seed)
     for _ in range(12):
+
         def spans() -> tuple[Span, ...]:
             marks = [rng.randrange(0, MINUTES, 15) for _ in range(2)]
             return (Span(marks[0], marks[1]),) * (marks[0] != marks[1] and rng.random() < 0.8)
+
         start = at(rng.choice(("2026-03-07", "2026-03-28", "2026-10-03", "2026-10-24", "2026-10-31", "2026-06-10")))
         days = [datetime.fromtimestamp(start / SECOND, UTC).date() + timedelta(days=n) for n in range(3)]
-        contract = Contract("t", rng.choice(ZONES), tuple(spans() for _ in range(7)),
-                            {day: spans() for day in days if rng.random() < 0.2})
+        contract = Contract(
+            "t",
+            rng.choice(ZONES),
+            tuple(spans() for _ in range(7)),
+            {day: spans() for day in days if rng.random() < 0.2},
+        )
         calendar, found = Calendar(contract), windows(contract, start, 8)
         for _ in range(40):
             now = start + rng.randrange(0, 4 * DAY, 15 * MINUTE // 2)
@@ -68,13 +81,18 @@
 
 def test_the_two_odd_days() -> None:
     """02:30 that does not come, and 01:30 that comes twice: hours open late and close early, never the other way."""
+
     def of(begin: int, end: int, day: str) -> list[tuple[str, str]]:
-        week = (((Span(begin, end),),) * 7)
+        week = ((Span(begin, end),),) * 7
         contract = Contract("t", "America/New_York", week)
-        return [(f"{datetime.fromtimestamp(w.opens / SECOND, UTC):%dT%H:%M}",
-                 f"{datetime.fromtimestamp(w.closes / SECOND, UTC):%dT%H:%M}")
-                for w in windows(contract, at(f"{day}T12:00"), 1) if datetime.fromtimestamp(
-                    w.opens / SECOND, UTC).date() == date.fromisoformat(day)]
+        return [
+            (
+                f"{datetime.fromtimestamp(w.opens / SECOND, UTC):%dT%H:%M}",
+                f"{datetime.fromtimestamp(w.closes / SECOND, UTC):%dT%H:%M}",
+            )
+            for w in windows(contract, at(f"{day}T12:00"), 1)
+            if datetime.fromtimestamp(w.opens / SECOND, UTC).date() == date.fromisoformat(day)
+        ]
 
     assert of(150, 240, "2026-03-08") == [("08T07:30", "08T08:00")]  # 02:30 is 03:30 EDT, not 01:30 EST
     assert of(60, 150, "2026-03-08") == [("08T06:00", "08T06:30")]  # to 02:30: 01:30 EST
@@ -125,19 +143,22 @@
     assert found.orders[0].within == DAY // 12
 
 
-@pytest.mark.parametrize(("was", "now", "says"), [
-    ("22:00", "22:60", "contract of north: hours.0.from: "),
-    ('"fri"', '"friday"', "contract of north: hours.0.days.1: "),
-    ("America/Jamaica", "America/Kingstown", "contract of north: zone: no such time zone: 'America/Kingstown'"),
-    ('"14d"', '"2 weeks"', "contract of north: notice: "),
-    ("to = \"05:30\"", "till = \"05:30\"", "contract of north: hours.0."),
-    ("to = \"05:30\"", "to = \"22:00\"", "contract of north: hours.0: from and to are the same"),
-    ("2026-12-26", "2026-12-25", "contract of north: exceptions.1.date: 2026-12-25 is there twice"),
-    ('tenant = "*"', 'tenant = "north"', "contract of north: tenant: there are two"),
-    ('tenant = "*"', 'tennant = "*"', "contract of number 2: tenant: "),
-    ('"gateway"', '"gate"', "order n1: kind: "),
-    ("[[contract]]", "[[contract]", "not TOML: "),
-])
+@pytest.mark.parametrize(
+    ("was", "now", "says"),
+    [
+        ("22:00", "22:60", "contract of north: hours.0.from: "),
+        ('"fri"', '"friday"', "contract of north: hours.0.days.1: "),
+        ("America/Jamaica", "America/Kingstown", "contract of north: zone: no such time zone: 'America/Kingstown'"),
+        ('"14d"', '"2 weeks"', "contract of north: notice: "),
+        ('to = "05:30"', 'till = "05:30"', "contract of north: hours.0."),
+        ('to = "05:30"', 'to = "22:00"', "contract of north: hours.0: from and to are the same"),
+        ("2026-12-26", "2026-12-25", "contract of north: exceptions.1.date: 2026-12-25 is there twice"),
+        ('tenant = "*"', 'tenant = "north"', "contract of north: tenant: there are two"),
+        ('tenant = "*"', 'tennant = "*"', "contract of number 2: tenant: "),
+        ('"gateway"', '"gate"', "order n1: kind: "),
+        ("[[contract]]", "[[contract]", "not TOML: "),
+    ],
+)
 def test_errors_of_the_file_name_file_tenant_and_field(tmp_path: Path, was: str, now: str, says: str) -> None:
     path = tmp_path / "contracts.toml"
     path.write_text(GOOD.replace(was, now, 1))
@@ -148,6 +169,7 @@
 
 # ---- the agreed time
 
+
 def agreed(offsets: list[dict[str, int]], machines: int = 3) -> list[int | None]:
     """Offsets of each machine's clock from the true time, a second each; the agreed time's offset after each."""
     agreement, out = Agreement(), []
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -8,10 +8,10 @@
 import orjson
 import pytest
 
-from oakvale.intake.watch import SettingsWatch
 from oakvale.intake import model, settings
 from oakvale.intake.table import BadFile
 from oakvale.intake.times import micros
+from oakvale.intake.watch import SettingsWatch
 
 FILE = """
 later = 1
@@ -64,25 +64,28 @@
     assert (bounds.quota_excess, bounds.quota_slack, bounds.apply) == (0.1, 20.0, 2_500_000)
 
 
-@pytest.mark.parametrize(("was", "becomes", "named"), [
-    ('ip = "10.1.0.30"', "", "[self] ip"),
-    ('node = "core-1"', "node = 1", "[self] node"),
-    ("bootstrap = true", 'bootstrap = "yes"', "[self] bootstrap"),
-    ("mem-mb = 300", "mem-mb = true", "[self.limits] mem-mb"),
-    ("[7340, 7355]", "[7355, 7340]", "[network] port-range"),
-    ("[7340, 7355]", "[7340]", "[network] port-range"),
-    ("port-range = [7340, 7355]", "", "[network] port-range"),
-    ('"10.2.0.25:8783"', '"10.2.0.25"', "[network] seeds"),
-    ('ctl = "10.1.0.30:8783"', 'ctl = "10.1.0.30"', "[network.bind] ctl"),
-    ('half-way-tree = "kingston"', "half-way-tree = 3", "[network.azs] half-way-tree"),
-    ('beat = "1.5s"', 'beat = "1.5"', "[infra] beat"),
-    ('contact = "3500ms"', "contact = 3500", "[terms.bounds] contact"),
-    ("quota-slack = 20", 'quota-slack = "20"', "[terms.bounds] quota-slack"),
-    ("nodes = 1", "nodes = 1.5", "[terms.tolerance] nodes"),
-    ('clauses = ["base", "quota"]', 'clauses = [["base"]]', "[terms] clauses"),
-    ('serves = ["ctl"]', "serves = [1]", "[self] serves"),
-    ("[self.limits]", "[self.limits", "not TOML"),
-])
+@pytest.mark.parametrize(
+    ("was", "becomes", "named"),
+    [
+        ('ip = "10.1.0.30"', "", "[self] ip"),
+        ('node = "core-1"', "node = 1", "[self] node"),
+        ("bootstrap = true", 'bootstrap = "yes"', "[self] bootstrap"),
+        ("mem-mb = 300", "mem-mb = true", "[self.limits] mem-mb"),
+        ("[7340, 7355]", "[7355, 7340]", "[network] port-range"),
+        ("[7340, 7355]", "[7340]", "[network] port-range"),
+        ("port-range = [7340, 7355]", "", "[network] port-range"),
+        ('"10.2.0.25:8783"', '"10.2.0.25"', "[network] seeds"),
+        ('ctl = "10.1.0.30:8783"', 'ctl = "10.1.0.30"', "[network.bind] ctl"),
+        ('half-way-tree = "kingston"', "half-way-tree = 3", "[network.azs] half-way-tree"),
+        ('beat = "1.5s"', 'beat = "1.5"', "[infra] beat"),
+        ('contact = "3500ms"', "contact = 3500", "[terms.bounds] contact"),
+        ("quota-slack = 20", 'quota-slack = "20"', "[terms.bounds] quota-slack"),
+        ("nodes = 1", "nodes = 1.5", "[terms.tolerance] nodes"),
+        ('clauses = ["base", "quota"]', 'clauses = [["base"]]', "[terms] clauses"),
+        ('serves = ["ctl"]', "serves = [1]", "[self] serves"),
+        ("[self.limits]", "[self.limits", "not TOML"),
+    ],
+)
 def test_what_is_wrong_in_a_settings_file_is_named(tmp_path: Path, was: str, becomes: str, named: str) -> None:
     assert was in FILE
     with pytest.raises(BadFile) as error:
@@ -95,8 +98,10 @@
         settings.load({"OAKVALE_SETTINGS": str(tmp_path / "none")})
 
 
-@pytest.mark.parametrize(("text", "time"), [("1500ms", 1_500_000), ("2.5s", 2_500_000), ("0ms", 0), ("0.25ms", 250),
-                                           ("7.915077855057237s", 7_915_078)])
+@pytest.mark.parametrize(
+    ("text", "time"),
+    [("1500ms", 1_500_000), ("2.5s", 2_500_000), ("0ms", 0), ("0.25ms", 250), ("7.915077855057237s", 7_915_078)],
+)
 def test_times(text: str, time: int) -> None:
     assert micros(text) == time
 
@@ -109,17 +114,54 @@
 
 # ---- configurations
 
-ROUTES = {"cols": ["name", "vhost", "prefix", "type", "deadline", "target_time", "prio", "split", "tries", "public",
-                   "svc", "later"],
-          "rows": [["r1", "a.example", "/x/", "safe", "1200ms", "300ms", 2,
-                    [{"svc": "s1", "wt": 90}, {"svc": "s2", "wt": 10}], 2, False, None, 1],
-                   ["r2", "a.example", "/", "unsafe", "1.5s", None, 1, None, 1, None, "s2", None]]}
-SERVICES = {"cols": ["name", "hcheck", "max-conns", "proto", "tls"],
-            "rows": [["s1", "/healthz", 110, "h1", False], ["s2", None, None, "h1", False]]}
-TENANTS = {"cols": ["name", "apikeys", "prio", "rate-per-s", "burst"],
-           "rows": [["t1", ["k1", "k2"], 1, 63, 63], ["t2", ["k3"], None, None, None]]}
-VALID: dict[str, Any] = {"gen": 7, "routes": ROUTES, "svcs": SERVICES, "limits": {"hdr": "3000ms", "body-bytes": 1000},
-                         "tenants": TENANTS}
+ROUTES = {
+    "cols": [
+        "name",
+        "vhost",
+        "prefix",
+        "type",
+        "deadline",
+        "target_time",
+        "prio",
+        "split",
+        "tries",
+        "public",
+        "svc",
+        "later",
+    ],
+    "rows": [
+        [
+            "r1",
+            "a.example",
+            "/x/",
+            "safe",
+            "1200ms",
+            "300ms",
+            2,
+            [{"svc": "s1", "wt": 90}, {"svc": "s2", "wt": 10}],
+            2,
+            False,
+            None,
+            1,
+        ],
+        ["r2", "a.example", "/", "unsafe", "1.5s", None, 1, None, 1, None, "s2", None],
+    ],
+}
+SERVICES = {
+    "cols": ["name", "hcheck", "max-conns", "proto", "tls"],
+    "rows": [["s1", "/healthz", 110, "h1", False], ["s2", None, None, "h1", False]],
+}
+TENANTS = {
+    "cols": ["name", "apikeys", "prio", "rate-per-s", "burst"],
+    "rows": [["t1", ["k1", "k2"], 1, 63, 63], ["t2", ["k3"], None, None, None]],
+}
+VALID: dict[str, Any] = {
+    "gen": 7,
+    "routes": ROUTES,
+    "svcs": SERVICES,
+    "limits": {"hdr": "3000ms", "body-bytes": 1000},
+    "tenants": TENANTS,
+}
 
 
 def changed(*path: Any, to: Any) -> bytes:
@@ -144,44 +186,64 @@
     assert (found.tenants[1].rate, found.tenants[1].prio) == (0, None)
 
 
-@pytest.mark.parametrize("text", [
-    changed("tenants", to=None), changed("limits", to=None), changed("limits", to={}), changed("later", to={"a": 1}),
-    changed("routes", "rows", to=[]), changed("routes", "rows", 0, 5, to="61199ms"),
-    changed("routes", "rows", 1, 1, to="b.example"), changed("gen", to=0),
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        changed("tenants", to=None),
+        changed("limits", to=None),
+        changed("limits", to={}),
+        changed("later", to={"a": 1}),
+        changed("routes", "rows", to=[]),
+        changed("routes", "rows", 0, 5, to="61199ms"),
+        changed("routes", "rows", 1, 1, to="b.example"),
+        changed("gen", to=0),
+    ],
+)
 def test_valid_ones_pass(text: bytes) -> None:
     model.parse(text)
 
 
-@pytest.mark.parametrize(("text", "named"), [
-    (changed("routes", "rows", 1, 10, to="none"), "routes.r2"),  # unknown services
-    (changed("routes", "rows", 0, 7, 1, "svc", to="none"), "routes.r1"),
-    (changed("routes", "rows", 0, 10, to="none"), "routes.r1"),
-    (changed("routes", "rows", 1, 10, to=None), "routes.r2"),
-    (changed("routes", "rows", 1, 2, to="/x/"), "routes.r2"),  # host and prefix of another
-    (changed("routes", "rows", 1, to=["r2", "A.Example", "/x/", "safe", "1s", None, 1, None, 1, None, "s2", None]),
-     "routes.r2"),
-    (changed("routes", "rows", 0, 5, to="61200ms"), "target_time"),  # a minute above the deadline
-    (changed("routes", "rows", 0, 8, to=0), "routes.0.tries"),
-    (changed("routes", "rows", 0, 8, to=None), "routes.0.tries"),
-    (changed("routes", "rows", 0, 4, to="soon"), "routes.0.deadline"),
-    (changed("routes", "rows", 0, 4, to="0ms"), "deadline"),
-    (changed("routes", "rows", 0, 3, to="maybe"), "routes.0.type"),
-    (changed("routes", "rows", 0, 2, to="x/"), "routes.0.prefix"),
-    (changed("routes", "rows", 0, 7, to=[]), "routes.r1.split"),
-    (changed("routes", "rows", 1, to=["r2"]), "routes.rows[1]"),  # can't be read whole
-    (changed("routes", "cols", 1, to="name"), "routes.cols"),
-    (changed("routes", "rows", to=None), "routes"),
-    (changed("routes", to=None), "routes"),
-    (changed("svcs", to=None), "svcs"),
-    (changed("svcs", "rows", 1, 0, to="s1"), "svcs"),
-    (changed("gen", to=None), "gen"),
-    (changed("gen", to="newest"), "gen"),
-    (changed("limits", "hdr", to=3), "limits.hdr"),
-    (changed("tenants", "rows", 0, 1, to="k1"), "tenants.0.apikeys"),
-    (changed("tenants", "rows", 0, 3, to=-1), "tenants.0.rate-per-s"),
-    (orjson.dumps(VALID)[:-1], "JSON"), (b"", "JSON"), (b"\xff", "JSON"), (b"[]", "no object"), (b"null", "no object"),
-], ids=lambda value: value if isinstance(value, str) else "")
+@pytest.mark.parametrize(
+    ("text", "named"),
+    [
+        (changed("routes", "rows", 1, 10, to="none"), "routes.r2"),  # unknown services
+        (changed("routes", "rows", 0, 7, 1, "svc", to="none"), "routes.r1"),
+        (changed("routes", "rows", 0, 10, to="none"), "routes.r1"),
+        (changed("routes", "rows", 1, 10, to=None), "routes.r2"),
+        (changed("routes", "rows", 1, 2, to="/x/"), "routes.r2"),  # host and prefix of another
+        (
+            changed(
+                "routes", "rows", 1, to=["r2", "A.Example", "/x/", "safe", "1s", None, 1, None, 1, None, "s2", None]
+            ),
+            "routes.r2",
+        ),
+        (changed("routes", "rows", 0, 5, to="61200ms"), "target_time"),  # a minute above the deadline
+        (changed("routes", "rows", 0, 8, to=0), "routes.0.tries"),
+        (changed("routes", "rows", 0, 8, to=None), "routes.0.tries"),
+        (changed("routes", "rows", 0, 4, to="soon"), "routes.0.deadline"),
+        (changed("routes", "rows", 0, 4, to="0ms"), "deadline"),
+        (changed("routes", "rows", 0, 3, to="maybe"), "routes.0.type"),
+        (changed("routes", "rows", 0, 2, to="x/"), "routes.0.prefix"),
+        (changed("routes", "rows", 0, 7, to=[]), "routes.r1.split"),
+        (changed("routes", "rows", 1, to=["r2"]), "routes.rows[1]"),  # can't be read whole
+        (changed("routes", "cols", 1, to="name"), "routes.cols"),
+        (changed("routes", "rows", to=None), "routes"),
+        (changed("routes", to=None), "routes"),
+        (changed("svcs", to=None), "svcs"),
+        (changed("svcs", "rows", 1, 0, to="s1"), "svcs"),
+        (changed("gen", to=None), "gen"),
+        (changed("gen", to="newest"), "gen"),
+        (changed("limits", "hdr", to=3), "limits.hdr"),
+        (changed("tenants", "rows", 0, 1, to="k1"), "tenants.0.apikeys"),
+        (changed("tenants", "rows", 0, 3, to=-1), "tenants.0.rate-per-s"),
+        (orjson.dumps(VALID)[:-1], "JSON"),
+        (b"", "JSON"),
+        (b"\xff", "JSON"),
+        (b"[]", "no object"),
+        (b"null", "no object"),
+    ],
+    ids=lambda value: value if isinstance(value, str) else "",
+)
 def test_what_is_invalid_is_refused_and_named(text: bytes, named: str) -> None:
     with pytest.raises(model.Invalid) as error:
         model.parse(text)
@@ -192,24 +254,48 @@
 ROWS = [dict(zip(VALID["svcs"]["cols"], row, strict=True)) for row in VALID["svcs"]["rows"]]
 
 
-@pytest.mark.parametrize(("text", "same"), [
-    (orjson.dumps(VALID, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS), True),
-    (changed("svcs", to={"rows": [list(row.values())[::-1] for row in ROWS], "cols": list(ROWS[0])[::-1]}), True),
-    (changed("svcs", to={"cols": [*ROWS[0], "later"], "rows": [[*row.values(), None] for row in ROWS]}), True),
-    (orjson.dumps(VALID).replace(b'"gen":7', b'"gen":6,"gen":7'), True),
-    (orjson.dumps(VALID).replace(b'"s1"', b'"\\u0073\\u0031"'), True),
-    (changed("gen", to="7"), False), (changed("gen", to=7.0), False), (changed("later", to=None), False),
-    (changed("svcs", "rows", to=VALID["svcs"]["rows"][::-1]), False), (changed("svcs", "later", to=1), False),
-    (changed("tenants", "rows", 0, 3, to=63.0), False), (changed("tenants", "rows", 0, 0, to="\u00e9"), False),
-])
+@pytest.mark.parametrize(
+    ("text", "same"),
+    [
+        (orjson.dumps(VALID, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS), True),
+        (changed("svcs", to={"rows": [list(row.values())[::-1] for row in ROWS], "cols": list(ROWS[0])[::-1]}), True),
+        (changed("svcs", to={"cols": [*ROWS[0], "later"], "rows": [[*row.values(), None] for row in ROWS]}), True),
+        (orjson.dumps(VALID).replace(b'"gen":7', b'"gen":6,"gen":7'), True),
+        (orjson.dumps(VALID).replace(b'"s1"', b'"\\u0073\\u0031"'), True),
+        (changed("gen", to="7"), False),
+        (changed("gen", to=7.0), False),
+        (changed("later", to=None), False),
+        (changed("svcs", "rows", to=VALID["svcs"]["rows"][::-1]), False),
+        (changed("svcs", "later", to=1), False),
+        (changed("tenants", "rows", 0, 3, to=63.0), False),
+        (changed("tenants", "rows", 0, 0, to="\u00e9"), False),
+    ],
+)
 def test_one_content_has_one_digest(text: bytes, same: bool) -> None:
     found, digest = model.read(text)
     assert found.gen == 7 and (digest == CONTENT) is same
 
 
 def test_texts_that_look_alike_are_two_contents() -> None:
-    values: list[Any] = [1, 1.0, True, "1", [1], {"1": 1}, "\u00e9", "e\u0301", 0.0, -0.0, 2**53, 2.0**53, [], {}, "",
-                         [[], []], [[[]]]]
+    values: list[Any] = [
+        1,
+        1.0,
+        True,
+        "1",
+        [1],
+        {"1": 1},
+        "\u00e9",
+        "e\u0301",
+        0.0,
+        -0.0,
+        2**53,
+        2.0**53,
+        [],
+        {},
+        "",
+        [[], []],
+        [[[]]],
+    ]
     assert len({model.read(changed("later", to=value))[1] for value in values}) == len(values)
 
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -35,9 +35,11 @@
 
 def case(*rules: str) -> Callable[[Callable[[Told], Any]], Callable[[Told], Any]]:
     """A day, and the rules that it breaks."""
+
     def keep(told: Callable[[Told], Any]) -> Callable[[Told], Any]:
         CASES[told.__name__] = (sorted(rules), told)
         return told
+
     return keep
 
 
@@ -470,8 +472,15 @@
     t.serve(11 * SECOND, gateway="e2")
 
 
-def leave(t: Told, at: int, route: str = "read", arrives: int = 5 * MS, ends: int | None = None,
-          drops: int | None = None, gateway: str = "e1") -> None:
+def leave(
+    t: Told,
+    at: int,
+    route: str = "read",
+    arrives: int = 5 * MS,
+    ends: int | None = None,
+    drops: int | None = None,
+    gateway: str = "e1",
+) -> None:
     """A client asks, leaves 100 ms later, and its run ends or is dropped so long after that."""
     name = t.send(at, route, gateway)
     t.run(at + arrives, name)
@@ -912,9 +921,15 @@
     def count(times: list[int], begin: int) -> int:
         return sum(begin <= at < begin + window for at in times)
 
-    return max((count(extra, t) - slack - ratio * max(count(asked, t), count(asked, t - window),
-                                                      count(asked, t - window // 2))
-                for t in range(-window, 4 * window)), default=0)
+    return max(
+        (
+            count(extra, t)
+            - slack
+            - ratio * max(count(asked, t), count(asked, t - window), count(asked, t - window // 2))
+            for t in range(-window, 4 * window)
+        ),
+        default=0,
+    )
 
 
 @pytest.mark.parametrize("seed", range(60))
@@ -966,8 +981,9 @@
 
 def _arrival(t: Told, at: int, name: str, service: str) -> Any:
     sent = t.record.sent[-1]
-    return Arrived(at, name, "a1", service, "ten", None, sent.host, sent.path, sent.method, sent.body_digest, "a1",
-                   sent.gateway)
+    return Arrived(
+        at, name, "a1", service, "ten", None, sent.host, sent.path, sent.method, sent.body_digest, "a1", sent.gateway
+    )
 
 
 def test_a_record_tells_the_same_of_itself_just_if_it_holds_the_same() -> None:
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -27,19 +27,39 @@
 
 MS, SECOND = 1_000, 1_000_000
 SITE: dict[str, Any] = {
-    "seconds": 7, "lead_s": 5, "zones": ["a", "b"], "edges_per_zone": 1, "bounds": {"retry-slack": 10},
+    "seconds": 7,
+    "lead_s": 5,
+    "zones": ["a", "b"],
+    "edges_per_zone": 1,
+    "bounds": {"retry-slack": 10},
     "services": [{"name": "one", "backends": 4}, {"name": "two", "backends": 4}],
-    "tenants": [{"name": "big", "keys": 2, "rate_per_s": 30, "burst": 15, "weight": 2},
-                {"name": "small", "keys": 2, "rate_per_s": 15, "burst": 15}],
-    "routes": [{"name": "look", "service": "one", "per_s": 18, "work_ms": 40, "aim_ms": 400, "deadline_ms": 2000},
-               {"name": "book", "service": "two", "safe": False, "per_s": 8, "work_ms": 60, "aim_ms": 400,
-                "deadline_ms": 2500}]}
+    "tenants": [
+        {"name": "big", "keys": 2, "rate_per_s": 30, "burst": 15, "weight": 2},
+        {"name": "small", "keys": 2, "rate_per_s": 15, "burst": 15},
+    ],
+    "routes": [
+        {"name": "look", "service": "one", "per_s": 18, "work_ms": 40, "aim_ms": 400, "deadline_ms": 2000},
+        {
+            "name": "book",
+            "service": "two",
+            "safe": False,
+            "per_s": 8,
+            "work_ms": 60,
+            "aim_ms": 400,
+            "deadline_ms": 2500,
+        },
+    ],
+}
 
 
-def day(*troubles: tuple[str, float, dict[str, Any]], plan: tuple[tuple[str, float, dict[str, Any]], ...] = (),
-        **changes: Any) -> Day:
+def day(
+    *troubles: tuple[str, float, dict[str, Any]],
+    plan: tuple[tuple[str, float, dict[str, Any]], ...] = (),
+    **changes: Any,
+) -> Day:
     def rows(given: tuple[tuple[str, float, dict[str, Any]], ...]) -> list[dict[str, Any]]:
         return [{"kind": kind, "at": at, **more} for kind, at, more in given]
+
     return decode(SITE | {"name": "broken", "troubles": rows(troubles), "plan": rows(plan)} | changes)
 
 
@@ -67,8 +87,10 @@
 
 
 def all_ready(table: Table, *_: Any) -> dict[str, routes.Backend]:
-    return {name: routes.Backend(name, v["svc"], v["addr"], v["az"], float(v["slots"]), True, 0)
-            for name, v in table.items("backend/")}
+    return {
+        name: routes.Backend(name, v["svc"], v["addr"], v["az"], float(v["slots"]), True, 0)
+        for name, v in table.items("backend/")
+    }
 
 
 def first_configuration_stays(sluice: Sluice, keys: list[str], real: Any = Sluice._changed) -> None:
@@ -97,8 +119,9 @@
     return lanes[min(lanes)] if lanes and plant.loop.net.rng.random() < 0.05 else real(plant, service)
 
 
-def acknowledged_before_it_is_kept(core: Core, changes: Any, then: Callable[[bool], None], behind: bool = False,
-                                   real: Any = Core.change) -> None:
+def acknowledged_before_it_is_kept(
+    core: Core, changes: Any, then: Callable[[bool], None], behind: bool = False, real: Any = Core.change
+) -> None:
     if "config" not in changes or core.ledger.table.get("config") is None:
         real(core, changes, then, behind)
     else:
@@ -106,8 +129,9 @@
         core.loop.at(core.loop.now + 20 * MS, lambda _: real(core, changes, lambda done: None, behind))
 
 
-def another_content_is_confirmed(config: Config, order: Any, body: bytes, give: Give,
-                                 real: Any = Config._judge) -> None:
+def another_content_is_confirmed(
+    config: Config, order: Any, body: bytes, give: Give, real: Any = Config._judge
+) -> None:
     """Any number that is not above the one held gets a yes, whatever content it comes with."""
     held = config._core.ledger.latest("config")
     if held is not None and order.gen <= held["gen"]:
@@ -127,8 +151,9 @@
     give(Reply(200, bytes(held["text"])) if held is not None else UNSURE)
 
 
-def leaving_is_not_heard(backends: Backends, name: str, body: bytes, give: Give,
-                         real: Any = Backends.heartbeat) -> None:
+def leaving_is_not_heard(
+    backends: Backends, name: str, body: bytes, give: Give, real: Any = Backends.heartbeat
+) -> None:
     if b'"drain"' in body:
         give(UNSURE)
     else:
@@ -151,52 +176,95 @@
 
 
 BREAKS: dict[str, Break] = {
-    "an order sent again is refused": Break("CONFIG", day(
-        ("ack_lost", 1.0, {"for_s": 5, "x": 0.7}), ("config_change", 2.0, {"count": 3, "how": "timeout"})), {
-        "oakvale.headworks.resources.Config.replace": sent_again_is_refused}),
-    "a second content is confirmed": Break("CONFIG", day(("config_race", 2.0, {"how": "number"})), {
-        "oakvale.headworks.resources.Config._judge": another_content_is_confirmed}),
-    "what is cut off is read": Break("CONFIG", day(
-        ("core_cut", 2.0, {"for_s": 5, "how": "leader meet"}), ("config_change", 4.0, {"how": "timeout"})), {
-        "oakvale.headworks.resources.Config.read": read_unconfirmed,
-        "oakvale.headworks.core.Core.serving": lambda core: core.active}),
-    "leaving is not heard": Break("ACKS", day(("scale_in", 1.0, {"share": 0.5, "on": "one"}), seconds=9), {
-        "oakvale.headworks.resources.Backends.heartbeat": leaving_is_not_heard}),
+    "an order sent again is refused": Break(
+        "CONFIG",
+        day(("ack_lost", 1.0, {"for_s": 5, "x": 0.7}), ("config_change", 2.0, {"count": 3, "how": "timeout"})),
+        {"oakvale.headworks.resources.Config.replace": sent_again_is_refused},
+    ),
+    "a second content is confirmed": Break(
+        "CONFIG",
+        day(("config_race", 2.0, {"how": "number"})),
+        {"oakvale.headworks.resources.Config._judge": another_content_is_confirmed},
+    ),
+    "what is cut off is read": Break(
+        "CONFIG",
+        day(("core_cut", 2.0, {"for_s": 5, "how": "leader meet"}), ("config_change", 4.0, {"how": "timeout"})),
+        {
+            "oakvale.headworks.resources.Config.read": read_unconfirmed,
+            "oakvale.headworks.core.Core.serving": lambda core: core.active,
+        },
+    ),
+    "leaving is not heard": Break(
+        "ACKS",
+        day(("scale_in", 1.0, {"share": 0.5, "on": "one"}), seconds=9),
+        {"oakvale.headworks.resources.Backends.heartbeat": leaving_is_not_heard},
+    ),
     "a kind is starved": Break("STARVED", day(), {"oakvale.sluice.plant.Plant.open": unsafe_ones_are_turned_away}),
     "gateways are never ready": Break("DUTY", day(), {"oakvale.sluice.gate.Readyz.open": never_ready}),
-    "what may have run is sent again": Break("TWICE", day(LOST_BY_RESET), {
-        "oakvale.policy.attempts.Attempts.repeatable": lambda attempts, held: True}),
-    "what may have run is refused": Break("REFUSED", day(LOST_BY_RESET), {
-        "oakvale.sluice.plant.ServiceLane.answer_of": may_have_run_is_refused}),
-    "nothing is counted": Break("QUOTA", day(("hot_tenant", 1.0, {"for_s": 6, "x": 4})), {
-        "oakvale.gauge.service.Gauge.ask": all_pass}),
-    "further attempts are free": Break("BUDGET", day(READS_LOST, bounds={"retry-slack": 2, "retry-ratio": 0.02}), {
-        "oakvale.budget.SharedBudget.take": lambda budget, spent, ending, now: True,
-        "oakvale.budget.SharedBudget.may": lambda budget, now: True}),
-    "who drains is used": Break("DRAIN", day(("scale_in", 1.0, {"share": 0.5, "on": "one"}), seconds=12), {
-        "oakvale.sluice.gate.backends": all_ready}),
-    "a configuration does not come": Break("CONFIG", day(MOVES), {
-        "oakvale.sluice.gate.Sluice._changed": first_configuration_stays}),
-    "a configuration goes back": Break("CONFIG", day(MOVES), {
-        "oakvale.sluice.plant.Plant.show": older_picture_comes_back}),
-    "an invalid one is taken": Break("CONFIG", day(("bad_config", 2.0, {"how": "unknown_service"})), {
-        "oakvale.intake.model.check": lambda config: None}),
-    "any answer is believed": Break("MIXED", day(("garble", 1.0, {
-        "for_s": 6, "share": 1.0, "x": 0.6, "how": "extra late"})), {
-        "oakvale.sluice.dialect.SystemDialect.belongs": lambda *_: True}),
-    "another tenant is named": Break("UNASKED", day(), {
-        "oakvale.sluice.dialect.SystemDialect.headers": another_tenant}),
+    "what may have run is sent again": Break(
+        "TWICE", day(LOST_BY_RESET), {"oakvale.policy.attempts.Attempts.repeatable": lambda attempts, held: True}
+    ),
+    "what may have run is refused": Break(
+        "REFUSED", day(LOST_BY_RESET), {"oakvale.sluice.plant.ServiceLane.answer_of": may_have_run_is_refused}
+    ),
+    "nothing is counted": Break(
+        "QUOTA", day(("hot_tenant", 1.0, {"for_s": 6, "x": 4})), {"oakvale.gauge.service.Gauge.ask": all_pass}
+    ),
+    "further attempts are free": Break(
+        "BUDGET",
+        day(READS_LOST, bounds={"retry-slack": 2, "retry-ratio": 0.02}),
+        {
+            "oakvale.budget.SharedBudget.take": lambda budget, spent, ending, now: True,
+            "oakvale.budget.SharedBudget.may": lambda budget, now: True,
+        },
+    ),
+    "who drains is used": Break(
+        "DRAIN",
+        day(("scale_in", 1.0, {"share": 0.5, "on": "one"}), seconds=12),
+        {"oakvale.sluice.gate.backends": all_ready},
+    ),
+    "a configuration does not come": Break(
+        "CONFIG", day(MOVES), {"oakvale.sluice.gate.Sluice._changed": first_configuration_stays}
+    ),
+    "a configuration goes back": Break(
+        "CONFIG", day(MOVES), {"oakvale.sluice.plant.Plant.show": older_picture_comes_back}
+    ),
+    "an invalid one is taken": Break(
+        "CONFIG",
+        day(("bad_config", 2.0, {"how": "unknown_service"})),
+        {"oakvale.intake.model.check": lambda config: None},
+    ),
+    "any answer is believed": Break(
+        "MIXED",
+        day(("garble", 1.0, {"for_s": 6, "share": 1.0, "x": 0.6, "how": "extra late"})),
+        {"oakvale.sluice.dialect.SystemDialect.belongs": lambda *_: True},
+    ),
+    "another tenant is named": Break(
+        "UNASKED", day(), {"oakvale.sluice.dialect.SystemDialect.headers": another_tenant}
+    ),
     "known routes are denied": Break("DENIED", day(), {"oakvale.sluice.plant.Plant.open": now_and_then_404}),
     "services are confused": Break("ROUTE", day(), {"oakvale.sluice.plant.Plant._lane": one_lane_for_all}),
-    "work goes on for clients that left": Break("GONE", day(
-        ("give_up", 1.0, {"for_s": 5, "share": 0.7, "x": 60}),
-        routes=[route | {"work_ms": 700, "per_s": 6} for route in SITE["routes"]]), {
-        "oakvale.policy.limits.Limits.finish": finish_alone}),
-    "a SIGTERM ends all at once": Break("LOST", day(plan=(("restart", 2.0, {"on": "edge", "share": 1.0}),), routes=[
-        route | {"work_ms": 200} for route in SITE["routes"]]), {
-        "oakvale.sluice.process.Process.stop": lambda process: process.sluice.loop.stop()}),
-    "acknowledged before it is kept": Break("CONFIG", day(("after_ack_wipe", 2.0, {"for_s": 1}), seconds=12), {
-        "oakvale.headworks.core.Core.change": acknowledged_before_it_is_kept}),
+    "work goes on for clients that left": Break(
+        "GONE",
+        day(
+            ("give_up", 1.0, {"for_s": 5, "share": 0.7, "x": 60}),
+            routes=[route | {"work_ms": 700, "per_s": 6} for route in SITE["routes"]],
+        ),
+        {"oakvale.policy.limits.Limits.finish": finish_alone},
+    ),
+    "a SIGTERM ends all at once": Break(
+        "LOST",
+        day(
+            plan=(("restart", 2.0, {"on": "edge", "share": 1.0}),),
+            routes=[route | {"work_ms": 200} for route in SITE["routes"]],
+        ),
+        {"oakvale.sluice.process.Process.stop": lambda process: process.sluice.loop.stop()},
+    ),
+    "acknowledged before it is kept": Break(
+        "CONFIG",
+        day(("after_ack_wipe", 2.0, {"for_s": 1}), seconds=12),
+        {"oakvale.headworks.core.Core.change": acknowledged_before_it_is_kept},
+    ),
 }
 
 
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -21,19 +21,23 @@
     assert days.decode(tomllib.loads(days.dump(day))) == day
 
 
-@pytest.mark.parametrize("place, value, told", [
-    (("routes", 1, "per_s"), -1, "routes.berth-book.per_s: Input should be greater than 0"),
-    (("routes", 0, "service"), "quay", "routes.tide-table: unknown service 'quay'"),
-    (("plan", 0, "at"), 400, "plan.0.at: 400 is after the day's end (12 s)"),
-    (("plan", 0, "kind"), "srv_crash", "plan.0.kind: srv_crash is no planned work"),
-    (("plan", 0, "zone"), "quay", "plan.0.zone: unknown zone 'quay'"),
-    (("services", 0, "slot"), 3, "services.tides.slot: Extra inputs are not permitted"),
-    (("bounds",), {"drain": "2h"}, "bounds.drain: not a time such as 1500ms or 2.5s: '2h'"),
-    (("tenants", 1, "name"), "pilots", "tenants: 'pilots' is there twice"),
-    (("tolerance",), 2, "tolerance: 2 of 3 cores can't be borne: a majority is needed"),
-])
-def test_a_bad_day_is_told_by_file_place_and_field(tmp_path: Path, place: tuple[Any, ...], value: Any,
-                                                   told: str) -> None:
+@pytest.mark.parametrize(
+    "place, value, told",
+    [
+        (("routes", 1, "per_s"), -1, "routes.berth-book.per_s: Input should be greater than 0"),
+        (("routes", 0, "service"), "quay", "routes.tide-table: unknown service 'quay'"),
+        (("plan", 0, "at"), 400, "plan.0.at: 400 is after the day's end (12 s)"),
+        (("plan", 0, "kind"), "srv_crash", "plan.0.kind: srv_crash is no planned work"),
+        (("plan", 0, "zone"), "quay", "plan.0.zone: unknown zone 'quay'"),
+        (("services", 0, "slot"), 3, "services.tides.slot: Extra inputs are not permitted"),
+        (("bounds",), {"drain": "2h"}, "bounds.drain: not a time such as 1500ms or 2.5s: '2h'"),
+        (("tenants", 1, "name"), "pilots", "tenants: 'pilots' is there twice"),
+        (("tolerance",), 2, "tolerance: 2 of 3 cores can't be borne: a majority is needed"),
+    ],
+)
+def test_a_bad_day_is_told_by_file_place_and_field(
+    tmp_path: Path, place: tuple[Any, ...], value: Any, told: str
+) -> None:
     """A field that is passed over without a word would make an experiment measure something else."""
     import tomli_w
 
--- a/tests/test_lab_draw.py
+++ b/tests/test_lab_draw.py
@@ -24,11 +24,20 @@
     assert {day.edges_per_zone for day in found} == {1, 2, 3, 4} and {len(day.zones) for day in found} == {1, 2, 3, 4}
 
 
-@pytest.mark.parametrize("other, at, fair", [
-    ("node_kill", 5.0, False), ("core_cut", 12.0, False), ("srv_crash", 10.0, True), ("node_kill", 30.0, True)])
+@pytest.mark.parametrize(
+    "other, at, fair",
+    [("node_kill", 5.0, False), ("core_cut", 12.0, False), ("srv_crash", 10.0, True), ("node_kill", 30.0, True)],
+)
 def test_a_wiped_disk_stands_alone(other: str, at: float, fair: bool) -> None:
     """With two copies of which one is wiped, the other must be there: a rule broken then would be the day's fault."""
-    day = draw.drawn(1).model_copy(update={"seconds": 40.0, "plan": (), "troubles": (
-        Trouble(kind="after_ack_wipe", at=8.0, for_s=2.0),
-        Trouble.model_validate({"kind": other, "at": at, "for_s": 2.0}))})
+    day = draw.drawn(1).model_copy(
+        update={
+            "seconds": 40.0,
+            "plan": (),
+            "troubles": (
+                Trouble(kind="after_ack_wipe", at=8.0, for_s=2.0),
+                Trouble.model_validate({"kind": other, "at": at, "for_s": 2.0}),
+            ),
+        }
+    )
     assert draw.fair(day) is fair
--- a/tests/test_lab_failures.py
+++ b/tests/test_lab_failures.py
@@ -29,23 +29,52 @@
     return sum(got.status == 503 for got in record.got)
 
 
-@pytest.mark.parametrize("day, seed, spec, shown, bound", [
-    # incidents inc-5ca6, inc-2254, inc-6f87, inc-61e3, inc-801b: the core back, the primary's disk lost; 1.5 s are dark
-    ("dark", 2, Spec(name="waits", swap={f"{SUCCESSION}._copy_lost": f"{UNDONE}.copy_lost",
-                                         f"{SUCCESSION}._consider": f"{UNDONE}.consider"}),
-     lambda record: away(record, Event.CLOSING, 0), 2_500_000),
-    # the same incidents: 236 to 306 lines a day of sources that had not fallen silent; here three gateways, one spell
-    ("dark", 2, Spec(name="notes", swap={"oakvale.penstock.feed.Feed._next": f"{UNDONE}.next_source"}),
-     lambda record: sum(one.event == "news are stale" for one in record.noted), 3),
-    # a planned end of the primary cost 0.9 s of silence
-    ("roll", 1, Spec(name="silent", swap={f"{SUCCESSION}.leaving": f"{UNDONE}.leaving"}),
-     lambda record: away(record, Event.TERM, 5), 400_000),
-    # trouble-3 of mahoe-gate: tries refused as not counted, right after everything was started again
-    ("anew", 1, Spec(name="no-moment", set={"oakvale.sluice.plant.MOMENT": 0, "oakvale.gauge.service.MOMENT": 0}),
-     refused, 38),
-])
-def test_a_failure_is_found_without_its_fix_alone(day: str, seed: int, spec: Spec, shown: Callable[[Record], int],
-                                                  bound: int) -> None:
+@pytest.mark.parametrize(
+    "day, seed, spec, shown, bound",
+    [
+        # incidents inc-5ca6, inc-2254, inc-6f87, inc-61e3, inc-801b: the core back, the primary's disk lost; 1.5 s dark
+        (
+            "dark",
+            2,
+            Spec(
+                name="waits",
+                swap={
+                    f"{SUCCESSION}._copy_lost": f"{UNDONE}.copy_lost",
+                    f"{SUCCESSION}._consider": f"{UNDONE}.consider",
+                },
+            ),
+            lambda record: away(record, Event.CLOSING, 0),
+            2_500_000,
+        ),
+        # the same incidents: 236 to 306 lines a day of sources that had not fallen silent; three gateways, one spell
+        (
+            "dark",
+            2,
+            Spec(name="notes", swap={"oakvale.penstock.feed.Feed._next": f"{UNDONE}.next_source"}),
+            lambda record: sum(one.event == "news are stale" for one in record.noted),
+            3,
+        ),
+        # a planned end of the primary cost 0.9 s of silence
+        (
+            "roll",
+            1,
+            Spec(name="silent", swap={f"{SUCCESSION}.leaving": f"{UNDONE}.leaving"}),
+            lambda record: away(record, Event.TERM, 5),
+            400_000,
+        ),
+        # trouble-3 of mahoe-gate: tries refused as not counted, right after everything was started again
+        (
+            "anew",
+            1,
+            Spec(name="no-moment", set={"oakvale.sluice.plant.MOMENT": 0, "oakvale.gauge.service.MOMENT": 0}),
+            refused,
+            38,
+        ),
+    ],
+)
+def test_a_failure_is_found_without_its_fix_alone(
+    day: str, seed: int, spec: Spec, shown: Callable[[Record], int], bound: int
+) -> None:
     given = days.load(FOLDER / f"{day}.toml")
     fixed = play.play(given, seed)
     undone = play.play(given, seed, play.Variant(spec.name, variants.patches(spec)))
@@ -59,13 +88,22 @@
     assert not verdict.judge(play.play(given, given.seed)).broken
 
 
-@pytest.mark.parametrize("name, spec, rule", [
-    # the counter lets far too much over the burst: one edge, one tenant, one trouble
-    ("quota-9-small", Spec(name="lavish", set={"oakvale.gauge.floors.OVER": 40.0}), "QUOTA"),
-    # orders whose pieces were still on their way to the backup were not compared with: two contents under one number
-    ("config-14003-small", Spec(name="unplanned", swap={
-        "oakvale.headworks.ledger.Ledger.latest_items": "oakvale.lab.undone.latest_items"}), "CONFIG"),
-])
+@pytest.mark.parametrize(
+    "name, spec, rule",
+    [
+        # the counter lets far too much over the burst: one edge, one tenant, one trouble
+        ("quota-9-small", Spec(name="lavish", set={"oakvale.gauge.floors.OVER": 40.0}), "QUOTA"),
+        # orders whose pieces were on their way to the backup were not compared with: two contents under one number
+        (
+            "config-14003-small",
+            Spec(
+                name="unplanned",
+                swap={"oakvale.headworks.ledger.Ledger.latest_items": "oakvale.lab.undone.latest_items"},
+            ),
+            "CONFIG",
+        ),
+    ],
+)
 def test_a_found_day_still_finds_what_it_was_cut_down_for(name: str, spec: Spec, rule: str) -> None:
     given = days.load(FOLDER.parent / "found" / f"{name}.toml")
     found = verdict.judge(play.play(given, given.seed, play.Variant(spec.name, variants.patches(spec))))
--- a/tests/test_lab_pump.py
+++ b/tests/test_lab_pump.py
@@ -24,8 +24,17 @@
     assert len(list(arrivals.moments("poisson", 1000, 10, 7))) == 7
 
 
-@pytest.mark.parametrize("url", ["http://192.0.2.1/", "https://127.0.0.1/", "http://a@127.0.0.1/", "127.0.0.1:80",
-                                 "http://127.0.0.1:99999/", "http://127.0.0.1/a b"])
+@pytest.mark.parametrize(
+    "url",
+    [
+        "http://192.0.2.1/",
+        "https://127.0.0.1/",
+        "http://a@127.0.0.1/",
+        "127.0.0.1:80",
+        "http://127.0.0.1:99999/",
+        "http://127.0.0.1/a b",
+    ],
+)
 def test_load_goes_to_loopback_alone(url: str) -> None:
     with pytest.raises(BadTarget):
         target(url)
--- a/tests/test_lab_shrink.py
+++ b/tests/test_lab_shrink.py
@@ -32,10 +32,13 @@
         return any(cause <= set(some) for cause in causes) and not (hidden.get(some) and some != items)
 
     left = shrink.fewest(items, breaks)
-    assert breaks(left) and not any(breaks(left[:at] + left[at + 1:]) for at in range(len(left)))
+    assert breaks(left) and not any(breaks(left[:at] + left[at + 1 :]) for at in range(len(left)))
     if not hidden:  # nothing hides it: of the causes that the model finds, it is one
-        assert left in [some for some in parts(items) if breaks(some)
-                        and not any(breaks(some[:at] + some[at + 1:]) for at in range(len(some)))]
+        assert left in [
+            some
+            for some in parts(items)
+            if breaks(some) and not any(breaks(some[:at] + some[at + 1 :]) for at in range(len(some)))
+        ]
     assert left == shrink.fewest(items, breaks)
 
 
@@ -46,9 +49,14 @@
 def broken(day: Day) -> bool:
     """A stand-in for a played day: a kill after a change that an edge of three sees, on a service of two backends."""
     kinds = [trouble.kind for trouble in day.troubles]
-    return ("after_ack_kill" in kinds and any(one.kind == "config_change" for one in day.plan)
-            and len(day.edges()) >= 3 and any(one.name == "berths" and one.backends >= 2 for one in day.services)
-            and any(not route.safe and route.per_s > 3 for route in day.routes) and day.seconds >= 18)
+    return (
+        "after_ack_kill" in kinds
+        and any(one.kind == "config_change" for one in day.plan)
+        and len(day.edges()) >= 3
+        and any(one.name == "berths" and one.backends >= 2 for one in day.services)
+        and any(not route.safe and route.per_s > 3 for route in day.routes)
+        and day.seconds >= 18
+    )
 
 
 def test_a_day_shrinks_to_what_breaks_it() -> None:
@@ -64,12 +72,15 @@
 
 def test_every_step_is_a_day_and_smaller_than_what_it_came_from() -> None:
     """A step that leads back would let shrinking go round for ever."""
+
     def size(day: Day) -> float:
         rows = sum(len(getattr(day, part)) for part in ("zones", "services", "routes", "tenants", "troubles", "plan"))
-        numbers = (sum(one.backends + one.slots + one.cold_factor + one.reset_when_full for one in day.services)
-                   + sum(one.per_s + one.tries + one.prio + len(one.split) for one in day.routes)
-                   + sum(one.keys + one.rate_per_s for one in day.tenants)
-                   + sum(one.for_s + (one.count or 0) for one in day.troubles + day.plan))
+        numbers = (
+            sum(one.backends + one.slots + one.cold_factor + one.reset_when_full for one in day.services)
+            + sum(one.per_s + one.tries + one.prio + len(one.split) for one in day.routes)
+            + sum(one.keys + one.rate_per_s for one in day.tenants)
+            + sum(one.for_s + (one.count or 0) for one in day.troubles + day.plan)
+        )
         return 1e6 * rows + numbers + day.seconds + len(day.edges()) + day.cores
 
     found = list(shrink.steps(SQUALL))
--- a/tests/test_lab_trials.py
+++ b/tests/test_lab_trials.py
@@ -52,10 +52,18 @@
     assert found == statistics.median(values, 0.9)
 
 
-@pytest.mark.parametrize("change, word", [
-    ([0.02] * 8, "better"), ([-0.02] * 8, "worse"), ([0.0] * 8, "noise"), ([0.02] * 5, "noise"),
-    ([0.02, -0.03, 0.01, -0.01, 0.02, -0.02, 0.03, -0.04], "noise"),
-    ([0.02, 0.03, 0.01, 0.02, 0.02, 0.01, 0.03, -0.04], "better"), ([0.0005] * 8, "noise")])
+@pytest.mark.parametrize(
+    "change, word",
+    [
+        ([0.02] * 8, "better"),
+        ([-0.02] * 8, "worse"),
+        ([0.0] * 8, "noise"),
+        ([0.02] * 5, "noise"),
+        ([0.02, -0.03, 0.01, -0.01, 0.02, -0.02, 0.03, -0.04], "noise"),
+        ([0.02, 0.03, 0.01, 0.02, 0.02, 0.01, 0.03, -0.04], "better"),
+        ([0.0005] * 8, "noise"),
+    ],
+)
 def test_a_verdict_needs_pairs_that_agree(change: list[float], word: str) -> None:
     """Differences of luck are far larger than the change; unpaired they would hide it."""
     base = [random.Random(seed).uniform(0.5, 0.9) for seed in range(len(change))]
@@ -79,7 +87,7 @@
     assert "squall, unsafe, seed 3: TWICE at 1.0 s" in text and "Interrupted" not in text
     shown = page.page(experiment, list(rows.values()), outcomes, len(outcomes) + 2)
     assert "Interrupted: 48 of 50 runs" in shown and shown.count("data:image/svg+xml;base64,") == 1 + 2 * 5
-    assert "src=\"http" not in shown and "href=" not in shown
+    assert 'src="http' not in shown and "href=" not in shown
 
 
 def test_workers_bring_what_one_process_brings(told: Path) -> None:
@@ -89,8 +97,9 @@
     assert sorted(runs.played(jobs, 2, played), key=lambda one: one.seed) == alone
 
 
-def test_an_interrupt_leaves_a_report_of_what_there_is(told: Path, monkeypatch: pytest.MonkeyPatch,
-                                                       capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_interrupt_leaves_a_report_of_what_there_is(
+    told: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     def some(jobs: Any, many: int, its: Any) -> Iterator[Outcome]:
         for job in jobs[:7]:
             yield played(*job)
@@ -103,15 +112,22 @@
     assert "Interrupted" in capsys.readouterr().out
 
 
-@pytest.mark.parametrize("old, new, said", [
-    ("DUTIES", "DUTYS", "variants.longer: oakvale.gauge.service.DUTYS: oakvale.gauge.service has no DUTYS"),
-    ("= 8 }", "= 'x' }", "variants.longer.set.oakvale.gauge.service.DUTIES: 'x' is not like 4"),
-    ("oakvale.gauge", "os.gauge", "variants.longer: os.gauge.service.DUTIES: no name of oakvale's"),
-    ('"longer"', '"base"', "variants: 'base' is there twice"),
-    ("seeds = 8", "seeds = 0", "seeds: Input should be greater than or equal to 1"),
-    ("seeds = 8", "seed = 8", "seed: Extra inputs are not permitted"),
-    ('"unsafe"', '"unsafe"\ndays = ["storm.toml"]',
-     "variants.unsafe.days: 'storm.toml' is none of the experiment's days")])
+@pytest.mark.parametrize(
+    "old, new, said",
+    [
+        ("DUTIES", "DUTYS", "variants.longer: oakvale.gauge.service.DUTYS: oakvale.gauge.service has no DUTYS"),
+        ("= 8 }", "= 'x' }", "variants.longer.set.oakvale.gauge.service.DUTIES: 'x' is not like 4"),
+        ("oakvale.gauge", "os.gauge", "variants.longer: os.gauge.service.DUTIES: no name of oakvale's"),
+        ('"longer"', '"base"', "variants: 'base' is there twice"),
+        ("seeds = 8", "seeds = 0", "seeds: Input should be greater than or equal to 1"),
+        ("seeds = 8", "seed = 8", "seed: Extra inputs are not permitted"),
+        (
+            '"unsafe"',
+            '"unsafe"\ndays = ["storm.toml"]',
+            "variants.unsafe.days: 'storm.toml' is none of the experiment's days",
+        ),
+    ],
+)
 def test_a_bad_experiment_is_told_by_place_and_field(told: Path, old: str, new: str, said: str) -> None:
     told.write_text(FILE.replace(old, new))
     with pytest.raises(commands.Wrong) as raised:
@@ -137,13 +153,17 @@
     assert found["oakvale.penstock.feed.FORGIVEN"] == 20_000_000
     assert found["oakvale.penstock.feed.Feed.fresh.__defaults__"] == (1_000_000,)
     assert found.keys() >= {"oakvale.penstock.feed.STALE"} and all(variants.found(name) for name in found)
-    assert variants.patches(Spec(name="later", set={"oakvale.gauge.service.PRESENT": 5}))[
-        "oakvale.gauge.service.ABSENT"] == 100_005
+    assert (
+        variants.patches(Spec(name="later", set={"oakvale.gauge.service.PRESENT": 5}))["oakvale.gauge.service.ABSENT"]
+        == 100_005
+    )
 
 
-def test_a_hunt_keeps_what_it_found_as_a_day(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                             capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_hunt_keeps_what_it_found_as_a_day(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     """The kept day is the one that broke, and the smallest one still does."""
+
     def world(day: Day, seed: int, given: Spec) -> Outcome:
         bad = any(one.kind == "core_cut" for one in day.troubles)
         return replace(played(day, seed, Spec(name="base")), broken={"CONFIG": 1} if bad else {}, first="gone")
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -57,8 +57,14 @@
 
 def test_what_was_granted_before_a_start_is_not_known() -> None:
     """But for who had served in its view before, and for who leads the first view."""
-    for own, view, served, free in ((B, TWO, 0, False), (B, TWO, 1, False), (B, TWO, 2, True), (A, ONE, 0, True),
-                                    (B, ONE, 0, False), (C, TWO, 2, False)):
+    for own, view, served, free in (
+        (B, TWO, 0, False),
+        (B, TWO, 1, False),
+        (B, TWO, 2, True),
+        (A, ONE, 0, True),
+        (B, ONE, 0, False),
+        (C, TWO, 2, False),
+    ):
         held = leases(own, view, served)
         assert held.free(T) is free and held.free(T + SILENCE), (view, served)
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -106,8 +106,17 @@
     world.now += 30_000
     world.turn()
     members = Members([Member("g2", "10.0.0.2:7", "z", "new")])
-    gauge = Gauge(world.loop, world.mains, Terms(5_000_000, 0.1, 20), "g1", "l1", "10.0.0.1:7", lambda: members,
-                  lambda: [], lambda tenant: Quota(10, 10))
+    gauge = Gauge(
+        world.loop,
+        world.mains,
+        Terms(5_000_000, 0.1, 20),
+        "g1",
+        "l1",
+        "10.0.0.1:7",
+        lambda: members,
+        lambda: [],
+        lambda tenant: Quota(10, 10),
+    )
     gauge.members_changed()
     gauge._prove()
     world.turn()
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -23,8 +23,7 @@
     return one, other
 
 
-def test_the_clock_reads_unix_time_and_no_step_of_the_system_moves_it(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_clock_reads_unix_time_and_no_step_of_the_system_moves_it(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     assert abs(clock() - time.time_ns() // 1000) < 1_000_000
     before = clock()
@@ -109,8 +108,7 @@
     loop.close()
 
 
-def test_a_failing_coroutine_is_logged_with_its_traceback_and_ends_alone(
-        caplog: pytest.LogCaptureFixture) -> None:
+def test_a_failing_coroutine_is_logged_with_its_traceback_and_ends_alone(caplog: pytest.LogCaptureFixture) -> None:
     loop, got = Loop(FakeClock(), LIMITS), []
     one, one_other = pair()
     two, two_other = pair()
@@ -161,7 +159,8 @@
 
 
 def test_a_descriptor_that_can_not_be_watched_ends_its_coroutine_alone(
-        caplog: pytest.LogCaptureFixture, tmp_path: Path) -> None:
+    caplog: pytest.LogCaptureFixture, tmp_path: Path
+) -> None:
     loop, closed = Loop(FakeClock(), LIMITS), []
     file = (tmp_path / "file").open("w")  # epoll takes no plain file
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from oakvale.headworks.core import Core
 from oakvale.headworks.copying import Copying
+from oakvale.headworks.core import Core
 from oakvale.headworks.peers import KEPT, NAMED, Peers
 from oakvale.headworks.succession import Succession
 from oakvale.intake.settings import Bounds
@@ -24,8 +24,11 @@
     assert found is not None and found.core is not None
     view = found.core.view()
     assert view is not None
-    seats = {"primary": (view.primary,), "backup": view.backups,
-             "witness": tuple(w for w in view.witnesses if w not in view.copies)}[role]
+    seats = {
+        "primary": (view.primary,),
+        "backup": view.backups,
+        "witness": tuple(w for w in view.witnesses if w not in view.copies),
+    }[role]
     return next(m for m in world.machines if m.core is not None and m.core.own == seats[-1])
 
 
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -24,12 +24,17 @@
 
 MS, SECOND = 1_000, 1_000_000
 DAY: dict[str, Any] = {
-    "name": "small", "seconds": 5, "zones": ["a", "b"], "edges_per_zone": 1,
+    "name": "small",
+    "seconds": 5,
+    "zones": ["a", "b"],
+    "edges_per_zone": 1,
     "services": [{"name": "one", "backends": 2}, {"name": "two", "backends": 1}],
     "tenants": [{"name": "big", "keys": 2, "rate_per_s": 20, "burst": 10}],
-    "routes": [{"name": "look", "service": "one", "per_s": 20, "work_ms": 2, "aim_ms": 300, "deadline_ms": 2000},
-               {"name": "book", "service": "two", "safe": False, "per_s": 5, "work_ms": 2, "aim_ms": 300,
-                "deadline_ms": 2000}]}
+    "routes": [
+        {"name": "look", "service": "one", "per_s": 20, "work_ms": 2, "aim_ms": 300, "deadline_ms": 2000},
+        {"name": "book", "service": "two", "safe": False, "per_s": 5, "work_ms": 2, "aim_ms": 300, "deadline_ms": 2000},
+    ],
+}
 
 
 # ---- a backend's decisions
@@ -53,8 +58,10 @@
     assert shop(slots=0, queue=0, resets=True).take(0, job()) is Do.RESET
 
 
-@pytest.mark.parametrize("asked, status", [
-    (job(""), 400), (job(named="i-2"), 421), (job(until=0), 503), (job(named="i-1"), 0), (job(named=None), 0)])
+@pytest.mark.parametrize(
+    "asked, status",
+    [(job(""), 400), (job(named="i-2"), 421), (job(until=0), 503), (job(named="i-1"), 0), (job(named=None), 0)],
+)
 def test_what_a_backend_declines(asked: Job, status: int) -> None:
     assert (shop().take(0, asked) is Do.DECLINE) == bool(status)
     assert asked.status == status
@@ -78,8 +85,10 @@
     assert (early.due, late.due - SECOND) == (150 * MS, 50 * MS)
 
 
-@pytest.mark.parametrize("ill, fate", [("lost", Fate.SILENT), ("cut", Fate.CUT), ("garbled", Fate.GARBLED),
-                                       ("extra", Fate.EXTRA), ("slow", Fate.WHOLE)])
+@pytest.mark.parametrize(
+    "ill, fate",
+    [("lost", Fate.SILENT), ("cut", Fate.CUT), ("garbled", Fate.GARBLED), ("extra", Fate.EXTRA), ("slow", Fate.WHOLE)],
+)
 def test_ailments(ill: str, fate: Fate) -> None:
     s = shop()
     setattr(s.ill, ill, 1.0)
@@ -114,9 +123,20 @@
     return made
 
 
-@pytest.mark.parametrize("end, safe, unsafe", [
-    (200, False, False), (404, False, False), (502, True, False), (503, True, True), (429, True, True),
-    (End.UNREACHED, True, True), (End.BROKEN, True, False), (End.GIVEN_UP, True, False), (End.OVER, False, False)])
+@pytest.mark.parametrize(
+    "end, safe, unsafe",
+    [
+        (200, False, False),
+        (404, False, False),
+        (502, True, False),
+        (503, True, True),
+        (429, True, True),
+        (End.UNREACHED, True, True),
+        (End.BROKEN, True, False),
+        (End.GIVEN_UP, True, False),
+        (End.OVER, False, False),
+    ],
+)
 def test_who_tries_again(end: End | int, safe: bool, unsafe: bool) -> None:
     assert (ask(True).again(0, end) is not None, ask(False).again(0, end) is not None) == (safe, unsafe)
 
@@ -164,6 +184,7 @@
 
 def test_valid_orders_are_taken_and_invalid_ones_refused_by_the_systems_own_reader() -> None:
     from oakvale.intake.model import Invalid, parse
+
     books = Books(decode(DAY), Random(3))
     orders = [books.first(), *(books.change(how) for how in CHANGES * 3), *books.race(), books.revoke()]
     assert [parse(order.text).gen for order in orders] == sorted({order.gen for order in orders})
@@ -198,9 +219,21 @@
     backend = Backend(loop, record, Terms("i-1", "one", slots=8, warmup=0), "a", address, ways, Random(1))
     backend.start()
     ills(backend)
-    crowd = Crowd(loop, record, Random(2), "a", 4, Platform([Edge("e1", "a", address, address)], ["a"]),
-                  [Flow("look", 100, safe, SECOND, True, 3000)], lambda route: ("a.example", "/look/"), {},
-                  lambda *_: None, 0, [], [])
+    crowd = Crowd(
+        loop,
+        record,
+        Random(2),
+        "a",
+        4,
+        Platform([Edge("e1", "a", address, address)], ["a"]),
+        [Flow("look", 100, safe, SECOND, True, 3000)],
+        lambda route: ("a.example", "/look/"),
+        {},
+        lambda *_: None,
+        0,
+        [],
+        [],
+    )
     record.began = loop.now
     crowd.begin(loop.now, loop.now + 300 * MS)
     ground.until(lambda: loop.now > record.began + 300 * MS and crowd.senders.out == 0)
@@ -219,12 +252,15 @@
     assert not verdict.broken and all(got.whole for got in record.got)
 
 
-@pytest.mark.parametrize("ill, rules", [("cut", {"FAULT"}), ("garbled", {"MIXED", "FAULT"}), ("extra", {"MIXED"}),
-                                        ("errors", {"FAULT"})])
+@pytest.mark.parametrize(
+    "ill, rules", [("cut", {"FAULT"}), ("garbled", {"MIXED", "FAULT"}), ("extra", {"MIXED"}), ("errors", {"FAULT"})]
+)
 def test_an_ailing_backend_is_seen_for_what_it_is(ill: str, rules: set[str]) -> None:
     """With no gateway between, its spoilt bytes reach the clients, who tell the judge."""
+
     def fall_ill(backend: Backend) -> None:
         setattr(backend.shop.ill, ill, 1.0)
+
     record = served(fall_ill)
     found = {broken.rule for broken in judge(record).broken}
     assert found == rules
@@ -242,6 +278,7 @@
 def test_a_lost_answer_by_reset_is_tried_again() -> None:
     def fall_ill(backend: Backend) -> None:
         backend.shop.ill.lost, backend.shop.ill.lost_by_reset = 0.5, True
+
     record = served(fall_ill)
     again = [s for s in record.sent if s.first != s.id]
     assert again and {g.status for g in record.got} == {200}
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -33,8 +33,10 @@
     ("__main__",),
 )
 LEVEL = {part: level for level, parts in enumerate(ORDER) for part in parts}
-FILES = {".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
-         for path in sorted((ROOT / "oakvale").rglob("*.py"))}
+FILES = {
+    ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
+    for path in sorted((ROOT / "oakvale").rglob("*.py"))
+}
 
 
 def imported(name: str) -> set[str]:
@@ -58,8 +60,9 @@
 @pytest.mark.parametrize("name", FILES)
 def test_imports_run_one_way(name: str) -> None:
     assert part(name) in LEVEL, "a new part: say where it stands"
-    upwards = {other for other in imported(name) if part(other) != part(name)
-               and LEVEL[part(other)] >= LEVEL[part(name)]}
+    upwards = {
+        other for other in imported(name) if part(other) != part(name) and LEVEL[part(other)] >= LEVEL[part(name)]
+    }
     assert not upwards
 
 
@@ -67,8 +70,9 @@
     TopologicalSorter({name: imported(name) for name in FILES}).prepare()
 
 
-@pytest.mark.parametrize("name", [name for name, path in FILES.items()
-                                  if path.stem == "__init__" and name != "oakvale"])
+@pytest.mark.parametrize(
+    "name", [name for name, path in FILES.items() if path.stem == "__init__" and name != "oakvale"]
+)
 def test_a_package_says_what_it_owns(name: str) -> None:
     """What it owns, what it must not do, where to begin reading: three sentences."""
     text = ast.get_docstring(ast.parse(FILES[name].read_text())) or ""
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -26,8 +26,11 @@
 
 
 def order(gen: int, content: int, spelling: int = 0) -> bytes:
-    said: dict[str, Any] = {"gen": gen, "routes": {"cols": [], "rows": []},
-                            "svcs": {"cols": ["name", "hcheck"], "rows": [[f"s{content}", None]]}}
+    said: dict[str, Any] = {
+        "gen": gen,
+        "routes": {"cols": [], "rows": []},
+        "svcs": {"cols": ["name", "hcheck"], "rows": [[f"s{content}", None]]},
+    }
     if spelling == 1:
         said["svcs"] = {"rows": [[f"s{content}"]], "cols": ["name"]}
     return orjson.dumps(said, option=orjson.OPT_INDENT_2 if spelling == 2 else 0)
@@ -217,8 +220,9 @@
     return dict(self.table.items(prefix))
 
 
-def refused_at_once(self: Config, checked: resources.Checked, body: bytes, give: resources.Give,
-                    real: Any = Config._judge) -> None:
+def refused_at_once(
+    self: Config, checked: resources.Checked, body: bytes, give: resources.Give, real: Any = Config._judge
+) -> None:
     known, _ = self._taken()
     if known.get(checked.gen, ("", checked.digest))[1] != checked.digest:
         return give(resources.problem(409, "another waits, or is in force"))
@@ -227,8 +231,10 @@
 
 BREAKAGES: dict[str, tuple[tuple[Any, str, Any], ...]] = {
     "any-below": ((Config, "_judge", undone.any_below),),
-    "digest-forgotten": ((Config, "_taken", undone.taken_in_memory),
-                         (resources, "_remember", undone.remember_in_memory)),
+    "digest-forgotten": (
+        (Config, "_taken", undone.taken_in_memory),
+        (resources, "_remember", undone.remember_in_memory),
+    ),
     "what-waits-unseen": ((Ledger, "latest_items", in_force_alone),),
     "refused-at-once": ((Config, "_judge", refused_at_once),),
 }
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -37,7 +37,8 @@
             other.listen()
             for kind in ("a", "b", "long"):
                 other.handlers[kind] = lambda conn, body, answer, kind=kind, came=came: came.append(  # type: ignore[misc]
-                    (kind, body)) or answer(body)
+                    (kind, body)
+                ) or answer(body)
             self.others.append((address, came))
 
     def until(self, so: Callable[[], bool]) -> None:
@@ -57,10 +58,10 @@
     for n in range(3):
         two.mains.tell(address, "a", n)
         two.mains.tell(address, "b", n)
-    two.mains.ask(address, "long", text[:2 * LONG], 60_000_000, answers.append)
+    two.mains.ask(address, "long", text[: 2 * LONG], 60_000_000, answers.append)
     two.until(lambda: len(came) == 8 and bool(answers))
     assert [kind for kind, _ in came] == ["b", "b", "b", "a", "a", "a", "a", "long"]
-    assert [body for kind, body in came if kind == "a"] == [text, 0, 1, 2] and answers == [text[:2 * LONG]]
+    assert [body for kind, body in came if kind == "a"] == [text, 0, 1, 2] and answers == [text[: 2 * LONG]]
     assert not two.mains.flying and not two.mains.hungry and two.mains.long_at > 0
     two.loop.close()
 
--- a/tests/test_penstock.py
+++ b/tests/test_penstock.py
@@ -275,8 +275,11 @@
     def __init__(self, net: Net, address: str, table: Table) -> None:
         self.port, self.address, self.table, self.outlet = Port(net, address), address, table, Outlet(table)
         self.view, self.tick, self.primary = 1, 0, ""
-        self.port.handlers.update(subscribe=self.subscribe, leave=lambda conn, body, answer: self.outlet.leave(conn),
-                                  digests=lambda conn, body, answer: self.outlet.mend(conn, body, answer))
+        self.port.handlers.update(
+            subscribe=self.subscribe,
+            leave=lambda conn, body, answer: self.outlet.leave(conn),
+            digests=lambda conn, body, answer: self.outlet.mend(conn, body, answer),
+        )
         self.pulse(None)
 
     def subscribe(self, conn: Any, body: Any, answer: Any) -> None:
@@ -329,8 +332,14 @@
                 assert table.version(key) >= seen.get(key, NOTHING), f"{key} goes back"
                 seen[key] = table.version(key)
 
-        self.feeds[node] = Feed(cast(Any, port), cast(Any, port), table, dict,
-                                lambda failed: sources(self.members, node, member.zone, core, failed), changed)
+        self.feeds[node] = Feed(
+            cast(Any, port),
+            cast(Any, port),
+            table,
+            dict,
+            lambda failed: sources(self.members, node, member.zone, core, failed),
+            changed,
+        )
 
     def kill(self, node: str) -> None:
         port = cast(Port, self.feeds[node].mains)
@@ -341,8 +350,11 @@
                     end.end()
 
     def behind(self) -> list[str]:
-        return [node for node, feed in self.feeds.items() if not feed.fresh() or feed.table.since(NOTHING)
-                != self.table.since(NOTHING)]
+        return [
+            node
+            for node, feed in self.feeds.items()
+            if not feed.fresh() or feed.table.since(NOTHING) != self.table.since(NOTHING)
+        ]
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_picture.py
+++ b/tests/test_picture.py
@@ -69,9 +69,15 @@
 
 def test_every_ending_leaves_the_same_picture_in_module_and_host() -> None:
     node = Watched()
-    endings = [answer(), answer("500 Oops"), answer("503 Full", X_Never_Ran="1"), answer("400 Odd"),
-               b"nonsense\r\n\r\n", answer() + b"more",
-               b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n"]
+    endings = [
+        answer(),
+        answer("500 Oops"),
+        answer("503 Full", X_Never_Ran="1"),
+        answer("400 Odd"),
+        b"nonsense\r\n\r\n",
+        answer() + b"more",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
+    ]
     for n, reply in enumerate(endings):
         client, backend = node.sent(f"a{n}")
         node.compare()
