--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -25,8 +25,10 @@
 
 def drawn(rng: random.Random, rows: int) -> list[Entry]:
     sizes = (0, 10, 300, 5_000, PIECE - 20, PIECE, 3 * PIECE + 5)
-    return [(f"k{n}", (1, n + 1), rng.choice((None, {"gen": n, "text": rng.randbytes(rng.choice(sizes))})))
-            for n in range(rows)]
+    return [
+        (f"k{n}", (1, n + 1), rng.choice((None, {"gen": n, "text": rng.randbytes(rng.choice(sizes))})))
+        for n in range(rows)
+    ]
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -47,8 +49,9 @@
     entries = drawn(rng, 60)
     large = [e for e in entries if e[2] is not None and len(e[2]["text"]) > PIECE]
     made = cut(entries)
-    other = cut([(key, (2, 9) if key == large[0][0] else version, value) for key, version, value in entries[1:]],
-                made.ranges)
+    other = cut(
+        [(key, (2, 9) if key == large[0][0] else version, value) for key, version, value in entries[1:]], made.ranges
+    )
     fresh = set(other.pieces) - set(made.pieces)
     assert made.ranges > 1 and large and len(fresh) <= 2  # the range that lost a row, whose pieces moved on
 
@@ -217,15 +220,32 @@
 
 def planned(rng: random.Random, gen: int = 1) -> bytes:
     """6,900 routes, 180 services, 25,000 tenants with two keys each: 2.3 MB."""
-    routes = [[f"r{n:05}", f"h{n % 300}.example", f"/v{n % 3}/{rng.randbytes(4).hex()}/", "safe", "1200ms", "300ms", 2,
-               f"s{n % 180}"] for n in range(6_900)]
+    routes = [
+        [
+            f"r{n:05}",
+            f"h{n % 300}.example",
+            f"/v{n % 3}/{rng.randbytes(4).hex()}/",
+            "safe",
+            "1200ms",
+            "300ms",
+            2,
+            f"s{n % 180}",
+        ]
+        for n in range(6_900)
+    ]
     tenants = [[f"t{n:05}", [rng.randbytes(10).hex(), rng.randbytes(10).hex()], 50 + n % 9, 100] for n in range(25_000)]
-    return json.dumps({
-        "gen": gen, "limits": {"hdr-bytes": 16384, "body-bytes": 65536, "hdr": "3000ms", "idle": "15000ms"},
-        "routes": {"cols": ["name", "vhost", "prefix", "type", "deadline", "target_time", "tries", "svc"],
-                   "rows": routes},
-        "svcs": {"cols": ["name", "hcheck"], "rows": [[f"s{n}", "/healthz"] for n in range(180)]},
-        "tenants": {"cols": ["name", "apikeys", "rate-per-s", "burst"], "rows": tenants}}).encode()
+    return json.dumps(
+        {
+            "gen": gen,
+            "limits": {"hdr-bytes": 16384, "body-bytes": 65536, "hdr": "3000ms", "idle": "15000ms"},
+            "routes": {
+                "cols": ["name", "vhost", "prefix", "type", "deadline", "target_time", "tries", "svc"],
+                "rows": routes,
+            },
+            "svcs": {"cols": ["name", "hcheck"], "rows": [[f"s{n}", "/healthz"] for n in range(180)]},
+            "tenants": {"cols": ["name", "apikeys", "rate-per-s", "burst"], "rows": tenants},
+        }
+    ).encode()
 
 
 class Thin:
@@ -235,8 +255,11 @@
         self.views: list[int] = []
         self.stalls: Counter[str] = Counter()
         edges = tuple((f"e{n}", "xyz"[n % 3]) for n in range(gateways))
-        self.works = Works(Layout(edges, (("a", "x"), ("b", "y"), ("c", "z"))), seed,
-                           noted=lambda at, name, level, event, fields: self.noted(at, name, event, fields))
+        self.works = Works(
+            Layout(edges, (("a", "x"), ("b", "y"), ("c", "z"))),
+            seed,
+            noted=lambda at, name, level, event, fields: self.noted(at, name, event, fields),
+        )
         self.serves: list[tuple[int, str]] = []
         self.gaps: Counter[str] = Counter()  # the longest between two heartbeats of a machine at another
         self.works.begin()
@@ -281,8 +304,9 @@
         now = self.works.events.now
         process = self.station(core.own).process
         assert process is not None
-        process.post(lambda: core.change({key: value}, lambda done: self.told.append(
-            (now, self.works.events.now - now, done))))
+        process.post(
+            lambda: core.change({key: value}, lambda done: self.told.append((now, self.works.events.now - now, done)))
+        )
 
     def listen(self) -> None:
         """To the heartbeats that arrive, from now on."""
@@ -292,8 +316,9 @@
             assert core is not None
             handlers = core.mains.handlers
 
-            def heard(conn: Any, body: Any, answer: Any, name: str = station.name,
-                      real: Any = handlers["core"]) -> None:
+            def heard(
+                conn: Any, body: Any, answer: Any, name: str = station.name, real: Any = handlers["core"]
+            ) -> None:
                 now, pair = self.works.events.now, (str(body[0][0]), name)
                 self.gaps[f"{pair[0]} to {name}"] = max(self.gaps[f"{pair[0]} to {name}"], now - last.get(pair, now))
                 last[pair] = now
--- a/tests/test_plant.py
+++ b/tests/test_plant.py
@@ -27,11 +27,18 @@
     assert gate.reads(client, b"ok").startswith(b"HTTP/1.1 200") and b"seal: s" in client.came.lower()
 
 
-@pytest.mark.parametrize("path, key, host, status", [
-    ("/none/", KEY, "a.example", 404), ("/r/x", KEY, "b.example", 404), ("/r/x", "wrong", "a.example", 401),
-    ("/r/x", None, "a.example", 401)])
+@pytest.mark.parametrize(
+    "path, key, host, status",
+    [
+        ("/none/", KEY, "a.example", 404),
+        ("/r/x", KEY, "b.example", 404),
+        ("/r/x", "wrong", "a.example", 401),
+        ("/r/x", None, "a.example", 401),
+    ],
+)
 def test_what_no_configuration_allows_is_told_so(
-        gate: Gate, path: str, key: str | None, host: str, status: int) -> None:
+    gate: Gate, path: str, key: str | None, host: str, status: int
+) -> None:
     assert gate.status(gate.say(path, key=key, Host=host)) == status
 
 
@@ -95,10 +102,13 @@
     assert gate.first.take() is None and gate.second.take() is None
 
 
-@pytest.mark.parametrize("path, youth, kept", [("/b/x", 200 * MS, False), ("/b/x", 400 * MS, True),
-                                               ("/b/x", None, True), ("/r/x", 200 * MS, True)])
+@pytest.mark.parametrize(
+    "path, youth, kept",
+    [("/b/x", 200 * MS, False), ("/b/x", 400 * MS, True), ("/b/x", None, True), ("/r/x", 200 * MS, True)],
+)
 def test_what_may_run_once_only_goes_out_on_a_young_connection(
-        gate: Gate, path: str, youth: int | None, kept: bool) -> None:
+    gate: Gate, path: str, youth: int | None, kept: bool
+) -> None:
     """Its backend had forgotten the connection without a word: it was reset, and nobody knew whether it ran."""
     gate.show(gone=("i-2",))
     first = gate.say()
@@ -107,7 +117,8 @@
     gate.reads(first, b"ok")
     gate.pass_time(300 * MS)
     gate.plant.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
-        Pick(service, "i-1", 1, "gauge/0", youth))
+        Pick(service, "i-1", 1, "gauge/0", youth)
+    )
     gate.say(path, rid="a2")
     if kept:
         assert b"a2" in gate.reads(backend, b"a2")
@@ -119,9 +130,11 @@
     gate.show(gone=("i-2",))
     told: list[int] = []
     gate.plant.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
-        Pick(service, "i-1", 1, "gauge/0"))
+        Pick(service, "i-1", 1, "gauge/0")
+    )
     gate.plant.boards.done = lambda pick, route, latency, outcome, dropped=0, kept=0: told.append(  # type: ignore[method-assign]
-        dropped)
+        dropped
+    )
     for rid, ends in (("a1", False), ("a2", True), ("a3", False), ("a4", True)):
         client = gate.say("/b/x", rid=rid, method="POST", body=b"slot")
         if rid in ("a1", "a3"):
@@ -178,11 +191,15 @@
     assert gate.reads(client, b"its own").endswith(b"its own") and b"another's" not in client.came
 
 
-@pytest.mark.parametrize("spoilt", [
-    answer(body=b"ok", Attempt_Id="a1"),  # no seal
-    answer(body=b"ok", Attempt_Id="a1", Seal="s", Content_Encoding="gzip"),
-    b"HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nSeal: s\r\nContent-Length: 9\r\n\r\nhalf",
-    b"\0\1\2 no answer at all\r\n\r\n"])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        answer(body=b"ok", Attempt_Id="a1"),  # no seal
+        answer(body=b"ok", Attempt_Id="a1", Seal="s", Content_Encoding="gzip"),
+        b"HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nSeal: s\r\nContent-Length: 9\r\n\r\nhalf",
+        b"\0\1\2 no answer at all\r\n\r\n",
+    ],
+)
 def test_a_spoilt_answer_never_looks_like_a_success(gate: Gate, spoilt: bytes) -> None:
     client = gate.say("/b/x", method="POST", body=b"slot")
     _, backend, _ = gate.at_backend()
@@ -223,8 +240,11 @@
 def test_a_new_picture_holds_for_the_next_request_whole(gate: Gate) -> None:
     """Key and route of a version go together: a half of each would be no version that was ever sent."""
     routes = CONFIG["routes"]["rows"]  # type: ignore[index]
-    gate.show(gen=8, routes={**CONFIG["routes"], "rows": routes[:1]},  # type: ignore[dict-item]
-              tenants={"cols": ["name", "apikeys"], "rows": [["t2", ["new"]]]})
+    gate.show(
+        gen=8,
+        routes={**CONFIG["routes"], "rows": routes[:1]},  # type: ignore[dict-item]
+        tenants={"cols": ["name", "apikeys"], "rows": [["t2", ["new"]]]},
+    )
     assert gate.status(gate.say("/b/x", method="POST", key="new")) == 404
     assert gate.status(gate.say("/r/x", key=KEY)) == 401
     gate.say("/r/x", key="new")
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -129,6 +129,7 @@
         d.end(rid, d.gw.desk.held[rid].out[0][0].entry.backend)
     assert len(d.gw.desk.customers) == 500
     from oakvale.interface import Timer
+
     d.now += 61_000_000
     d.send(Timer(0))
     assert not d.gw.desk.customers and not d.gw.desk.held
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -33,8 +33,11 @@
         self.server.configuration = self.configuration
 
     def reload(self, discovery: Party | None = None, counter: Party | None = None) -> None:
-        self.path.write_text(json.dumps(config(
-            discovery=(discovery or self.new_discovery).text, counter=(counter or self.new_counter).text)))
+        self.path.write_text(
+            json.dumps(
+                config(discovery=(discovery or self.new_discovery).text, counter=(counter or self.new_counter).text)
+            )
+        )
         self.server.reload()
         self.turns()
 
@@ -64,11 +67,21 @@
     assert moved.host.counter and moved.host.counter.address == moved.new_counter.address
 
 
-@pytest.mark.parametrize("text", [None, "", '{"name": "n3", "disc', "[]", "{}",
-                                  json.dumps(config(counter="127.0.0.1:" + "9" * 5000)),
-                                  json.dumps(config(discovery="127.0.0.1:²"))])
+@pytest.mark.parametrize(
+    "text",
+    [
+        None,
+        "",
+        '{"name": "n3", "disc',
+        "[]",
+        "{}",
+        json.dumps(config(counter="127.0.0.1:" + "9" * 5000)),
+        json.dumps(config(discovery="127.0.0.1:²")),
+    ],
+)
 def test_a_file_that_cant_be_used_is_one_line_and_changes_nothing(
-        moved: Reloaded, text: str | None, caplog: pytest.LogCaptureFixture) -> None:
+    moved: Reloaded, text: str | None, caplog: pytest.LogCaptureFixture
+) -> None:
     discovery = watch(moved)
     moved.path.unlink(missing_ok=True)
     if text is not None:
@@ -157,7 +170,8 @@
 
 
 def test_calls_go_to_the_new_counter_at_once_and_old_ones_get_their_answers(
-        moved: Reloaded, caplog: pytest.LogCaptureFixture) -> None:
+    moved: Reloaded, caplog: pytest.LogCaptureFixture
+) -> None:
     old = one(moved)
     moved.reload()
     call(moved, i.Charge("q:b:1", 1.0, 4_000_000))
@@ -171,7 +185,8 @@
 
 
 def test_a_left_counter_that_ends_tells_nothing_of_the_new_one(
-        moved: Reloaded, caplog: pytest.LogCaptureFixture) -> None:
+    moved: Reloaded, caplog: pytest.LogCaptureFixture
+) -> None:
     old = one(moved)
     moved.reload()
     old.close(reset=True)
@@ -221,7 +236,8 @@
 
 
 def test_signals_of_a_turn_are_one_a_kind_and_a_fault_in_one_leaves_the_rest(
-        moved: Reloaded, caplog: pytest.LogCaptureFixture) -> None:
+    moved: Reloaded, caplog: pytest.LogCaptureFixture
+) -> None:
     signals, came = Signals(), list[str]()
 
     def reload() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -65,11 +65,19 @@
     assert d.end("unknown", backend) == [] and d.send(Withdrawn("unknown")) == []
 
 
-@pytest.mark.parametrize("effect, may_cancel, begun, called_off", [
-    (Effect.SAFE, True, False, True), (Effect.UNSAFE, True, False, False), (Effect.KEYED, True, False, False),
-    (Effect.SAFE, False, False, False), (Effect.SAFE, True, True, False)])
+@pytest.mark.parametrize(
+    "effect, may_cancel, begun, called_off",
+    [
+        (Effect.SAFE, True, False, True),
+        (Effect.UNSAFE, True, False, False),
+        (Effect.KEYED, True, False, False),
+        (Effect.SAFE, False, False, False),
+        (Effect.SAFE, True, True, False),
+    ],
+)
 def test_what_may_be_repeated_is_called_off_when_its_client_leaves(
-        effect: Effect, may_cancel: bool, begun: bool, called_off: bool) -> None:
+    effect: Effect, may_cancel: bool, begun: bool, called_off: bool
+) -> None:
     """Incident GONE: backends went on working for clients that had left."""
     d = one_class(effect=effect)
     d.gw.desk.resettle(replace(d.gw.desk.s, may_cancel=may_cancel))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -20,8 +20,22 @@
     whole = Run(SMALL, rows.append, span=0.6, patience=15, limit=60, beat=0.5).play()
     by_step = {row["step"]: row for row in rows}
     assert whole, [(row["step"], row["failed"]) for row in rows if "failed" in row]
-    assert list(by_step) == ["start", "backends", "gateways", "steady", "calls", "change", "changes", "replaced",
-                             "tenth", "tenth_back", "primary", "primary_back", "zone", "zone_back"]
+    assert list(by_step) == [
+        "start",
+        "backends",
+        "gateways",
+        "steady",
+        "calls",
+        "change",
+        "changes",
+        "replaced",
+        "tenth",
+        "tenth_back",
+        "primary",
+        "primary_back",
+        "zone",
+        "zone_back",
+    ]
     assert not any("ended" in row for row in rows)
     assert by_step["change"]["reached"] == 8 and len(by_step["change"]["real_ms"]) == 2
     steady, calls = by_step["steady"], by_step["calls"]["calls"]
@@ -32,8 +46,14 @@
 
 
 def row(gateways: int, step: str, cpu: float, **more: Any) -> dict[str, Any]:
-    return {"step": step, "gateways": gateways, "backends": 10 * gateways, "beat_s": 1.5,
-            "roles": {"sluice": {"cpu_percent": cpu, "most_mb": 50.0}}, **more}
+    return {
+        "step": step,
+        "gateways": gateways,
+        "backends": 10 * gateways,
+        "beat_s": 1.5,
+        "roles": {"sluice": {"cpu_percent": cpu, "most_mb": 50.0}},
+        **more,
+    }
 
 
 def test_a_line_through_three_sizes_gives_the_planned_one_and_says_where_it_is_not_straight() -> None:
@@ -42,9 +62,11 @@
     along = sums.line(points)
     assert along is not None and along.at(470) == pytest.approx(5.2) and straight.planned(points[:2]) is None
     assert "| sluice | % of a core | 0.8 | 1.5 | 2.85 | 1 | 0 % | 5.2 * |" in straight.event("steady")
-    assert any("a real gateway, an ordinary minute | 5.2 % of a core | 2.4 % of a core | **over**" in told
-               for told in straight.limits())
-    bent = sums.Found([row(n, "steady", float(n ** 3)) for n in (30, 100, 235)])
+    assert any(
+        "a real gateway, an ordinary minute | 5.2 % of a core | 2.4 % of a core | **over**" in told
+        for told in straight.limits()
+    )
+    bent = sums.Found([row(n, "steady", float(n**3)) for n in (30, 100, 235)])
     assert "not straight" in bent.event("steady")[2]
 
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -89,8 +89,7 @@
     node.close()
 
 
-def test_at_the_limit_with_none_idle_new_ones_wait_and_nothing_spins(
-        caplog: pytest.LogCaptureFixture) -> None:
+def test_at_the_limit_with_none_idle_new_ones_wait_and_nothing_spins(caplog: pytest.LogCaptureFixture) -> None:
     node = Node(clients=2)
     clients = [node.client() for _ in range(2)]
     for n, client in enumerate(clients):
@@ -294,8 +293,10 @@
     stopped.shutdown.begin()
     node.pass_time(500 * MS)
     node.pass_time(200 * MS)
-    client.send(b"-lookup?key=00000000b4d65521 HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a1\r\nX-Tier: team\r\n"
-                b"X-Expires-In: 480m\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n")
+    client.send(
+        b"-lookup?key=00000000b4d65521 HTTP/1.1\r\nHost: a\r\nX-Trace-Id: a1\r\nX-Tier: team\r\n"
+        b"X-Expires-In: 480m\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\r\n"
+    )
     assert node.reads(client).startswith(b"HTTP/1.1 503")
     assert node.script.of(i.Request) == []
 
--- a/tests/test_sounding.py
+++ b/tests/test_sounding.py
@@ -54,18 +54,24 @@
     assert found.trace[-1] == f"     BROKEN {found.broken}" and len(found.trace) == len(found.way) + 1 < 40
 
 
-@pytest.mark.parametrize("start, bounds", [
-    ("settled", replace(QUIET, writes=1, kills=1, wipes=1, retries=1)),
-    ("cold", replace(QUIET, writes=1, kills=1, retries=1)),
-    ("laden", replace(QUIET, wakes=1, retries=1)),
-    ("settled", replace(QUIET, wakes=1, beats=1, passes=1)),
-])
+@pytest.mark.parametrize(
+    "start, bounds",
+    [
+        ("settled", replace(QUIET, writes=1, kills=1, wipes=1, retries=1)),
+        ("cold", replace(QUIET, writes=1, kills=1, retries=1)),
+        ("laden", replace(QUIET, wakes=1, retries=1)),
+        ("settled", replace(QUIET, wakes=1, beats=1, passes=1)),
+    ],
+)
 def test_nothing_is_broken_as_it_stands(start: str, bounds: Bounds) -> None:
     """And all within the bounds was seen, the same in each run."""
     found = Search(bounds, start).run()
     assert found.whole and found.broken is None and found.healed > 20
     assert (found.states, found.depth) == {
-        "settled": (151263, 24) if bounds.beats else (10303, 20), "cold": (1811, 24), "laden": (18598, 28)}[start]
+        "settled": (151263, 24) if bounds.beats else (10303, 20),
+        "cold": (1811, 24),
+        "laden": (18598, 28),
+    }[start]
 
 
 def test_one_that_leaves_while_a_disk_is_lost() -> None:
@@ -82,6 +88,7 @@
 
 def test_a_successor_that_nobody_can_become_is_found() -> None:
     """Where a view whose primary died can't be voided nobody serves, though nothing is lost."""
+
     @contextmanager
     def deaf() -> Iterator[None]:
         real = Succession._voided
@@ -131,7 +138,15 @@
 
 def test_faults_are_read_and_errors_name_them() -> None:
     assert read_faults("kills=2,wakes=1") == {
-        "kills": 2, "wipes": 0, "wakes": 1, "retries": 0, "beats": 0, "passes": 0, "leaves": 0, "spares": 0}
+        "kills": 2,
+        "wipes": 0,
+        "wakes": 1,
+        "retries": 0,
+        "beats": 0,
+        "passes": 0,
+        "leaves": 0,
+        "spares": 0,
+    }
     for text in ("fires=1", "kills", "kills=x", "kills=-1"):
         with pytest.raises(BadFaults, match=r"--faults: .*(fires|kills)"):
             read_faults(text)
--- a/tests/test_spillway.py
+++ b/tests/test_spillway.py
@@ -71,8 +71,11 @@
                 assert not any(tree.distance(chain.home, zone) < far for zone in free)
                 assert not (chain.refused and free)
             refused = {rank for chain in chains for rank in chain.refused}
-            assert not refused or all(rank in refused for rank in range(min(refused), 3)
-                                      if any(x.rank == rank and x.work > 1e-9 for x in loads))
+            assert not refused or all(
+                rank in refused
+                for rank in range(min(refused), 3)
+                if any(x.rank == rank and x.work > 1e-9 for x in loads)
+            )
 
 
 def test_parts_of_gateways_and_the_keepers_rest_stay_under_the_limit_over_mixed_versions() -> None:
@@ -83,8 +86,16 @@
     limit = new.limits["s"]["a"]
     for away in range(len(new.may) + 1):
         keeper = max(0.0, new.keeper["s"]["a"] - away * new.owed["s"]["a"])
-        worst = sorted([max(old.part["s"]["a"] if g in old.roster else 0, new.part["s"]["a"] if g in new.roster else 0)
-                        for g in new.may])[-away:] if away else []
+        worst = (
+            sorted(
+                [
+                    max(old.part["s"]["a"] if g in old.roster else 0, new.part["s"]["a"] if g in new.roster else 0)
+                    for g in new.may
+                ]
+            )[-away:]
+            if away
+            else []
+        )
         spare = sum(max(c.spare["s"]["a"] for c in (old, new) if g in c.roster) for g in new.may)
         # two of an old roster hold half each: one of them fits, and of both only so much is over as they were given
         assert keeper + sum(worst) + spare <= limit + (1e-9 if away < 2 else old.limits["s"]["a"] - keeper)
@@ -102,9 +113,16 @@
         telling.explain(made, "x", "s")
 
 
-@pytest.mark.parametrize(("text", "why"), [
-    ("headroom = 1.5", "headroom: Input should be less than or equal to 1"), ("over = 1", "over: Extra inputs"),
-    ('[above]\nr = "s"\ns = "r"', "stands above itself"), ("[above", "not TOML"), ('headroom = "x"', "headroom: ")])
+@pytest.mark.parametrize(
+    ("text", "why"),
+    [
+        ("headroom = 1.5", "headroom: Input should be less than or equal to 1"),
+        ("over = 1", "over: Extra inputs"),
+        ('[above]\nr = "s"\ns = "r"', "stands above itself"),
+        ("[above", "not TOML"),
+        ('headroom = "x"', "headroom: "),
+    ],
+)
 def test_a_wrong_file_is_told_by_place_and_field(tmp_path: Path, text: str, why: str) -> None:
     file = tmp_path / "chains.toml"
     file.write_text(text)
@@ -369,10 +387,17 @@
     """2,000 of them, a hundred in each lot: limits held, nothing doubled, nothing dropped, no oscillation."""
     for seed in range(100 * lot, 100 * lot + 100):
         rng = random.Random(seed)
-        names = "abcd"[:rng.choice([2, 3, 3, 4])]
+        names = "abcd"[: rng.choice([2, 3, 3, 4])]
         zones = {name: rng.choice("rs") for name in names}
-        world = Basin(seed, zones, {name: rng.choice([1, 2]) for name in names}, rng.choice([0.3, 0.6, 0.9]),
-                      gateways=rng.choice([1, 2]), said=rng.choice([1.0, 1.0, 2.0]), hot=rng.choice([0.0, 0.7]))
+        world = Basin(
+            seed,
+            zones,
+            {name: rng.choice([1, 2]) for name in names},
+            rng.choice([0.3, 0.6, 0.9]),
+            gateways=rng.choice([1, 2]),
+            said=rng.choice([1.0, 1.0, 2.0]),
+            hot=rng.choice([0.0, 0.7]),
+        )
         world.run(1)
         for _ in range(rng.randrange(1, 5)):
             name = rng.choice(names)
@@ -442,8 +467,11 @@
 
 def planning(given: Given | None) -> tuple[Plain, Beats]:
     core, beats = Plain(), Beats()
-    backends = {f"backend/{zone}{n}": {"svc": "s", "az": zone, "state": "ready", "slots": 2.0, "calls": 1}
-                for zone in ZONES for n in range(2)}
+    backends = {
+        f"backend/{zone}{n}": {"svc": "s", "az": zone, "state": "ready", "slots": 2.0, "calls": 1}
+        for zone in ZONES
+        for n in range(2)
+    }
     core.change(backends | {"gate/g": {"addr": "x:1", "az": "a", "life": "1"}}, None)
     settings = decode({"self": {"node": "n", "ip": "1.1.1.1"}, "network": {"port-range": [1, 9], "azs": ZONES}})
     made: Any = core
@@ -489,7 +517,8 @@
 
 
 def test_the_command_line_asks_a_process_and_ends_with_3_where_a_failure_cannot_be_held(
-        monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]) -> None:
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     loads = [Load("a", "s", 0, 5.0)]
     held = pack(plan(3, hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, loads, ["g"]))
     answers: list[Any] = [held, held, held, None]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -24,11 +24,17 @@
 
 
 def config(**changes: Any) -> dict[str, Any]:
-    return {"name": "n3", "listen": "127.0.0.1:7070", "discovery": "127.0.0.1:8500",
-            "seed": "8c1f30d27a5be964", "counter": "127.0.0.1:6400",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"index": 41, "snapshot": True, "endpoints": [row("s-1", "127.0.0.1:7071")]},
-            "settings": SETTINGS, **changes}
+    return {
+        "name": "n3",
+        "listen": "127.0.0.1:7070",
+        "discovery": "127.0.0.1:8500",
+        "seed": "8c1f30d27a5be964",
+        "counter": "127.0.0.1:6400",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"index": 41, "snapshot": True, "endpoints": [row("s-1", "127.0.0.1:7071")]},
+        "settings": SETTINGS,
+        **changes,
+    }
 
 
 # ---- configuration
@@ -37,8 +43,12 @@
 def test_what_a_configuration_holds() -> None:
     c = decode(config(unheard={"of": 1}), {})
     assert (c.name, c.listen, c.discovery, c.counter) == (
-        "n3", ("127.0.0.1", 7070), ("127.0.0.1", 8500), ("127.0.0.1", 6400))
-    assert c.seed == 0x8c1f30d27a5be964 and c.names.classes == {"slot-lookup": 0, "save": 1}
+        "n3",
+        ("127.0.0.1", 7070),
+        ("127.0.0.1", 8500),
+        ("127.0.0.1", 6400),
+    )
+    assert c.seed == 0x8C1F30D27A5BE964 and c.names.classes == {"slot-lookup": 0, "save": 1}
     assert c.settings.report == ("inflight", "util") and c.settings.counter_timeout == 80_000
     assert c.limits.connect == 250_000 and c.limits.backend_idle == 20_000_000 and c.limits.requests == 100
 
@@ -49,19 +59,26 @@
 
 
 BAD: list[tuple[dict[str, Any], str]] = [
-    ({"settings": None}, "settings"), ({"settings": []}, "settings"), ({"settings": {}}, "classes"),
+    ({"settings": None}, "settings"),
+    ({"settings": []}, "settings"),
+    ({"settings": {}}, "classes"),
     ({"settings": {**SETTINGS, "classes": [{}]}}, "settings"),
     ({"settings": {**SETTINGS, "limits": 5}}, "settings"),
-    ({"listen": None}, "listen"), ({"listen": "7070"}, "listen"), ({"listen": "a:b"}, "listen"),
-    ({"listen": "127.0.0.1:99999"}, "listen"), ({"discovery": ""}, "discovery"),
-    ({"counter": "x"}, "counter"), ({"counter": None}, "counter"),
-    ({"seed": "xyz"}, "settings"), ({"known": []}, "known"), ({"limits": {"sockets": "many"}}, "settings"),
+    ({"listen": None}, "listen"),
+    ({"listen": "7070"}, "listen"),
+    ({"listen": "a:b"}, "listen"),
+    ({"listen": "127.0.0.1:99999"}, "listen"),
+    ({"discovery": ""}, "discovery"),
+    ({"counter": "x"}, "counter"),
+    ({"counter": None}, "counter"),
+    ({"seed": "xyz"}, "settings"),
+    ({"known": []}, "known"),
+    ({"limits": {"sockets": "many"}}, "settings"),
 ]
 
 
 @pytest.mark.parametrize("bad, word", BAD, ids=range(len(BAD)))
-def test_a_bad_configuration_is_one_clear_line_before_listening(
-        bad: dict[str, Any], word: str, tmp_path: Path) -> None:
+def test_a_bad_configuration_is_one_clear_line_before_listening(bad: dict[str, Any], word: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(**bad)))
     if bad == {"known": []}:
@@ -120,16 +137,17 @@
 
 
 def line(message: str, **extra: Any) -> str:
-    record = logging.makeLogRecord({"name": "oakvale.host", "levelname": "INFO", "msg": message,
-                                    "created": 0.0, "msecs": 0.0, **extra})
+    record = logging.makeLogRecord(
+        {"name": "oakvale.host", "levelname": "INFO", "msg": message, "created": 0.0, "msecs": 0.0, **extra}
+    )
     return KeyValueFormatter().format(record)
 
 
 def test_lines_are_key_value_pairs() -> None:
     assert line("serving", gateway="n3", backend=7) == (
-        "at=1970-01-01T00:00:00.000Z level=info part=host event=serving gateway=n3 backend=7")
-    assert line("two words", why='say "x"=\n\x1b').endswith(
-        'event="two words" why="say \\"x\\"=\\n\\x1b"')
+        "at=1970-01-01T00:00:00.000Z level=info part=host event=serving gateway=n3 backend=7"
+    )
+    assert line("two words", why='say "x"=\n\x1b').endswith('event="two words" why="say \\"x\\"=\\n\\x1b"')
     assert line("", why="").endswith('event="" why=""')
 
 
@@ -197,13 +215,23 @@
         self.address = free.getsockname()
         free.close()
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(config(
-            listen="%s:%d" % self.address, limits={"sockets": descriptors},  # noqa: UP031
-            discovery="%s:%d" % self.discovery.getsockname())))  # noqa: UP031
+        path.write_text(
+            json.dumps(
+                config(
+                    listen="%s:%d" % self.address,  # noqa: UP031
+                    limits={"sockets": descriptors},
+                    discovery="%s:%d" % self.discovery.getsockname(),  # noqa: UP031
+                )
+            )
+        )  # noqa: UP031
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "oakvale", "serve"], cwd=ROOT, stderr=subprocess.PIPE, text=True,
+            [sys.executable, "-m", "oakvale", "serve"],
+            cwd=ROOT,
+            stderr=subprocess.PIPE,
+            text=True,
             env={**os.environ, "LB_CONFIG": str(path)},
-            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)))
+            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)),
+        )
         assert self.process.stderr is not None
         first = self.process.stderr.readline()  # written once it listens
         assert "event=serving" in first, first
@@ -242,7 +270,7 @@
     try:
         path.write_text("cut sho")
         program.process.send_signal(signal.SIGHUP)
-        assert program.process.stderr and "event=\"reload refused\"" in program.process.stderr.readline()
+        assert program.process.stderr and 'event="reload refused"' in program.process.stderr.readline()
         path.write_text(json.dumps(config(discovery="%s:%d" % fresh.getsockname())))  # noqa: UP031
         for _ in range(3):
             program.process.send_signal(signal.SIGHUP)
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -37,7 +37,8 @@
         assert len(core.ledger.table.since(NOTHING)) < 20
     for machine in (m for m in world.machines if m.core in roles(world)[1:]):
         assert len(machine.disk.rows) < 20 and set(machine.disk.rows) == {
-            key for key, _, _ in cast(Core, machine.core).ledger.table.since(NOTHING)}
+            key for key, _, _ in cast(Core, machine.core).ledger.table.since(NOTHING)
+        }
 
 
 def test_a_pruned_state_survives_a_takeover(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -56,7 +57,8 @@
     now, found, _ = roles(world)
     assert found is backup and found.ledger.table.floor >= core.ledger.table.floor
     assert [e for e in kept if e[0].startswith("k")] == [
-        e for e in found.ledger.table.since(NOTHING) if e[0].startswith("k")]
+        e for e in found.ledger.table.since(NOTHING) if e[0].startswith("k")
+    ]
     world.run(8 * SECOND)
     world.change(now)
     world.run(SECOND)
--- a/tests/test_tow.py
+++ b/tests/test_tow.py
@@ -10,16 +10,24 @@
 
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.sluice.tow import TELL, Tow
-from tests.node import MS, answer
 from tests.data_plane import Gate, sealed
+from tests.node import MS, answer
 
 OTHER = "k2"
 TENANTS = {"cols": ["name", "apikeys"], "rows": [["t1", ["k1"]], ["t2", [OTHER]]]}
 
 
 def move(tenant: str = "t1", node: str = "i-1", kind: str = "backend", **changes: Any) -> tuple[str, dict[str, Any]]:
-    return f"o/{node}/{tenant}", {"order": "o", "kind": kind, "node": node, "tenant": tenant, "way": "out", "until": 0,
-                                  "state": "leaving", "gates": {"life": ["edge", False, 0, 0, {}]}} | changes
+    return f"o/{node}/{tenant}", {
+        "order": "o",
+        "kind": kind,
+        "node": node,
+        "tenant": tenant,
+        "way": "out",
+        "until": 0,
+        "state": "leaving",
+        "gates": {"life": ["edge", False, 0, 0, {}]},
+    } | changes
 
 
 class Moving(Gate):
--- a/tests/test_wire_snapshots.py
+++ b/tests/test_wire_snapshots.py
@@ -18,10 +18,12 @@
 
 
 def test_frames(snapshot: SnapshotAssertion) -> None:
-    frames = [encode("core", 0, [list(VIEW.primary), "zone-a", VIEW.pack(), ["10.1.0.33:7340"]]),
-              encode("news", 0, [[1, (1 << 32) + 9], table.pack(ENTRIES), None]),
-              encode("ballot", 12, ["gauge/1", "elect", [4, "life"], "10.1.0.30:7340"]),
-              encode("", 12, ["elect", [4, "life"], True, 4, "", "", 0])]
+    frames = [
+        encode("core", 0, [list(VIEW.primary), "zone-a", VIEW.pack(), ["10.1.0.33:7340"]]),
+        encode("news", 0, [[1, (1 << 32) + 9], table.pack(ENTRIES), None]),
+        encode("ballot", 12, ["gauge/1", "elect", [4, "life"], "10.1.0.30:7340"]),
+        encode("", 12, ["elect", [4, "life"], True, 4, "", "", 0]),
+    ]
     assert [frame.hex() for frame in frames] == snapshot
 
 
@@ -46,10 +48,17 @@
     assert found == [("a", 1, {"x": b"y" * 300}), ("", 1, None)] and not buffer
 
 
-@pytest.mark.parametrize("data", [
-    LENGTH.pack(LONGEST + 1), LENGTH.pack(1) + b"\xff", LENGTH.pack(1) + b"\x01", encode("a", 1, 2)[:4] + b"\x83" * 9,
-    LENGTH.pack(4) + b"\x83\x01\x01\x01", LENGTH.pack(0),
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        LENGTH.pack(LONGEST + 1),
+        LENGTH.pack(1) + b"\xff",
+        LENGTH.pack(1) + b"\x01",
+        encode("a", 1, 2)[:4] + b"\x83" * 9,
+        LENGTH.pack(4) + b"\x83\x01\x01\x01",
+        LENGTH.pack(0),
+    ],
+)
 def test_what_is_no_frame(data: bytes) -> None:
     with pytest.raises(BadFrame):
         decode(bytearray(data))
--- a/tests/waterway.py
+++ b/tests/waterway.py
@@ -27,8 +27,9 @@
     minutes = at // MINUTE + OFFSETS[contract.zone]
     day, minute = divmod(minutes, MINUTES)
     weekday = (day + 3) % 7  # the first of January 1970 was a Thursday
-    today = any(span.begin <= minute < (span.end if span.end > span.begin else 10 * MINUTES)
-                for span in contract.week[weekday])
+    today = any(
+        span.begin <= minute < (span.end if span.end > span.begin else 10 * MINUTES) for span in contract.week[weekday]
+    )
     return today or any(span.end <= span.begin and minute < span.end for span in contract.week[weekday - 1])
 
 
@@ -60,13 +61,16 @@
     def __init__(self, seed: int, faults: bool = True) -> None:
         self.rng = rng = random.Random(seed)
         self.faults, self.now = faults, NOON + rng.randrange(60) * SECOND
-        self.tenants = (PUBLIC, "ana", "ben", "cai")[:rng.randint(2, 4)]
+        self.tenants = (PUBLIC, "ana", "ben", "cai")[: rng.randint(2, 4)]
         self.contracts = {name: self._contract(name) for name in self.tenants[1:] if rng.random() < 0.8}
         self.orders: dict[str, Any] = {}
         self.moves: dict[str, Any] = {}
         self.backends: dict[str, Any] = {
             f"{service}-{zone}{n}": {"svc": service, "az": zone, "state": "ready"}
-            for service in ("book", "rate") for zone in ("east", "west") for n in range(rng.randint(1, 3))}
+            for service in ("book", "rate")
+            for zone in ("east", "west")
+            for n in range(rng.randint(1, 3))
+        }
         self.lives = 0
         self.gates: dict[str, Gate] = {}
         for zone in ("east", "west"):
@@ -100,8 +104,11 @@
 
     def _list(self) -> dict[str, Any]:
         """Watchers have those taken off that are cut off for long."""
-        return {gate.node: {"az": gate.zone, "life": gate.life} for gate in self.gates.values()
-                if not gate.cut or self.now - gate.cut < 3 * TICK}
+        return {
+            gate.node: {"az": gate.zone, "life": gate.life}
+            for gate in self.gates.values()
+            if not gate.cut or self.now - gate.cut < 3 * TICK
+        }
 
     def facts(self) -> Facts:
         return Facts(self.now, self.orders, self.moves, self.backends, self.listed, self.tenants, self.contracts)
@@ -118,15 +125,26 @@
             return found
         nodes = targets(facts, kind, target)
         lives = {node: self.listed[node]["life"] for what, node in nodes if what == "gateway"}
-        self.orders[name] = given | {"nodes": [list(node) for node in nodes], "lives": lives, "state": "open",
-                                     "why_state": "", "cancelled": False, "empty": 0, "over": 0}
+        self.orders[name] = given | {
+            "nodes": [list(node) for node in nodes],
+            "lives": lives,
+            "state": "open",
+            "why_state": "",
+            "cancelled": False,
+            "empty": 0,
+            "over": 0,
+        }
         self.plans[name] = found
         return found
 
     def cancel(self, name: str) -> None:
         if self.orders[name]["state"] in LIVE:
-            self.orders[name] |= {"state": "cancelled", "cancelled": True, "why_state": "cancelled by ana: a test",
-                                  "over": self.now}
+            self.orders[name] |= {
+                "state": "cancelled",
+                "cancelled": True,
+                "why_state": "cancelled by ana: a test",
+                "over": self.now,
+            }
 
     def leave(self, backend: str) -> None:
         """It says `drain`, and the gateways that hear of it send it nothing more."""
@@ -168,8 +186,9 @@
 
     def draw_order(self) -> None:
         kind = self.rng.choice(("backend", "backend", "backend", "gateway", "gateway", "zone"))
-        target = self.rng.choice({"backend": list(self.backends), "gateway": list(self.gates),
-                                  "zone": ["east", "west"]}[kind])
+        target = self.rng.choice(
+            {"backend": list(self.backends), "gateway": list(self.gates), "zone": ["east", "west"]}[kind]
+        )
         self.order(f"o{len(self.orders)}", kind, target, self.rng.choice((2, 3, 4)) * MINUTE)
 
     # ---- time
@@ -205,8 +224,9 @@
         self.now += TICK
 
     def settled(self) -> bool:
-        return (not any(order["state"] == "open" for order in self.orders.values())
-                and not any(move["state"] == "leaving" for move in self.moves.values()))
+        return not any(order["state"] == "open" for order in self.orders.values()) and not any(
+            move["state"] == "leaving" for move in self.moves.values()
+        )
 
     def run(self, span: int, whole: bool = True) -> None:
         end = self.now + span
@@ -227,9 +247,17 @@
                 assert in_hours(contract, self.now), f"{move['tenant']} moved outside its hours at {gate.node}"
                 assert move["kind"] == "gateway" or in_hours(contract, self.now + PACE)
             if move["way"] == "out":
-                gate.watch[key] = [] if gate.born else [
-                    request for request in self.requests if request.gate is gate and request.tenant == move["tenant"]
-                    and move["node"] in (request.node, gate.node)]
+                gate.watch[key] = (
+                    []
+                    if gate.born
+                    else [
+                        request
+                        for request in self.requests
+                        if request.gate is gate
+                        and request.tenant == move["tenant"]
+                        and move["node"] in (request.node, gate.node)
+                    ]
+                )
                 gate.opened[key] = len(gate.watch[key])
         gate.born, gate.backends = False, dict(self.backends)
 
@@ -253,8 +281,15 @@
             watch = [request for request in gate.watch.get(key, ()) if request in self.requests]
             there = watch if move["kind"] == "backend" else [r for r in self.requests if r.gate is gate]
             began = gate.opened.get(key, 0)
-            self.course.hear(key, gate.node, gate.life, key in gate.moves.away, began, len(there),
-                             {"served": began - len(watch)} if began > len(watch) else {})
+            self.course.hear(
+                key,
+                gate.node,
+                gate.life,
+                key in gate.moves.away,
+                began,
+                len(there),
+                {"served": began - len(watch)} if began > len(watch) else {},
+            )
 
     # ---- the judge
 
@@ -279,8 +314,9 @@
     def _alone(self, request: Request) -> bool:
         """It went back there, as no other backend of its service is ready."""
         ready = {name: b["state"] == "ready" for name, b in self.backends.items() if b["svc"] == request.service}
-        return not any(up for name, up in ready.items()
-                       if name not in request.gate.moves.avoid.get(request.tenant, frozenset()))
+        return not any(
+            up for name, up in ready.items() if name not in request.gate.moves.avoid.get(request.tenant, frozenset())
+        )
 
     def judge_end(self) -> None:
         for name, order in self.orders.items():
--- a/tests/world.py
+++ b/tests/world.py
@@ -148,8 +148,12 @@
             return
         self.life = Life(self)
         settings = self.world.settings(self, bootstrap)
-        self.core = Core(cast(Any, Loop(self.world, self.life)), cast(Any, Mains(self.world, self.life)), settings,
-                         cast(Any, Cistern(self.world, self.life)))
+        self.core = Core(
+            cast(Any, Loop(self.world, self.life)),
+            cast(Any, Mains(self.world, self.life)),
+            settings,
+            cast(Any, Cistern(self.world, self.life)),
+        )
         self.core.on_change.append(lambda serves: self.world.turned(self, serves))
         if self.world.equips is not None:
             self.world.equips(self, Loop(self.world, self.life))
@@ -171,10 +175,18 @@
 
 
 class World(Time):
-    def __init__(self, seed: int, machines: int = 3, tolerate: int = 1, seeds: int | None = None,
-                 prunes: tuple[int, int] | None = None,
-                 equips: Callable[[Machine, Loop], None] | None = None, places: tuple[str, ...] = ("z0", "z1", "z2"),
-                 tolerate_zones: int = 0, tolerate_regions: int = 0) -> None:
+    def __init__(
+        self,
+        seed: int,
+        machines: int = 3,
+        tolerate: int = 1,
+        seeds: int | None = None,
+        prunes: tuple[int, int] | None = None,
+        equips: Callable[[Machine, Loop], None] | None = None,
+        places: tuple[str, ...] = ("z0", "z1", "z2"),
+        tolerate_zones: int = 0,
+        tolerate_regions: int = 0,
+    ) -> None:
         """`places` are the zones of the machines, in turn; a zone's region is its name up to a dash."""
         super().__init__(seed)
         self.places, self.tolerate_zones, self.tolerate_regions = places, tolerate_zones, tolerate_regions
@@ -185,7 +197,7 @@
         self.tolerate = tolerate
         self.machines = [Machine(self, f"10.0.0.{n + 1}", places[n % len(places)]) for n in range(machines)]
         self._made = machines
-        self._seeds = tuple((m.address[0], 8783) for m in self.machines[:seeds or machines])
+        self._seeds = tuple((m.address[0], 8783) for m in self.machines[: seeds or machines])
         self.cuts: set[tuple[str, str]] = set()
         self.views: dict[int, View] = {}
         self.contents: dict[Version, tuple[str, Any]] = {}
@@ -200,17 +212,39 @@
     def settings(self, machine: Machine, bootstrap: bool) -> Settings:
         ip = machine.address[0]
         regions = {zone: zone.partition("-")[0] for zone in self.places}
-        return Settings(ip, ip, machine.zone, regions[machine.zone], ("ctl",), True, bootstrap, "/", self._seeds, {},
-                        (PORT, PORT + 9), regions, SECOND, 1.0, 200, 1024, 200, self.tolerate, self.tolerate_zones,
-                        self.tolerate_regions, frozenset(), Bounds())
+        return Settings(
+            ip,
+            ip,
+            machine.zone,
+            regions[machine.zone],
+            ("ctl",),
+            True,
+            bootstrap,
+            "/",
+            self._seeds,
+            {},
+            (PORT, PORT + 9),
+            regions,
+            SECOND,
+            1.0,
+            200,
+            1024,
+            200,
+            self.tolerate,
+            self.tolerate_zones,
+            self.tolerate_regions,
+            frozenset(),
+            Bounds(),
+        )
 
     # ---- the network
 
     def _reaches(self, one: Machine, other: Machine) -> bool:
         return (one.address[0], other.address[0]) not in self.cuts
 
-    def carry(self, life: Life, to: tuple[str, int], kind: str, body: Any,
-              asked: tuple[int, Callable[[Any], None]] | None) -> Link | None:
+    def carry(
+        self, life: Life, to: tuple[str, int], kind: str, body: Any, asked: tuple[int, Callable[[Any], None]] | None
+    ) -> Link | None:
         self.one_serves()
         there = next((m for m in self.machines if m.address == to), None)
         link = life.out.get(to)
@@ -365,18 +399,27 @@
         found = self.serving()
         view = found.core.view() if found is not None and found.core is not None else None
         cores = {m.core.own: m.core for m in self.machines if m.core is not None and not m.paused}
-        return view is not None and len(view.witnesses) > 2 * self.tolerate and all(
-            peer in cores and cores[peer].view() == view
-            and (peer not in view.copies or cores[peer].succession.state.complete == view.number)
-            for peer in view.witnesses)
+        return (
+            view is not None
+            and len(view.witnesses) > 2 * self.tolerate
+            and all(
+                peer in cores
+                and cores[peer].view() == view
+                and (peer not in view.copies or cores[peer].succession.state.complete == view.number)
+                for peer in view.witnesses
+            )
+        )
 
     # ---- faults
 
     def lost(self) -> set[Machine]:
         """Those in trouble, or back from it for less than the time to sync."""
         cut = {a for pair in self.cuts for a in pair}
-        return {m for m in self.machines if m.life is None or m.paused or m.disk_hangs > self.now
-                or m.address[0] in cut or m.troubled > self.now}
+        return {
+            m
+            for m in self.machines
+            if m.life is None or m.paused or m.disk_hangs > self.now or m.address[0] in cut or m.troubled > self.now
+        }
 
     def trouble(self, machine: Machine, until: int) -> None:
         machine.troubled = max(machine.troubled, until + Bounds().sync_time)
@@ -409,8 +452,26 @@
         rng = self.rng
         machine = self.primary() if rng.random() < 0.5 else rng.choice(self.machines)
         span = rng.choice([50, 300, 1_000, 2_500, 5_000]) * MS + rng.randrange(200 * MS)
-        kind = rng.choice(["down", "down", "wipe", "wipe", "cut", "cut", "half", "alone", "all", "disk", "disk", "slow",
-                           "pause", "pause", "closing", "flap"])
+        kind = rng.choice(
+            [
+                "down",
+                "down",
+                "wipe",
+                "wipe",
+                "cut",
+                "cut",
+                "half",
+                "alone",
+                "all",
+                "disk",
+                "disk",
+                "slow",
+                "pause",
+                "pause",
+                "closing",
+                "flap",
+            ]
+        )
         others = [m for m in self.machines if m is not machine]
         lost = self.lost()
         if kind == "down":
