--- a/tests/test_plant.py
+++ b/tests/test_plant.py
@@ -164,6 +164,30 @@
     assert gate.status(client) == 200
 
 
+def test_a_further_attempt_is_handed_the_time_that_is_left(gate: Gate) -> None:
+    """A backend works for as long as it is told: with the client's first time it would go on when nobody waits."""
+    gate.say()
+    _, backend, first = gate.at_backend()
+    gate.pass_time(700 * MS)
+    backend.close(reset=True)
+    _, _, second = gate.at_backend()
+    times = [int(came.lower().split(b"time-left: ")[1].split()[0]) for came in (first, second)]
+    assert times[0] <= 5_000 and times[1] <= times[0] - 700
+
+
+@pytest.mark.parametrize("path, method", [("/r/x", "GET"), ("/b/x", "POST")])
+def test_the_final_answer_comes_at_the_routes_deadline_however_long_its_client_waits(
+    gate: Gate, path: str, method: str
+) -> None:
+    client = gate.say(path, method=method, Time_Left="60000")
+    _, backend, _ = gate.at_backend()
+    gate.pass_time(4_800 * MS)
+    assert client.read() == b""
+    gate.pass_time(1_300 * MS)
+    assert gate.status(client) >= 500
+    gate.until(lambda: (backend.read(), backend.ended)[1])
+
+
 def test_tries_are_kept_and_what_never_ran_is_refused_with_a_time(gate: Gate) -> None:
     client = gate.say("/b/x", method="POST", body=b"slot")
     for _ in range(2):
@@ -208,6 +232,16 @@
     assert gate.status(client) == 502
 
 
+def test_an_answer_without_a_length_that_is_reset_is_not_complete(gate: Gate) -> None:
+    """Its end is the end of its connection: one that breaks looks like one that is over."""
+    client = gate.say("/b/x", method="POST", body=b"slot")
+    _, backend, _ = gate.at_backend()
+    backend.send(b"HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nSeal: s\r\n\r\nhalf")
+    gate.turns()
+    backend.close(reset=True)
+    assert gate.status(client) == 502
+
+
 def test_a_failure_of_the_backends_own_goes_to_the_client_as_it_is(gate: Gate) -> None:
     client = gate.say("/b/x", method="POST", body=b"slot")
     _, backend, _ = gate.at_backend()
