--- a/oakvale/lab/models/operator.py
+++ b/oakvale/lab/models/operator.py
@@ -10,9 +10,9 @@
 from oakvale.base.address import Address
 from oakvale.base.loop import Loop
 from oakvale.lab.models.asks import Ask
-from oakvale.lab.models.crowd import Senders
 from oakvale.lab.models.orders import Books, Order
 from oakvale.lab.models.platform import LOOK, Edge, Platform
+from oakvale.lab.models.senders import Senders
 from oakvale.lab.models.walk import SILENCE, Walk, walk
 from oakvale.lab.models.ways import Reply, ask
 from oakvale.lab.record import Looked, Ordered, ReadBack, Record, Replied, Told, digest
