--- a/oakvale/lab/models/ways.py
+++ b/oakvale/lab/models/ways.py
@@ -5,7 +5,6 @@
 
 import errno
 import socket
-import struct
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from typing import Any
@@ -14,6 +13,7 @@
 
 from oakvale.base.address import Address
 from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Loop, Rank, Step
+from oakvale.wire.tcp import reset_on_close
 
 PIECE = 64 * 1024
 MOST = 4 * 1024 * 1024  # of one answer
@@ -71,10 +71,7 @@
 
 def reset(sock: Any) -> None:
     """Closes without a farewell."""
-    try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    except OSError:
-        pass
+    reset_on_close(sock)
     sock.close()
 
 
