--- a/oakvale/lab/models/crowd.py
+++ b/oakvale/lab/models/crowd.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Haste:
+class GiveUp:
     """Clients that leave early for a while: a share of them, each within a time of its request."""
 
     at: int
@@ -64,12 +64,12 @@
         key: Callable[[str, int, Random], str | None],
         eager: float,
         swells: list[Swell],
-        hastes: list[Haste],
+        give_ups: list[GiveUp],
     ) -> None:
         """`place`: host and prefix of a route. `tenants`: their weights. `key`: one that a tenant's client has at a
         time. `eager`: the share of clients that come again too often."""
         self.loop, self.rng, self._zone, self._platform = loop, rng, zone, platform
-        self._flows, self._place, self._key, self._swells, self._hastes = list(flows), place, key, swells, hastes
+        self._flows, self._place, self._key, self._swells, self._give_ups = list(flows), place, key, swells, give_ups
         self._clients = [f"{zone}-{n}" for n in range(clients)]
         self._keeps = {name for name in self._clients if rng.random() < 0.5}
         self._eager = {name for name in self._clients if rng.random() < eager}
@@ -126,9 +126,9 @@
 
     def _leaves(self, now: int) -> int:
         """When the client of a request that comes now leaves; 0 for not before its deadline."""
-        for haste in self._hastes:
-            if haste.at <= now < haste.until and self.rng.random() < haste.share:
-                return now + 1 + self.rng.randrange(haste.within)
+        for give_up in self._give_ups:
+            if give_up.at <= now < give_up.until and self.rng.random() < give_up.share:
+                return now + 1 + self.rng.randrange(give_up.within)
         return 0
 
     def _tenant(self, now: int) -> str:
--- a/oakvale/lab/models/launch.py
+++ b/oakvale/lab/models/launch.py
@@ -13,7 +13,7 @@
 from oakvale.intake.times import micros
 from oakvale.lab.days import Day, Route, Service, Trouble
 from oakvale.lab.models.backend import Backend, Ways
-from oakvale.lab.models.crowd import Crowd, Flow, Haste, Swell
+from oakvale.lab.models.crowd import Crowd, Flow, GiveUp, Swell
 from oakvale.lab.models.operator import MOST_OPEN, Losses, Operator
 from oakvale.lab.models.orders import PLACED, Books, name
 from oakvale.lab.models.platform import Edge, Platform
@@ -135,7 +135,7 @@
         record.kinds.update({r.name: Kind(r.name, r.worth, r.late, round(r.aim_ms * MS)) for r in day.routes})
         record.began = began
         self.swells: list[Swell] = []
-        self.hastes: list[Haste] = []
+        self.give_ups: list[GiveUp] = []
         self.seats = {
             service.name: [self._seat(service, n) for n in range(service.backends)] for service in day.services
         }
@@ -236,7 +236,7 @@
                 self.books.key,
                 EAGER,
                 self.swells,
-                self.hastes,
+                self.give_ups,
             )
             crowd.begin(began, until)
             crowds.append(crowd)
@@ -285,7 +285,7 @@
 
     def _give_up(self, trouble: Trouble, at: int, lasts: int, gap: int) -> None:
         """`x`: milliseconds within which they leave."""
-        self.hastes.append(Haste(at, at + lasts, trouble.share or 1.0, max(1, round(trouble.x * MS))))
+        self.give_ups.append(GiveUp(at, at + lasts, trouble.share or 1.0, max(1, round(trouble.x * MS))))
 
     def _swell(self, swell: Swell) -> None:
         self.swells.append(swell)
--- a/oakvale/lab/models/senders.py
+++ b/oakvale/lab/models/senders.py
@@ -37,7 +37,7 @@
     task: Task | None = None
     peer: h11.Connection = field(default_factory=lambda: h11.Connection(h11.CLIENT))
     closing: bool = False
-    in_order: bool = False  # its client leaves with a close, not with a reset
+    closes_in_order: bool = False  # its client leaves with a close, not with a reset
 
 
 class Senders:
@@ -138,7 +138,7 @@
                 self._idle[line.client].remove(line)
             if line.ask is not None:  # given to it while it ended
                 self._over(line.ask, End.UNREACHED, line.number)
-            if rst and not line.in_order:
+            if rst and not line.closes_in_order:
                 reset(line.sock)
             else:
                 line.sock.close()
@@ -158,7 +158,7 @@
             return False
         except Late:
             left, end = untaken(line.sock), ask.late(self.loop.now)
-            line.in_order = end is End.LEFT and line.number % 2 == 0
+            line.closes_in_order = end is End.LEFT and line.number % 2 == 0
             self._over(ask, end, line.number, read=left == 0)
             return False
         except h11.RemoteProtocolError:
--- a/tests/node.py
+++ b/tests/node.py
@@ -181,6 +181,10 @@
         self.script.answers[i.Timer] = lambda _: list(actions)
         self.host.give(i.Timer(1))
 
+    def until_ended(self, peer: StandIn) -> None:
+        """Turns the loop until the gateway has ended a stand-in's connection; reads what comes before."""
+        self.until(lambda: (peer.read(), peer.ended)[1])
+
     def turns(self, n: int = 5) -> None:
         for _ in range(n):
             self.loop.turn(0)
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -14,9 +14,12 @@
 LARGE = b"x" * 60_000  # more than small kernel buffers take for a backend that does not read
 
 
-def ends(gate: Gate, backend: StandIn) -> None:
-    """Waits until the gateway has ended a connection to a backend."""
-    gate.until(lambda: (backend.read(), backend.ended)[1])
+def unread_connection(gate: Gate) -> StandIn:
+    """The next connection to a backend, which has read nothing of it."""
+    backend = gate.until(lambda: gate.first.take() or gate.second.take())
+    gate.peers.append(backend)
+    assert isinstance(backend, StandIn)
+    return backend
 
 
 def small_buffers(gate: Gate, receive_only: bool = False) -> None:
@@ -55,7 +58,7 @@
         backend.send(begun)
         gate.turns()
     client.close(reset)
-    ends(gate, backend)
+    gate.until_ended(backend)
     assert gate.plant.tally.abandoned_attempts["cancelled"] == 1
     assert not len(gate.plant.requests) and gate.first.take() is None and gate.second.take() is None
 
@@ -66,13 +69,12 @@
     small_buffers(gate)
     client = gate.say(path, method="POST", Content_Length=str(len(LARGE)))
     sends(gate, client, LARGE)
-    backend = gate.until(lambda: gate.first.take() or gate.second.take())
-    gate.peers.append(backend)
+    backend = unread_connection(gate)
     gate.turns(20)
     client.close(reset=True)
     gate.until(lambda: gate.plant.tally.abandoned["at_backend"] == 1)
     gate.turns()
-    ends(gate, backend)
+    gate.until_ended(backend)
     assert len(backend.came) < len(LARGE) and not len(gate.plant.requests)
 
 
@@ -82,8 +84,7 @@
     small_buffers(gate, receive_only=True)
     client = gate.say(method="POST", Content_Length=str(len(LARGE)))
     sends(gate, client, LARGE)
-    backend = gate.until(lambda: gate.first.take() or gate.second.take())
-    gate.peers.append(backend)
+    backend = unread_connection(gate)
     gate.until(lambda: any(out.written for request in gate.plant.requests.all() for out in request.out.values()))
     if leaves:
         client.close()
@@ -130,7 +131,7 @@
         client = gate.say(rid=f"a{n}")
         _, backend, _ = gate.at_backend()
         client.close()
-        ends(gate, backend)
+        gate.until_ended(backend)
         gate.until(lambda: not len(gate.plant.requests))
     client = gate.say(rid="b")
     _, backend, _ = gate.at_backend()
--- a/tests/test_picture.py
+++ b/tests/test_picture.py
@@ -93,7 +93,7 @@
     client, backend = node.sent("b1")
     client.close(reset=True)
     node.step()
-    node.until(lambda: (backend.read(), backend.ended)[1])  # called off, in module and host
+    node.until_ended(backend)  # called off, in module and host
     assert not any(b.inflight for b in node.host.gateway.desk.backends.values()) and not node.host.requests._by_id
     client, backend = node.sent("b2")
     node.host.discovery.take({"index": 50, "snapshot": True, "endpoints": [row("s-9", node.backend.text)]})
--- a/tests/test_plant.py
+++ b/tests/test_plant.py
@@ -65,7 +65,7 @@
     gate.pass_time(1_600 * MS)
     assert gate.status(slow) == 408 and (idle.read(), idle.ended)[1] is False
     gate.pass_time(3_000 * MS)
-    gate.until(lambda: (idle.read(), idle.ended)[1])
+    gate.until_ended(idle)
     assert gate.plant.limits.body == 8 and gate.plant.shared.limits.body > 8  # answers are bounded as before
 
 
@@ -185,7 +185,7 @@
     assert client.read() == b""
     gate.pass_time(1_300 * MS)
     assert gate.status(client) >= 500
-    gate.until(lambda: (backend.read(), backend.ended)[1])
+    gate.until_ended(backend)
 
 
 def test_tries_are_kept_and_what_never_ran_is_refused_with_a_time(gate: Gate) -> None:
