--- a/bench/versions.py
+++ b/bench/versions.py
@@ -24,7 +24,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from oakvale.demo.backend import Backend
-from oakvale.demo.caller import Caller, once
+from oakvale.demo.control_client import Caller, once
 from oakvale.demo.machines import ROOT, Machines
 from oakvale.demo.show import CONFIGURATION, HOST, KEY, PROMISES
 
--- a/oakvale/cli.py
+++ b/oakvale/cli.py
@@ -19,6 +19,7 @@
 
 BACKLOG = 1024  # connections that wait to be accepted
 LEVELS = ("debug", "info", "warning", "error")
+ROLE_MODULES = {"headworks": "oakvale.controlplane.process", "sluice": "oakvale.dataplane.process"}
 
 
 def fail(why: object, status: int = 2) -> NoReturn:
@@ -81,7 +82,7 @@
 
 def check(args: argparse.Namespace) -> None:
     """Check a file of the whole system and say what it holds."""
-    from oakvale.intake import check
+    from oakvale.config import check
 
     try:
         print("\n".join(check.check(args.kind, args.file)))
@@ -93,11 +94,11 @@
     """Ask a process of the whole system, at its mains address, how it stands; exit 0 if it answers."""
     from oakvale.base import configuration
     from oakvale.lifecycle import logs
-    from oakvale.mains import standing
+    from oakvale.transport import status_service
 
     try:
-        told = standing.inquire(configuration.address(args.address, "address"), args.timeout)
-    except (configuration.BadConfiguration, standing.Silent) as error:
+        told = status_service.inquire(configuration.address(args.address, "address"), args.timeout)
+    except (configuration.BadConfiguration, status_service.Silent) as error:
         fail(f"{args.address}: {error}", 1)
     print("\n".join(logs.pairs({name: value}) for name, value in told.items()))
 
@@ -107,7 +108,7 @@
     import json
 
     from oakvale.base import configuration
-    from oakvale.towpath import call
+    from oakvale.drains import client
 
     body = None
     if args.what in ("plan", "order"):
@@ -120,21 +121,21 @@
     verb = "Drains." + {"account": "Show"}.get(args.what, args.what.capitalize())
     try:
         addresses = [configuration.address(text, "--ctl") for text in args.ctl.split(",")]
-        told = call.call(addresses, verb, getattr(args, "name", None) or "", body, args.timeout)
+        told = client.call(addresses, verb, getattr(args, "name", None) or "", body, args.timeout)
     except configuration.BadConfiguration as error:
         fail(error)
-    except call.Refused as error:
+    except client.Refused as error:
         if isinstance(error.body, dict) and "plan" in error.body:
-            print("\n".join(call.lines(error.body["plan"])))
+            print("\n".join(client.lines(error.body["plan"])))
         fail(error, 1)
     if args.what == "account" and args.format == "csv":
-        from oakvale.towpath import account
+        from oakvale.drains import report
 
-        print(account.as_csv(told), end="")
+        print(report.as_csv(told), end="")
     elif args.what == "account" or args.json:
         print(json.dumps(told, indent=2))
     else:
-        print("\n".join(call.lines(told)) or "kept")
+        print("\n".join(client.lines(told)) or "kept")
     if args.what == "plan" and told["obstacles"]:
         sys.exit(1)
 
@@ -142,10 +143,10 @@
 def chain(args: argparse.Namespace) -> None:
     """The chains that a process of the whole system holds: what they are, what they can't hold, what one says."""
     from oakvale.base import configuration
-    from oakvale.intake import settings, table
-    from oakvale.mains import standing
-    from oakvale.spillway import telling
-    from oakvale.spillway.chains import unpack
+    from oakvale.config import settings, toml_table
+    from oakvale.failover import report
+    from oakvale.failover.chains import unpack
+    from oakvale.transport import status_service
 
     try:
         if args.at:
@@ -153,25 +154,23 @@
         else:
             own = settings.load(os.environ)
             address = own.ip, own.ports[0] + (0 if "ctl" in own.bind else 1)
-        held = standing.inquire(address, args.timeout, "chains")["held"]
-    except (configuration.BadConfiguration, table.BadFile) as error:
+        held = status_service.inquire(address, args.timeout, "chains")["held"]
+    except (configuration.BadConfiguration, toml_table.BadFile) as error:
         fail(error)
-    except standing.Silent as error:
+    except status_service.Silent as error:
         fail(f"{spelled(address)}: {error}", 1)
     if held is None:
         fail(f"{spelled(address)}: holds no chains: no headworks has --chains, or this one is only a witness", 1)
     chains = unpack(held)
     try:
         if args.what == "check":
-            lines = telling.check(chains)
+            lines = report.check(chains)
             print("\n".join(lines) or "every failure of one place or two can be held")
             sys.exit(3 if lines else 0)
         print(
-            "\n".join(
-                telling.show(chains) if args.what == "show" else telling.explain(chains, args.place, args.service)
-            )
+            "\n".join(report.show(chains) if args.what == "show" else report.explain(chains, args.place, args.service))
         )
-    except telling.Unknown as error:
+    except report.Unknown as error:
         fail(error)
 
 
@@ -202,7 +201,7 @@
     from importlib import import_module
 
     from oakvale.base.sockets import listening
-    from oakvale.intake import settings, table
+    from oakvale.config import settings, toml_table
     from oakvale.lifecycle.signals import Signals
 
     signals = Signals()
@@ -211,12 +210,12 @@
         told = settings.load(os.environ)
         # before the rest is imported: who comes meanwhile waits a moment instead of being turned away
         listeners = {name: listening(address, BACKLOG) for name, address in told.bind.items()}
-        from oakvale.lifecycle import daybook
+        from oakvale.lifecycle import eventlog
 
-        daybook.configure(args.log_level, 20)
+        eventlog.configure(args.log_level, 20)
         more = {"chains": args.chains} if args.command == "headworks" else {}
-        sys.exit(import_module(f"oakvale.{args.command}.process").serve(told, signals, listeners, **more))
-    except table.BadFile as error:
+        sys.exit(import_module(ROLE_MODULES[args.command]).serve(told, signals, listeners, **more))
+    except toml_table.BadFile as error:
         fail(error)
     except OSError as error:
         fail(f"cannot start: {error}", 1)
--- a/oakvale/intake/bounds.py
+++ b/oakvale/config/bounds.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from oakvale.base.limits import MB, MS, SECOND, Limits
-from oakvale.intake.settings import Settings
+from oakvale.config.settings import Settings
 
 FILES = 220  # descriptors that are kept for files and the rest of the process
 PEERS = 16  # an eighth of the rest goes to the system's own links
--- a/oakvale/intake/chains.py
+++ b/oakvale/config/chains.py
@@ -16,8 +16,8 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from oakvale.intake.settings import Settings
-from oakvale.intake.table import BadFile, read
+from oakvale.config.settings import Settings
+from oakvale.config.toml_table import BadFile, read
 
 HEADROOM = 1.0
 
--- a/oakvale/intake/check.py
+++ b/oakvale/config/check.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 
 from oakvale.base.address import spelled
-from oakvale.intake import deploy, settings
-from oakvale.intake.table import BadFile
+from oakvale.config import deploy, settings
+from oakvale.config.toml_table import BadFile
 
 
 class Wrong(Exception):
@@ -58,7 +58,7 @@
 
 
 def of_config(path: str) -> list[str]:
-    from oakvale.intake import model  # slow to import, and no other check needs it
+    from oakvale.config import model  # slow to import, and no other check needs it
 
     try:
         config = model.parse(Path(path).read_bytes())
@@ -80,8 +80,8 @@
 
 
 def of_contracts(path: str) -> list[str]:
-    from oakvale.intake import contracts  # as above
-    from oakvale.towpath.hours import DAY
+    from oakvale.config import contracts  # as above
+    from oakvale.drains.hours import DAY
 
     found = contracts.load(path)
     spans = [
--- a/oakvale/intake/contracts.py
+++ b/oakvale/config/contracts.py
@@ -14,8 +14,8 @@
 
 from pydantic import AwareDatetime, BaseModel, BeforeValidator, ConfigDict, Field, ValidationError
 
-from oakvale.intake.table import BadFile, read
-from oakvale.towpath import hours
+from oakvale.config.toml_table import BadFile, read
+from oakvale.drains import hours
 
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
 TIME = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])|24:00")
--- a/oakvale/intake/deploy.py
+++ b/oakvale/config/deploy.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from oakvale.intake import packages
-from oakvale.intake.table import BadFile, Table, read
+from oakvale.config import packages
+from oakvale.config.toml_table import BadFile, Table, read
 
 FIELDS = ("run", "on", "share", "count", "serves", "apart")
 SERVED = ("edge", "ctl")
--- a/oakvale/intake/model.py
+++ b/oakvale/config/model.py
@@ -20,7 +20,7 @@
 import orjson
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, TypeAdapter, ValidationError
 
-from oakvale.intake.times import micros
+from oakvale.config.durations import micros
 
 MINUTE = 60_000_000
 DIGEST = 16  # bytes of BLAKE2b
--- a/oakvale/intake/settings.py
+++ b/oakvale/config/settings.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from oakvale.base.address import Address, parse_address
-from oakvale.intake.table import Table, read
+from oakvale.config.toml_table import Table, read
 
 CONTRACTS = "deploy/contracts.toml"  # from where the process was started: the repository's root
 DEFAULT_PATH = "/etc/oakvale/settings.toml"
--- a/oakvale/intake/watch.py
+++ b/oakvale/config/settings_watch.py
@@ -11,9 +11,9 @@
 from dataclasses import replace
 
 from oakvale.base.loop import Loop
-from oakvale.intake.settings import DEFAULT_PATH, Settings, load
-from oakvale.intake.table import BadFile
-from oakvale.lifecycle.daybook import Writer
+from oakvale.config.settings import DEFAULT_PATH, Settings, load
+from oakvale.config.toml_table import BadFile
+from oakvale.lifecycle.eventlog import Writer
 
 LOOK = 2_000_000  # microseconds between two looks at the file
 
--- a/oakvale/intake/table.py
+++ b/oakvale/config/toml_table.py
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 from oakvale.base.address import Address, parse_address
-from oakvale.intake.times import micros
+from oakvale.config.durations import micros
 
 T = TypeVar("T")
 
--- a/oakvale/headworks/pieces.py
+++ b/oakvale/controlplane/chunks.py
@@ -13,7 +13,7 @@
 
 import cbor2
 
-from oakvale.penstock.table import Entry, unpack
+from oakvale.dissemination.table import Entry, unpack
 
 PIECE = 16 * 1024  # bytes; 65 ms on 2 Mbit/s
 INLINE = 48 * 1024  # bytes that go with a question; what is larger goes in pieces, ahead of it
--- a/oakvale/headworks/pruning.py
+++ b/oakvale/controlplane/compaction.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from oakvale.base.loop import Loop
-from oakvale.headworks.core import Core
-from oakvale.lifecycle.daybook import Writer
-from oakvale.penstock.table import FLOOR, NOTHING, Version
+from oakvale.controlplane.core import Core
+from oakvale.dissemination.table import FLOOR, NOTHING, Version
+from oakvale.lifecycle.eventlog import Writer
 
 ROUND = 10_000_000  # microseconds between two looks
 LEFT = 90_000_000  # for so long late beats of a backend that left are recognised, and graves stay whatever their number
--- a/oakvale/headworks/ctl.py
+++ b/oakvale/controlplane/control_server.py
@@ -4,15 +4,15 @@
 
 from typing import TYPE_CHECKING, Any
 
-from oakvale.headworks.core import Core
-from oakvale.headworks.resources import JSON, Backends, Config, Reply, primary_url
-from oakvale.intake.settings import Settings
+from oakvale.config.settings import Settings
+from oakvale.controlplane.core import Core
+from oakvale.controlplane.resources import JSON, Backends, Config, Reply, primary_url
 from oakvale.memory.requests import Answer, InHand
 from oakvale.shared import Owner, Shared
 from oakvale.wire.clients import Incoming, plain
 
 if TYPE_CHECKING:
-    from oakvale.headworks.drains import Drains
+    from oakvale.controlplane.drains import Drains
 
 PREFIX = "/oakvale/"
 READYZ = b"/oakvale/readyz"
@@ -35,7 +35,7 @@
 
     def offer(self, drains: Drains) -> None:
         """Drains can be ordered: there are contracts."""
-        from oakvale.headworks import resources
+        from oakvale.controlplane import resources
 
         self.backends.leaves = drains.leaves
         handler = resources.Drains(self.core, drains)
--- a/oakvale/headworks/core.py
+++ b/oakvale/controlplane/core.py
@@ -10,19 +10,19 @@
 
 from oakvale.base.address import Address, parse_address, spelled
 from oakvale.base.loop import Loop
-from oakvale.cistern.store import Cistern
-from oakvale.headworks import copying
-from oakvale.headworks.copying import Copying
-from oakvale.headworks.domains import Domains
-from oakvale.headworks.leases import Leases, Waiting
-from oakvale.headworks.ledger import Ledger, Then
-from oakvale.headworks.peers import Peers
-from oakvale.headworks.succession import Out, Seat, Succession, View, founding, seat, unpack
-from oakvale.intake.settings import Settings
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.links import Answer, Conn, Mains
-from oakvale.penstock.feed import PULSE, Outlet
-from oakvale.penstock.table import Version
+from oakvale.config.settings import Settings
+from oakvale.controlplane import replication
+from oakvale.controlplane.failure_domains import Domains
+from oakvale.controlplane.leases import Leases, Waiting
+from oakvale.controlplane.peers import Peers
+from oakvale.controlplane.replicated_state import Ledger, Then
+from oakvale.controlplane.replication import Copying
+from oakvale.controlplane.view_change import Out, Seat, Succession, View, founding, seat, unpack
+from oakvale.dissemination.feed import PULSE, Outlet
+from oakvale.dissemination.table import Version
+from oakvale.lifecycle.eventlog import Writer
+from oakvale.storage.store import Cistern
+from oakvale.transport.links import Answer, Conn, Mains
 
 BEAT = 200_000  # microseconds between two heartbeats of core machines
 SILENCE = 900_000  # a core machine that was not heard for this counts as down
@@ -53,7 +53,7 @@
         copies = 1 + max(1, settings.tolerate, settings.tolerate_zones, settings.tolerate_regions)
         domains = Domains(settings.zones, settings.tolerate_zones > 0, settings.tolerate_regions > 0)
         founds = settings.bootstrap and cistern.first and spelled(mains.own) in seeds
-        start = copying.start(
+        start = replication.start(
             spelled(mains.own),
             cistern.fact("self"),
             cistern.fact("state"),
@@ -175,17 +175,17 @@
 
     # ---- what is decided, done
 
-    def _do(self, items: list[copying.Do]) -> None:
+    def _do(self, items: list[replication.Do]) -> None:
         for item in items:
             match item:
-                case copying.Write(number, what):
+                case replication.Write(number, what):
                     self.cistern.write(
                         what,
                         lambda number=number: self._do(  # type: ignore[misc]
                             self.copying.written(number)
                         ),
                     )
-                case copying.Ask(number, to, kind, body, timeout):
+                case replication.Ask(number, to, kind, body, timeout):
                     self.mains.ask(
                         address_of(to),
                         kind,
@@ -195,22 +195,22 @@
                             self.copying.answered(number, answer)
                         ),
                     )
-                case copying.Tell(to, kind, body):
+                case replication.Tell(to, kind, body):
                     self.mains.tell(address_of(to), kind, [list(self.own), body])
-                case copying.Reply(answer, said):
+                case replication.Reply(answer, said):
                     answer(said)
-                case copying.Again(backup, view):
+                case replication.Again(backup, view):
                     self.loop.at(
                         self.loop.now + AGAIN,
                         lambda _, backup=backup, view=view: self._do(  # type: ignore[misc]
                             self.copying.again(backup, view)
                         ),
                     )
-                case copying.Told(then, done):
+                case replication.Told(then, done):
                     then(done)
-                case copying.News(entries):
+                case replication.News(entries):
                     self.outlet.publish(self._next_pulse(), entries)
-                case copying.Entered(view):
+                case replication.Entered(view):
                     self._served = None
                     self._say()  # a primary asks for its lease, one that was replaced tells the other so
                     note(
@@ -221,11 +221,11 @@
                         witnesses=_names(view.witnesses),
                         own=self.own[0],
                     )
-                case copying.Turned(serves):
+                case replication.Turned(serves):
                     self._turned(serves)
-                case copying.Resigned():
+                case replication.Resigned():
                     self.outlet.drop()
-                case copying.Replaced():
+                case replication.Replaced():
                     self.outlet = Outlet(self.ledger.table)
                     current = self.view()
                     if current is not None:  # its primary may have granted a lease just before
--- a/oakvale/headworks/drains.py
+++ b/oakvale/controlplane/drains.py
@@ -12,16 +12,16 @@
 import orjson
 
 from oakvale.base.loop import Loop
-from oakvale.headworks.core import Core, address_of
-from oakvale.intake import contracts
-from oakvale.intake.table import BadFile
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.links import Answer, Conn, Mains
-from oakvale.towpath import account
-from oakvale.towpath.clocks import Agreement
-from oakvale.towpath.course import KEPT, Course, outside
-from oakvale.towpath.hours import Contract
-from oakvale.towpath.planning import PUBLIC, Facts, Hours, Plan, plan, targets
+from oakvale.config import contracts
+from oakvale.config.toml_table import BadFile
+from oakvale.controlplane.core import Core, address_of
+from oakvale.drains import report
+from oakvale.drains.agreed_clock import Agreement
+from oakvale.drains.execution import KEPT, Course, outside
+from oakvale.drains.hours import Contract
+from oakvale.drains.planning import PUBLIC, Facts, Hours, Plan, plan, targets
+from oakvale.lifecycle.eventlog import Writer
+from oakvale.transport.links import Answer, Conn, Mains
 
 STEP = 500_000  # microseconds between two steps
 TELL = 1_000_000  # between two words of this machine's clock
@@ -227,6 +227,6 @@
 
     def told(self, only: str = "") -> dict[str, Any]:
         table, now = self._core.ledger.table, self.now()
-        return {"time": account.stamp(now) if now is not None else "unknown: the clocks don't agree"} | account.told(
+        return {"time": report.stamp(now) if now is not None else "unknown: the clocks don't agree"} | report.told(
             table.items("drain/"), table.items("move/"), table.items("outside/"), only
         )
--- a/oakvale/headworks/planning.py
+++ b/oakvale/controlplane/failover_planning.py
@@ -9,16 +9,16 @@
 from typing import TYPE_CHECKING, Any
 
 from oakvale.base.loop import Loop
-from oakvale.headworks.core import Core
-from oakvale.headworks.resources import Backends
-from oakvale.intake.settings import Settings
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.links import Answer, Conn, Mains
-from oakvale.spillway.chains import Chains, Load, apart, pack, plan, unpack
-from oakvale.spillway.places import hierarchy
+from oakvale.config.settings import Settings
+from oakvale.controlplane.core import Core
+from oakvale.controlplane.resources import Backends
+from oakvale.failover.chains import Chains, Load, apart, pack, plan, unpack
+from oakvale.failover.places import hierarchy
+from oakvale.lifecycle.eventlog import Writer
+from oakvale.transport.links import Answer, Conn, Mains
 
 if TYPE_CHECKING:
-    from oakvale.intake.chains import Given  # its imports cost, and most systems have no chains
+    from oakvale.config.chains import Given  # its imports cost, and most systems have no chains
 
 ROUND = 1_000_000  # microseconds between two looks
 LEAST = 5_000_000  # between two versions, or a wave of load would be news all the time
--- a/oakvale/headworks/leases.py
+++ b/oakvale/controlplane/leases.py
@@ -13,8 +13,8 @@
 
 from collections import deque
 
-from oakvale.headworks.ledger import Then
-from oakvale.headworks.succession import Seat, View
+from oakvale.controlplane.replicated_state import Then
+from oakvale.controlplane.view_change import Seat, View
 
 MARGIN = 50_000  # microseconds, for what clocks differ by and for what is sent just after a look at the lease
 NEVER = 1 << 62
--- a/oakvale/headworks/gates.py
+++ b/oakvale/controlplane/membership.py
@@ -6,10 +6,10 @@
 
 from oakvale.base.address import parse_address
 from oakvale.base.loop import Loop
-from oakvale.headworks.core import Core
-from oakvale.headworks.jury import Jury
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.links import Answer, Conn, Mains
+from oakvale.controlplane.core import Core
+from oakvale.controlplane.voter import Jury
+from oakvale.lifecycle.eventlog import Writer
+from oakvale.transport.links import Answer, Conn, Mains
 
 AGREE = 2  # watchers that must miss a gateway before it is taken from the list
 CALLED = 64  # gateways that a new primary calls; a tree is soon grown from these
--- a/oakvale/headworks/process.py
+++ b/oakvale/controlplane/process.py
@@ -13,28 +13,28 @@
 
 from oakvale.base.loop import Clock, Loop, Rank
 from oakvale.base.net import Sock
-from oakvale.cistern.store import Cistern
-from oakvale.headworks.core import Core
-from oakvale.headworks.ctl import Ctl
-from oakvale.headworks.gates import Gates
-from oakvale.headworks.jury import Jury
-from oakvale.headworks.planning import Planning
-from oakvale.headworks.pruning import Pruning
-from oakvale.headworks.standing import standing
-from oakvale.intake.bounds import bounds
-from oakvale.intake.settings import Settings
-from oakvale.intake.table import BadFile
-from oakvale.intake.watch import SettingsWatch
+from oakvale.config.bounds import bounds
+from oakvale.config.settings import Settings
+from oakvale.config.settings_watch import SettingsWatch
+from oakvale.config.toml_table import BadFile
+from oakvale.controlplane.compaction import Pruning
+from oakvale.controlplane.control_server import Ctl
+from oakvale.controlplane.core import Core
+from oakvale.controlplane.failover_planning import Planning
+from oakvale.controlplane.membership import Gates
+from oakvale.controlplane.status import standing
+from oakvale.controlplane.voter import Jury
 from oakvale.lifecycle.acceptor import Acceptor
-from oakvale.lifecycle.daybook import Writer
+from oakvale.lifecycle.eventlog import Writer
 from oakvale.lifecycle.signals import Signals
-from oakvale.mains.links import Mains
-from oakvale.mains.standing import offer
 from oakvale.shared import Shared
+from oakvale.storage.store import Cistern
+from oakvale.transport.links import Mains
+from oakvale.transport.status_service import offer
 
 if TYPE_CHECKING:
-    from oakvale.headworks.drains import Drains
-    from oakvale.intake.chains import Given
+    from oakvale.config.chains import Given
+    from oakvale.controlplane.drains import Drains
 
 note = Writer(__name__)
 SWEEP = 1_000_000
@@ -59,7 +59,7 @@
 def _ready_for_operators(loop: Loop) -> None:
     """A primary imports what it checks configurations with before one comes: later, as those who wait for news of a
     core that is back go first, and in a thread, as it may take longer than a heartbeat may be late."""
-    thread = threading.Thread(target=import_module, args=("oakvale.intake.model",), daemon=True)
+    thread = threading.Thread(target=import_module, args=("oakvale.config.model",), daemon=True)
     loop.at(loop.now + READY, lambda _: None if thread.ident else thread.start())
 
 
@@ -100,7 +100,7 @@
         if self._drains is not None:
             self._drains.again()
         elif os.path.exists(settings.contracts):
-            from oakvale.headworks.drains import Drains  # its imports cost, and most systems have no contracts
+            from oakvale.controlplane.drains import Drains  # its imports cost, and most systems have no contracts
 
             self._drains = Drains(self.core, self.loop, self.mains, settings.contracts, settings.bounds.apply)
             self._ctl.offer(self._drains)
@@ -115,7 +115,7 @@
     """`chains`: the operators' file on chains, where these are wanted. Raises BadFile, OSError."""
     given = None
     if chains is not None:
-        from oakvale.intake.chains import load  # its imports cost, and most systems have no chains
+        from oakvale.config.chains import load  # its imports cost, and most systems have no chains
 
         given = load(chains, settings)
     datadir = settings.datadir
--- a/oakvale/headworks/ledger.py
+++ b/oakvale/controlplane/replicated_state.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oakvale.headworks.succession import Seat
-from oakvale.penstock.table import NOTHING, Entry, Table, Version
+from oakvale.controlplane.view_change import Seat
+from oakvale.dissemination.table import NOTHING, Entry, Table, Version
 
 Then = Callable[[bool], None]  # True: in force; False: not known to be, and it may still come
 
--- a/oakvale/headworks/copying.py
+++ b/oakvale/controlplane/replication.py
@@ -20,11 +20,11 @@
 
 import cbor2
 
-from oakvale.headworks import pieces
-from oakvale.headworks.domains import Domains
-from oakvale.headworks.ledger import Ledger, Then
-from oakvale.headworks.pieces import Cut
-from oakvale.headworks.succession import (
+from oakvale.controlplane import chunks
+from oakvale.controlplane.chunks import Cut
+from oakvale.controlplane.failure_domains import Domains
+from oakvale.controlplane.replicated_state import Ledger, Then
+from oakvale.controlplane.view_change import (
     FOUNDER,
     Durable,
     Keep,
@@ -38,8 +38,8 @@
     unpack,
     unpack_durable,
 )
-from oakvale.penstock.table import NOTHING, Entry, Version, pack
-from oakvale.penstock.table import unpack as unpack_entries
+from oakvale.dissemination.table import NOTHING, Entry, Version, pack
+from oakvale.dissemination.table import unpack as unpack_entries
 
 CALL = 1_000_000  # microseconds for a backup to sync
 PER_BYTE = 16  # microseconds more for each byte of a question: half a megabit in a second
@@ -241,7 +241,7 @@
             return self.flush()
         taken = {key for planned in self._planned for key in planned.changes}
         if self._clean and (
-            behind and self._planned or taken & set(changes) or pieces.size_of(changes) > pieces.INLINE
+            behind and self._planned or taken & set(changes) or chunks.size_of(changes) > chunks.INLINE
         ):
             self._planned.append(Planned(changes, then))
             self.ledger.planned.append(changes)
@@ -396,16 +396,16 @@
         """The state as it is now, where little of it is lacking; else as it was when its pieces were counted, and what
         came since goes in another round."""
         entries = self.ledger.everything()
-        made = pieces.cut(entries)
+        made = chunks.cut(entries)
         size = sum(len(piece) for name, piece in made.pieces.items() if name not in transfer.known)
-        if now or size <= pieces.INLINE:
+        if now or size <= chunks.INLINE:
             transfer.cut, transfer.up_to = made, max((version for _, version, _ in entries), default=NOTHING)
             self._clean.add(backup)  # what is changed from here on follows on the same connection
         lacking = [piece for name, piece in transfer.cut.pieces.items() if name not in transfer.known]
-        inline = lacking if sum(map(len, lacking)) <= pieces.INLINE else []
-        transfer.known.update(map(pieces.name_of, inline))
+        inline = lacking if sum(map(len, lacking)) <= chunks.INLINE else []
+        transfer.known.update(map(chunks.name_of, inline))
         manifest = transfer.cut.manifest()
-        size = sum(map(len, inline)) + len(transfer.cut.pieces) * pieces.NAME
+        size = sum(map(len, inline)) + len(transfer.cut.pieces) * chunks.NAME
         self._ask(
             backup, "sync", [manifest, inline], ("sync", backup, view, transfer.up_to), 2 * CALL + PER_BYTE * size
         )
@@ -469,7 +469,7 @@
         assert view is not None
         while self._planned:
             planned = self._planned[0]
-            cut = pieces.cut_change([(key, NOTHING, value) for key, value in planned.changes.items()])
+            cut = chunks.cut_change([(key, NOTHING, value) for key, value in planned.changes.items()])
             planned.waits = {backup for backup in view.backups if backup in self._clean and backup not in self._sending}
             if planned.waits:
                 for backup in sorted(planned.waits):
@@ -479,7 +479,7 @@
                         "offer",
                         [cut.manifest()],
                         ("offer", backup, view, NOTHING),
-                        2 * CALL + PER_BYTE * len(cut.pieces) * pieces.NAME,
+                        2 * CALL + PER_BYTE * len(cut.pieces) * chunks.NAME,
                     )
                 return
             self._planned.popleft()
@@ -504,7 +504,7 @@
             planned, view = self._planned.popleft(), self.view()
             assert view is not None
             self.ledger.planned.pop(0)
-            cut = pieces.cut_change([(key, NOTHING, value) for key, value in planned.changes.items()])
+            cut = chunks.cut_change([(key, NOTHING, value) for key, value in planned.changes.items()])
             self._propose(view, planned.changes, planned.then, cut)
             self._stage()
 
@@ -541,9 +541,9 @@
         view, sender, large = unpack(body[0]), seat(body[1]), [1, body[5], []]
         if not self._in_order(view, sender, body[2]) or self.succession.state.complete != view.number:
             return self._out.append(Reply(ticket, False))
-        if not self._follows_on((int(body[3][0]), int(body[3][1]))) or pieces.lacking(large, self._staged):
+        if not self._follows_on((int(body[3][0]), int(body[3][1]))) or chunks.lacking(large, self._staged):
             return self._out.append(Reply(ticket, False))
-        entries = sorted(unpack_entries(body[4]) + pieces.join(large, self._staged), key=lambda entry: entry[1])
+        entries = sorted(unpack_entries(body[4]) + chunks.join(large, self._staged), key=lambda entry: entry[1])
         self.ledger.take(entries)
         self._write(("rows", _rows(entries)), ("append", view, sender, ticket))
         if body[5]:
@@ -559,14 +559,14 @@
         self._carry(self.succession.learn(view))
         if not self._in_order(view, sender, body[2]):
             return self._out.append(Reply(ticket, False))
-        held = self._staged | {pieces.name_of(piece): bytes(piece) for piece in body[4]}
-        lacks = pieces.lacking(manifest, held)
+        held = self._staged | {chunks.name_of(piece): bytes(piece) for piece in body[4]}
+        lacks = chunks.lacking(manifest, held)
         if lacks and manifest[0]:
-            held |= pieces.cut(self.ledger.everything(), int(manifest[0])).pieces
-            lacks = pieces.lacking(manifest, held)
+            held |= chunks.cut(self.ledger.everything(), int(manifest[0])).pieces
+            lacks = chunks.lacking(manifest, held)
         if lacks:
             return self._want(manifest, lacks, ticket)
-        entries = pieces.join(manifest, held)
+        entries = chunks.join(manifest, held)
         self._resign()
         self.ledger = Ledger()
         self.ledger.table.put(entries)
@@ -577,7 +577,7 @@
     def _want(self, manifest: Any, lacks: list[bytes], ticket: Any) -> None:
         """Says what it lacks; of what came before, only what is of use now stays."""
         self._wanted = set(lacks)
-        self._unstage(set(pieces.names(manifest)))
+        self._unstage(set(chunks.names(manifest)))
         self._out.append(Reply(ticket, lacks))
 
     def _unstage(self, but: set[bytes]) -> None:
@@ -593,14 +593,14 @@
         if not self._in_order(view, sender, body[2]):
             self._out.append(Reply(ticket, False))
         else:
-            self._want(manifest, pieces.lacking(manifest, self._staged), ticket)
+            self._want(manifest, chunks.lacking(manifest, self._staged), ticket)
         return self.flush()
 
     def piece(self, body: Any, ticket: Any) -> list[Do]:
         """In whatever order, and of whatever life of its primary: it is what it is named."""
         view, sender = unpack(body[0]), seat(body[1])
-        data = zlib.decompressobj().decompress(body[3], pieces.PIECE)
-        name = pieces.name_of(data)
+        data = zlib.decompressobj().decompress(body[3], chunks.PIECE)
+        name = chunks.name_of(data)
         if not self._follows(view, sender) or name not in self._wanted:
             self._out.append(Reply(ticket, False))
         else:
--- a/oakvale/headworks/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -16,17 +16,17 @@
 
 from oakvale.base.address import parse_address, spelled
 from oakvale.base.loop import Loop
-from oakvale.headworks.core import Core
-from oakvale.headworks.pruning import LEFT
-from oakvale.headworks.succession import View
-from oakvale.intake.settings import Settings
-from oakvale.intake.times import micros
-from oakvale.lifecycle.daybook import Writer
-from oakvale.penstock.table import PRIVATE
+from oakvale.config.durations import micros
+from oakvale.config.settings import Settings
+from oakvale.controlplane.compaction import LEFT
+from oakvale.controlplane.core import Core
+from oakvale.controlplane.view_change import View
+from oakvale.dissemination.table import PRIVATE
+from oakvale.lifecycle.eventlog import Writer
 
 if TYPE_CHECKING:  # of use only with contracts, or to a primary
-    from oakvale.headworks.drains import Drains as Hand
-    from oakvale.intake.model import Configuration, Read
+    from oakvale.config.model import Configuration, Read
+    from oakvale.controlplane.drains import Drains as Hand
 
 JSON = (b"content-type", b"application/json")
 ID = re.compile(r"[!-~]{1,128}")
@@ -78,7 +78,7 @@
     """What is known of a text that was read as a configuration."""
 
     gen: int
-    digest: bytes  # of its content (`intake/model.py`)
+    digest: bytes  # of its content (`config/model.py`)
     routes: int
 
 
@@ -116,7 +116,7 @@
         self._core.loop.at(self._core.loop.now + 1, self._check)
 
     def _check(self, _: Any) -> None:
-        from oakvale.intake import model  # slow to import; only a primary needs it
+        from oakvale.config import model  # slow to import; only a primary needs it
 
         text, (body, gives) = next(iter(self._queue.items()))
         self._steps = self._steps or model.reading(body)
@@ -183,7 +183,7 @@
         return {int(gen): (place, digest) for place, (gen, digest) in taken.items()}, forgotten
 
     def _digest(self, body: bytes) -> bytes:
-        from oakvale.intake import model
+        from oakvale.config import model
 
         text = blake2b(body, digest_size=16).digest()
         try:
@@ -320,8 +320,8 @@
         self._judge(name, body, give, keep=False)
 
     def _judge(self, name: str, body: bytes, give: Give, keep: bool) -> None:
-        from oakvale.intake import contracts  # here, as what they import is needed with contracts alone
-        from oakvale.towpath import account
+        from oakvale.config import contracts  # here, as what they import is needed with contracts alone
+        from oakvale.drains import report
 
         now = self._drains.now()
         if keep and not NAME.fullmatch(name):
@@ -343,7 +343,7 @@
         if keep and any(key.startswith("drain/") for key in self._core.ledger.waiting()):
             return give(UNSURE)  # another order is being kept: this one's plan has to know it
         entry, plan = self._drains.entry(given, now)
-        told = account.of_plan(plan)
+        told = report.of_plan(plan)
         if not keep:
             return give(Reply(200, orjson.dumps(told)))
         if plan.obstacles:
@@ -355,7 +355,7 @@
 
     def cancel(self, name: str, body: bytes, give: Give) -> None:
         """What has moved comes back, each tenant in its hours."""
-        from oakvale.intake import contracts
+        from oakvale.config import contracts
 
         try:
             form = contracts.order(contracts.Cancelled, body)
--- a/oakvale/headworks/standing.py
+++ b/oakvale/controlplane/status.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from oakvale.headworks.core import Core
-from oakvale.mains.standing import MS, by_service
+from oakvale.controlplane.core import Core
+from oakvale.transport.status_service import MS, by_service
 
 
 def standing(core: Core) -> dict[str, Any]:
--- a/oakvale/headworks/succession.py
+++ b/oakvale/controlplane/view_change.py
@@ -29,7 +29,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from oakvale.headworks.domains import Domains
+from oakvale.controlplane.failure_domains import Domains
 
 Seat = tuple[str, str]  # where it is spoken to ("10.1.0.33:7340"), and its incarnation
 Ballot = tuple[int, Seat]
--- a/oakvale/headworks/jury.py
+++ b/oakvale/controlplane/voter.py
@@ -14,9 +14,9 @@
 
 from oakvale.base.address import parse_address
 from oakvale.base.loop import Loop
-from oakvale.cistern.store import Cistern
-from oakvale.gauge.ballots import SPAN, Ask, Juror
-from oakvale.mains.links import Answer, Conn, Mains
+from oakvale.election.voting import SPAN, Ask, Juror
+from oakvale.storage.store import Cistern
+from oakvale.transport.links import Answer, Conn, Mains
 
 AGAIN = 100_000  # before a holder that did not answer is asked once more
 PROBE = 250_000  # microseconds for a holder to say which life it is
--- a/oakvale/sluice/tow.py
+++ b/oakvale/dataplane/drain_agent.py
@@ -12,11 +12,11 @@
 
 from oakvale.base.address import Address
 from oakvale.base.loop import Loop
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.links import Mains
+from oakvale.dataplane.request_router import Order, Plant
+from oakvale.drains.moves import Avoid, Moves
+from oakvale.lifecycle.eventlog import Writer
 from oakvale.memory.requests import Answer, InHand
-from oakvale.sluice.plant import Order, Plant
-from oakvale.towpath.moves import Avoid, Moves
+from oakvale.transport.links import Mains
 
 LOOK = 100_000  # microseconds between two looks at what is in flight
 TELL = 5  # looks between two words to the primary
--- a/oakvale/sluice/gate.py
+++ b/oakvale/dataplane/gateway.py
@@ -9,24 +9,24 @@
 from oakvale.base.address import Address, parse_address, spelled
 from oakvale.base.loop import Loop
 from oakvale.base.net import Sock
-from oakvale.budget import Retries
-from oakvale.gauge.floors import Quota, Terms
-from oakvale.gauge.service import Gauge
-from oakvale.intake.bounds import bounds
-from oakvale.intake.settings import Settings
+from oakvale.config.bounds import bounds
+from oakvale.config.settings import Settings
+from oakvale.dataplane.drain_agent import Tow
+from oakvale.dataplane.request_router import Plant
+from oakvale.dataplane.routes import backends, configured, members
+from oakvale.dissemination.feed import Feed
+from oakvale.dissemination.table import Table
+from oakvale.dissemination.tree import Member, Members, sources, watched, watchers
+from oakvale.failover.chains import unpack
 from oakvale.lifecycle.acceptor import Acceptor
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.links import Answer, Conn, Mains
+from oakvale.lifecycle.eventlog import Writer
 from oakvale.memory.requests import Answer as HttpAnswer
 from oakvale.memory.requests import InHand
-from oakvale.penstock.feed import Feed
-from oakvale.penstock.table import Table
-from oakvale.penstock.tree import Member, Members, sources, watched, watchers
+from oakvale.ratelimit.quotas import Quota, Terms
+from oakvale.ratelimit.service import Gauge
+from oakvale.retry_budget import Retries
 from oakvale.shared import Shared
-from oakvale.sluice.plant import Plant
-from oakvale.sluice.routes import backends, configured, members
-from oakvale.sluice.tow import Tow
-from oakvale.spillway.chains import unpack
+from oakvale.transport.links import Answer, Conn, Mains
 from oakvale.wire.clients import Incoming, plain
 
 CORE = 24  # core machines' addresses that are remembered
--- a/oakvale/sluice/process.py
+++ b/oakvale/dataplane/process.py
@@ -8,17 +8,17 @@
 
 from oakvale.base.loop import Clock, Loop, Rank
 from oakvale.base.net import Sock
-from oakvale.intake.bounds import bounds
-from oakvale.intake.settings import Settings
-from oakvale.intake.table import BadFile
-from oakvale.intake.watch import SettingsWatch
-from oakvale.lifecycle.daybook import Writer
+from oakvale.config.bounds import bounds
+from oakvale.config.settings import Settings
+from oakvale.config.settings_watch import SettingsWatch
+from oakvale.config.toml_table import BadFile
+from oakvale.dataplane.gateway import Sluice
+from oakvale.dataplane.status import standing
+from oakvale.lifecycle.eventlog import Writer
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
 from oakvale.lifecycle.status import Status
-from oakvale.mains.standing import offer
-from oakvale.sluice.gate import Sluice
-from oakvale.sluice.standing import standing
+from oakvale.transport.status_service import offer
 
 note = Writer(__name__)
 
--- a/oakvale/sluice/plant.py
+++ b/oakvale/dataplane/request_router.py
@@ -10,18 +10,18 @@
 
 from oakvale import interface as i
 from oakvale.base.address import Address, parse_address
-from oakvale.budget import Retries, SharedBudget
-from oakvale.gauge.board import Offer
-from oakvale.gauge.dispatch import Boards, Facts, Pick, Turned
-from oakvale.gauge.service import Gauge
-from oakvale.gauge.state import Receipt
-from oakvale.lane import Lane
-from oakvale.mains.links import Mains
+from oakvale.dataplane.backend_protocol import SystemDialect
+from oakvale.dataplane.routes import Backend, Picture, Route
+from oakvale.drains.moves import kept
+from oakvale.driver import Lane
+from oakvale.loadbalancing.board_service import Boards, Facts, Pick, Turned
+from oakvale.loadbalancing.load_board import Offer
 from oakvale.memory.requests import Answer, AttemptOut, InHand
+from oakvale.ratelimit.counter_state import Receipt
+from oakvale.ratelimit.service import Gauge
+from oakvale.retry_budget import Retries, SharedBudget
 from oakvale.shared import Owner, Shared
-from oakvale.sluice.dialect import SystemDialect
-from oakvale.sluice.routes import Backend, Picture, Route
-from oakvale.towpath.moves import kept
+from oakvale.transport.links import Mains
 from oakvale.wire.clients import BadRequest, Incoming, plain
 
 ATTEMPT_ID = re.compile(rb"[!-~]{1,128}")
--- a/oakvale/sluice/routes.py
+++ b/oakvale/dataplane/routes.py
@@ -13,10 +13,10 @@
 import orjson
 
 from oakvale.base.limits import Limits
-from oakvale.gauge.floors import Quota
-from oakvale.intake.times import micros
-from oakvale.penstock.table import Table
-from oakvale.penstock.tree import Member, Members
+from oakvale.config.durations import micros
+from oakvale.dissemination.table import Table
+from oakvale.dissemination.tree import Member, Members
+from oakvale.ratelimit.quotas import Quota
 
 
 @dataclass(slots=True, frozen=True)
--- a/oakvale/sluice/standing.py
+++ b/oakvale/dataplane/status.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from oakvale.base.address import spelled
-from oakvale.mains.standing import MS, by_service
-from oakvale.sluice.gate import Sluice
+from oakvale.dataplane.gateway import Sluice
+from oakvale.transport.status_service import MS, by_service
 
 
 def standing(sluice: Sluice) -> dict[str, Any]:
--- a/oakvale/demo/backend.py
+++ b/oakvale/demo/backend.py
@@ -7,7 +7,7 @@
 import threading
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-from oakvale.demo.caller import Caller, NoAnswer
+from oakvale.demo.control_client import Caller, NoAnswer
 
 BEAT = 0.5  # seconds
 
--- a/oakvale/demo/machines.py
+++ b/oakvale/demo/machines.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import oakvale
-from oakvale.demo.caller import once
+from oakvale.demo.control_client import once
 
 ZONES = ("a", "b", "c")
 ROOT = Path(oakvale.__file__).parent.parent
--- a/oakvale/demo/show.py
+++ b/oakvale/demo/show.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from oakvale.demo.backend import Backend
-from oakvale.demo.caller import Caller, NoAnswer, once
+from oakvale.demo.control_client import Caller, NoAnswer, once
 from oakvale.demo.machines import Machines
 
 LONGEST = 20.0  # seconds until the answer has come or the demo gives up
--- a/oakvale/penstock/feed.py
+++ b/oakvale/dissemination/feed.py
@@ -14,9 +14,9 @@
 
 from oakvale.base.address import Address, parse_address
 from oakvale.base.loop import Loop
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.links import Answer, Conn, Mains
-from oakvale.penstock.table import FLOOR, NOTHING, Entry, Table, Version, pack, public, unpack
+from oakvale.dissemination.table import FLOOR, NOTHING, Entry, Table, Version, pack, public, unpack
+from oakvale.lifecycle.eventlog import Writer
+from oakvale.transport.links import Answer, Conn, Mains
 
 PULSE = 250_000  # microseconds between two of the primary's pulses
 STALE = 800_000  # without a new one, another source is tried
--- a/oakvale/towpath/course.py
+++ b/oakvale/drains/execution.py
@@ -13,8 +13,8 @@
 from typing import Any
 from urllib.parse import quote
 
-from oakvale.towpath.hours import FOREVER, SECOND, Window
-from oakvale.towpath.planning import Facts, Hours, Record, Unit, last_move, missing, units
+from oakvale.drains.hours import FOREVER, SECOND, Window
+from oakvale.drains.planning import Facts, Hours, Record, Unit, last_move, missing, units
 
 FORGOTTEN = 60 * SECOND  # a gateway off the list for longer than any request lasts is not waited for
 KEPT = 50  # orders that are over, the latest
--- a/oakvale/towpath/planning.py
+++ b/oakvale/drains/planning.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from oakvale.towpath.hours import ALWAYS, DAY, FOREVER, SECOND, Calendar, Contract, Window, common
+from oakvale.drains.hours import ALWAYS, DAY, FOREVER, SECOND, Calendar, Contract, Window, common
 
 MARGIN = 10 * SECOND  # hours open so much later and close so much earlier: clocks step by seconds
 GATEWAY_LEAD = 20 * SECOND  # the platform looks twice, then an idle connection lasts for 15 s
--- a/oakvale/towpath/account.py
+++ b/oakvale/drains/report.py
@@ -11,8 +11,8 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
-from oakvale.towpath.hours import FOREVER, Window
-from oakvale.towpath.planning import Plan
+from oakvale.drains.hours import FOREVER, Window
+from oakvale.drains.planning import Plan
 
 ENDS = ("served", "answered", "failed", "refused", "client_gone", "unknown")
 COLUMNS = (
--- a/oakvale/lane.py
+++ b/oakvale/driver.py
@@ -13,9 +13,9 @@
 
 from oakvale import interface as i
 from oakvale.base.address import Address
-from oakvale.budget import Budget
 from oakvale.memory.requests import Answer, AttemptOut, InHand
 from oakvale.policy.gateway import Gateway
+from oakvale.retry_budget import Budget
 from oakvale.shared import Owner, Shared
 from oakvale.wire.backends import BackendConnection, Dialect
 
--- a/oakvale/spillway/chains.py
+++ b/oakvale/failover/chains.py
@@ -19,7 +19,7 @@
 from itertools import combinations
 from typing import Any
 
-from oakvale.spillway.places import Hierarchy
+from oakvale.failover.places import Hierarchy
 
 HEADROOM = 1.0  # of what a place holds: the queue that is borne and the spare already keep answers within their aims
 SPARE = 0.03  # of a limit: what a gateway may send while it is not known yet whether the keeper is out of its reach
--- a/oakvale/spillway/places.py
+++ b/oakvale/failover/places.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from oakvale.penstock.tree import place as on_ring
+from oakvale.dissemination.tree import place as on_ring
 
 
 @dataclass(slots=True, frozen=True)
--- a/oakvale/spillway/telling.py
+++ b/oakvale/failover/report.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from oakvale.spillway.chains import Chain, Chains
+from oakvale.failover.chains import Chain, Chains
 
 
 class Unknown(Exception):
--- a/oakvale/spillway/crest.py
+++ b/oakvale/failover/spill.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-from oakvale.spillway.chains import Chains, Load
-from oakvale.spillway.fall import TRIAL, Fall, Flow
-from oakvale.spillway.sight import SILENT, Sight
-from oakvale.spillway.weir import SECOND, Weir, patience
+from oakvale.failover.chains import Chains, Load
+from oakvale.failover.evacuation import TRIAL, Fall, Flow
+from oakvale.failover.failure_detector import SILENT, Sight
+from oakvale.failover.spill_limit import SECOND, Weir, patience
 
 TICK = 50_000  # between two looks at the places
 GIVEN_UP = 1.5  # usual times after which an attempt that was called off tells of its place
--- a/oakvale/host.py
+++ b/oakvale/host.py
@@ -8,8 +8,8 @@
 from oakvale.base.address import Address
 from oakvale.base.configuration import Configuration
 from oakvale.base.loop import Loop
-from oakvale.lane import Lane
-from oakvale.memory.names import BackendNames
+from oakvale.driver import Lane
+from oakvale.memory.backend_names import BackendNames
 from oakvale.memory.requests import Answer, InHand
 from oakvale.shared import Shared
 from oakvale.wire.backends import ServiceDialect
--- a/oakvale/lab/commands.py
+++ b/oakvale/lab/commands.py
@@ -59,7 +59,7 @@
 
 def experiment(args: argparse.Namespace) -> int:
     """Play variants x days x seeds over the cores; say of each variant: better, worse or noise."""
-    from oakvale.intake.table import BadFile
+    from oakvale.config.toml_table import BadFile
     from oakvale.lab import days
     from oakvale.lab.experiments import findings, page, player, report, runs, spec
 
@@ -199,7 +199,7 @@
 
 
 def _variant(path: str | None) -> Spec:
-    from oakvale.intake.table import BadFile
+    from oakvale.config.toml_table import BadFile
     from oakvale.lab import files
     from oakvale.lab.experiments import player, variants
 
--- a/oakvale/lab/days.py
+++ b/oakvale/lab/days.py
@@ -12,7 +12,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from oakvale.intake.times import micros
+from oakvale.config.durations import micros
 
 Kind = Literal[
     "hot_tenant",
--- a/oakvale/lab/experiments/outcome.py
+++ b/oakvale/lab/experiments/outcome.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from oakvale.intake import model
+from oakvale.config import model
 from oakvale.lab.days import Day
 from oakvale.lab.judge.words import Verdict
 from oakvale.lab.record import Record
--- a/oakvale/lab/experiments/spec.py
+++ b/oakvale/lab/experiments/spec.py
@@ -7,7 +7,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
-from oakvale.intake.table import BadFile
+from oakvale.config.toml_table import BadFile
 from oakvale.lab import days, files
 from oakvale.lab.days import Day
 from oakvale.lab.experiments import variants
--- a/oakvale/lab/experiments/variants.py
+++ b/oakvale/lab/experiments/variants.py
@@ -1,8 +1,9 @@
 """Variants of the code: module constants and functions that are exchanged for a run.
 
-`set` gives a name a value (`"oakvale.gauge.service.DUTIES" = 8`), `swap` puts another object there by its dotted name,
-which is how a fix is taken out: a function of the laboratory stands for the one that has it. What follows from a change
-changes with it, as if the source had been edited: without that it would reach only some of those who read the name.
+`set` gives a name a value (`"oakvale.ratelimit.service.DUTIES" = 8`), `swap` puts another object there by its dotted
+name, which is how a fix is taken out: a function of the laboratory stands for the one that has it. What follows from a
+change changes with it, as if the source had been edited: without that it would reach only
+some of those who read the name.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-ROLES = ("oakvale.headworks.process", "oakvale.sluice.process", "oakvale.intake.model")
+ROLES = ("oakvale.controlplane.process", "oakvale.dataplane.process", "oakvale.config.model")
 
 
 class Spec(BaseModel):
--- a/oakvale/lab/files.py
+++ b/oakvale/lab/files.py
@@ -7,7 +7,7 @@
 
 from pydantic import BaseModel, ValidationError
 
-from oakvale.intake.table import BadFile, read
+from oakvale.config.toml_table import BadFile, read
 from oakvale.lab import days
 
 M = TypeVar("M", bound=BaseModel)
--- a/oakvale/lab/modelcheck/breakages.py
+++ b/oakvale/lab/modelcheck/breakages.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from oakvale.headworks import copying, pieces
-from oakvale.headworks.copying import Copying, Start
-from oakvale.headworks.leases import Leases
-from oakvale.headworks.ledger import Ledger, Then
-from oakvale.headworks.succession import (
+from oakvale.controlplane import chunks, replication
+from oakvale.controlplane.leases import Leases
+from oakvale.controlplane.replicated_state import Ledger, Then
+from oakvale.controlplane.replication import Copying, Start
+from oakvale.controlplane.view_change import (
     Ballot,
     Moved,
     Out,
@@ -23,10 +23,10 @@
     seat,
     unpack,
 )
+from oakvale.dissemination.table import Entry
+from oakvale.dissemination.table import unpack as unpack_entries
 from oakvale.lab.modelcheck.machine import Machine
 from oakvale.lab.modelcheck.model import Bounds
-from oakvale.penstock.table import Entry
-from oakvale.penstock.table import unpack as unpack_entries
 
 Patch = tuple[Any, str, Callable[..., Any]]  # of what, which name, by what
 
@@ -67,10 +67,10 @@
 def _append_before_sync(self: Copying, body: Any, ticket: Any) -> None:
     view, sender, entries = unpack(body[0]), seat(body[1]), unpack_entries(body[4])
     if not self._in_order(view, sender, body[2]) or self.succession.state.complete != view.number:
-        return self._out.append(copying.Reply(ticket, False))
+        return self._out.append(replication.Reply(ticket, False))
     self.ledger.take(entries)
-    self._write(("rows", copying._rows(entries)), ("gone",))
-    self._out.append(copying.Reply(ticket, True))
+    self._write(("rows", replication._rows(entries)), ("gone",))
+    self._out.append(replication.Reply(ticket, True))
 
 
 def _founder_again(
@@ -79,7 +79,7 @@
     state: bytes | None,
     first: View | None,
     fresh: Callable[[], str],
-    real: Callable[..., Start] = copying.start,
+    real: Callable[..., Start] = replication.start,
 ) -> Start:
     addresses = [f"{name}:1" for name in "abc"]
     return real(address, stored, state, founding(addresses, 2), fresh)
@@ -132,8 +132,8 @@
 
 
 def _refusal_counts(
-    self: Copying, number: int, answer: Any, real: Callable[..., list[copying.Do]] = Copying.answered
-) -> list[copying.Do]:
+    self: Copying, number: int, answer: Any, real: Callable[..., list[replication.Do]] = Copying.answered
+) -> list[replication.Do]:
     return real(self, number, True if answer is False else answer)
 
 
@@ -144,12 +144,12 @@
         self._out.append(Say(sender, "voided", [view.number]))
 
 
-def _some_will_do(manifest: Any, held: Any, real: Callable[..., list[bytes]] = pieces.lacking) -> list[bytes]:
+def _some_will_do(manifest: Any, held: Any, real: Callable[..., list[bytes]] = chunks.lacking) -> list[bytes]:
     lacks = real(manifest, held)
-    return lacks if len(lacks) == len(pieces.names(manifest)) else []
+    return lacks if len(lacks) == len(chunks.names(manifest)) else []
 
 
-def _joined(manifest: Any, held: Any, real: Callable[..., list[Entry]] = pieces.join) -> list[Entry]:
+def _joined(manifest: Any, held: Any, real: Callable[..., list[Entry]] = chunks.join) -> list[Entry]:
     """Of what is there."""
     ranges, large, small = manifest
     there = [[row for row in large if row[3] in held], [joined for joined in small if joined in held]]
@@ -163,8 +163,8 @@
 
 
 def _staged_counts(
-    self: Copying, number: int, real: Callable[..., list[copying.Do]] = Copying.written
-) -> list[copying.Do]:
+    self: Copying, number: int, real: Callable[..., list[replication.Do]] = Copying.written
+) -> list[replication.Do]:
     """A piece on its disk, and it calls itself complete."""
     staged, view = self._writes[number][0] == "piece", self.view()
     out = real(self, number)
@@ -175,7 +175,7 @@
     """A primary serves with what its disk holds, before its backups have answered in this life."""
     if not self.active and self.view() == view:
         self.active = True
-        self._out.append(copying.Turned(True))
+        self._out.append(replication.Turned(True))
 
 
 def _releases_early(self: Copying, now: int, peer: Seat, view: View) -> bool:
@@ -243,7 +243,7 @@
     Breakage(
         "founder-again",
         "a disk that was wiped comes back as the seat that it was",
-        ((copying, "start", _founder_again),),
+        ((replication, "start", _founder_again),),
         replace(QUIET, writes=1, wipes=1),
     ),
     Breakage(
@@ -306,7 +306,7 @@
     Breakage(
         "half-snapshot",
         "a backup takes a state of which only some pieces are there",
-        ((pieces, "lacking", _some_will_do), (pieces, "join", _joined)),
+        ((chunks, "lacking", _some_will_do), (chunks, "join", _joined)),
         replace(QUIET, wakes=1, retries=2),
         "laden",
     ),
--- a/oakvale/lab/modelcheck/machine.py
+++ b/oakvale/lab/modelcheck/machine.py
@@ -13,12 +13,12 @@
 
 import cbor2
 
-from oakvale.headworks import copying
-from oakvale.headworks.copying import Again, Ask, Copying, Replaced, Reply, Tell, Told, Turned, Write
-from oakvale.headworks.domains import Domains
-from oakvale.headworks.leases import Leases
-from oakvale.headworks.succession import Seat, founding, seat, unpack
-from oakvale.penstock.table import Version
+from oakvale.controlplane import replication
+from oakvale.controlplane.failure_domains import Domains
+from oakvale.controlplane.leases import Leases
+from oakvale.controlplane.replication import Again, Ask, Copying, Replaced, Reply, Tell, Told, Turned, Write
+from oakvale.controlplane.view_change import Seat, founding, seat, unpack
+from oakvale.dissemination.table import Version
 
 NAMES = "abcdefg"
 SILENCE = 900_000
@@ -83,7 +83,7 @@
         first = founding(self.addresses, self.copies) if self.founds else None
         if "self" not in self.facts and not first:
             self.drawn += 1
-        began = copying.start(
+        began = replication.start(
             self.address, self.facts.get("self"), self.facts.get("state"), first, lambda: str(self.drawn)
         )
         self.part = Copying(
@@ -228,7 +228,7 @@
 
     # ---- what comes out
 
-    def _do(self, items: list[copying.Do]) -> None:
+    def _do(self, items: list[replication.Do]) -> None:
         for item in items:
             match item:
                 case Write(number, what):
@@ -356,7 +356,7 @@
         # on disk: the number of the view, of the newest that it is complete in, and of the newest that it refuses
         self.durable = self.complete = self.void = 0
         if stored:
-            state = copying.start(machine.address, stored, machine.facts.get("state"), None, str).durable
+            state = replication.start(machine.address, stored, machine.facts.get("state"), None, str).durable
             self.durable, self.complete = state.view.number if state.view else 0, state.complete
             self.void = state.void
         self.kept: dict[int, Version] = {}  # writes on disk
--- a/oakvale/lab/modelcheck/model.py
+++ b/oakvale/lab/modelcheck/model.py
@@ -19,10 +19,10 @@
 from itertools import product
 from typing import Any, NamedTuple
 
-from oakvale.headworks import pieces
-from oakvale.headworks.succession import Seat
+from oakvale.controlplane import chunks
+from oakvale.controlplane.view_change import Seat
+from oakvale.dissemination.table import Version
 from oakvale.lab.modelcheck.machine import NAMES, SILENCE, Event, Facts, Machine, Sent
-from oakvale.penstock.table import Version
 
 COPIES = 2  # tolerance 1
 COUNCIL = frozenset(("prepare", "promise", "accept", "accepted", "void", "voided", "refused"))
@@ -104,13 +104,13 @@
 
 @contextmanager
 def _sized(small: bool) -> Iterator[None]:
-    real = pieces.PIECE, pieces.INLINE
+    real = chunks.PIECE, chunks.INLINE
     if small:
-        pieces.PIECE, pieces.INLINE = SMALL
+        chunks.PIECE, chunks.INLINE = SMALL
     try:
         yield
     finally:
-        pieces.PIECE, pieces.INLINE = real
+        chunks.PIECE, chunks.INLINE = real
 
 
 class Model:
--- a/oakvale/lab/models/launch.py
+++ b/oakvale/lab/models/launch.py
@@ -10,7 +10,7 @@
 
 from oakvale.base.address import Address
 from oakvale.base.loop import Loop
-from oakvale.intake.times import micros
+from oakvale.config.durations import micros
 from oakvale.lab.days import Day, Route, Service, Trouble
 from oakvale.lab.models.backend import Backend, Ways
 from oakvale.lab.models.crowd import Crowd, Flow, GiveUp, Swell
--- a/oakvale/lab/play.py
+++ b/oakvale/lab/play.py
@@ -13,7 +13,7 @@
 
 from oakvale.base.address import Address
 from oakvale.base.loop import Loop
-from oakvale.intake.times import micros
+from oakvale.config.durations import micros
 from oakvale.lab.days import Day, Trouble
 from oakvale.lab.models.launch import launch
 from oakvale.lab.models.platform import Edge
--- a/oakvale/lab/simulation/disks.py
+++ b/oakvale/lab/simulation/disks.py
@@ -12,9 +12,9 @@
 from random import Random
 from typing import Any
 
-from oakvale.cistern.store import MOST, RETRY, Piece, Row, Write
 from oakvale.lab.simulation.events import Events
 from oakvale.lab.simulation.machines import Process
+from oakvale.storage.store import MOST, RETRY, Piece, Row, Write
 
 MS = 1_000
 
--- a/oakvale/lab/simulation/troubles.py
+++ b/oakvale/lab/simulation/troubles.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from oakvale.base.address import Address
-from oakvale.headworks import process as headworks
+from oakvale.controlplane import process as headworks
 from oakvale.lab.days import Day, Trouble
 from oakvale.lab.record import Event
 from oakvale.lab.simulation.wires import Machine
--- a/oakvale/lab/simulation/works.py
+++ b/oakvale/lab/simulation/works.py
@@ -15,18 +15,18 @@
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
 from oakvale.base.net import Sock
-from oakvale.headworks import process as headworks
-from oakvale.intake.bounds import FILES, bounds
-from oakvale.intake.settings import Settings, decode
-from oakvale.intake.times import micros
+from oakvale.config.bounds import FILES, bounds
+from oakvale.config.durations import micros
+from oakvale.config.settings import Settings, decode
+from oakvale.controlplane import process as headworks
+from oakvale.dataplane import process as sluice
 from oakvale.lab.record import Event
 from oakvale.lab.simulation.disks import Disk, SimulatedCistern
 from oakvale.lab.simulation.events import Events
 from oakvale.lab.simulation.machines import FREE, Costs, Process
 from oakvale.lab.simulation.sockets import Stream
 from oakvale.lab.simulation.wires import Machine, Wires
-from oakvale.lifecycle.daybook import BOOK
-from oakvale.sluice import process as sluice
+from oakvale.lifecycle.eventlog import BOOK
 
 MS, SECOND = 1_000, 1_000_000
 HTTP, READYZ, CTL, PORTS = 8782, 8789, 8783, (7340, 7355)
--- a/oakvale/lab/undone.py
+++ b/oakvale/lab/undone.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from oakvale.base.address import parse_address
-from oakvale.headworks.ledger import Ledger
-from oakvale.headworks.resources import UNSURE, Checked, Config, Give, Reply
-from oakvale.headworks.succession import LASTS, Campaign, Say, Seat, Succession, View, _packed
-from oakvale.penstock.feed import Feed, note
+from oakvale.controlplane.replicated_state import Ledger
+from oakvale.controlplane.resources import UNSURE, Checked, Config, Give, Reply
+from oakvale.controlplane.view_change import LASTS, Campaign, Say, Seat, Succession, View, _packed
+from oakvale.dissemination.feed import Feed, note
 from oakvale.policy.limits import Limits
 
 
--- a/oakvale/gauge/dispatch.py
+++ b/oakvale/loadbalancing/board_service.py
@@ -7,12 +7,12 @@
 from typing import Any, NamedTuple
 
 from oakvale.base.loop import Loop
-from oakvale.gauge.board import Board, Offer
-from oakvale.gauge.service import Gauge, duty_of
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.links import Answer, Conn, Mains
-from oakvale.spillway.chains import Chains
-from oakvale.spillway.crest import Ask, Crest, Wait
+from oakvale.failover.chains import Chains
+from oakvale.failover.spill import Ask, Crest, Wait
+from oakvale.lifecycle.eventlog import Writer
+from oakvale.loadbalancing.load_board import Board, Offer
+from oakvale.ratelimit.service import Gauge, duty_of
+from oakvale.transport.links import Answer, Conn, Mains
 
 PICK = 40_000  # microseconds for an answer: beyond, the gateway chooses by itself
 DOUBT = 300_000  # after one that did not come
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Turned:
-    """No place has room for it (oakvale/spillway): it is refused, and may come back."""
+    """No place has room for it (oakvale/failover): it is refused, and may come back."""
 
     wait: int  # microseconds
 
--- a/oakvale/gauge/board.py
+++ b/oakvale/loadbalancing/load_board.py
@@ -15,8 +15,8 @@
 from math import exp, sqrt
 from operator import itemgetter
 
-from oakvale.gauge.idling import Idling
-from oakvale.penstock.tree import place
+from oakvale.dissemination.tree import place
+from oakvale.loadbalancing.idle_timeout import Idling
 
 LEARN = 0.15  # weight of the newest sample in moving averages
 FADE = 30_000_000  # microseconds after which a third is left of what failures cost: it is tried again
@@ -126,7 +126,7 @@
         spot.open[self._ticket] = until
         return offer.id, self._ticket
 
-    # ---- what a crest asks (oakvale/spillway)
+    # ---- what a crest asks (oakvale/failover)
 
     def usual(self) -> int:
         """Microseconds that an answer takes, of the slowest route."""
--- a/oakvale/policy/attempts.py
+++ b/oakvale/policy/attempts.py
@@ -1,10 +1,10 @@
 """Attempts and budgets: what is sent where, when it is called off, and whether another follows."""
 
-from oakvale.budget import Budget
 from oakvale.interface import NEVER_RAN, Attempt, Cancel, Effect, Ended, Ending, Head, Wake
 from oakvale.policy.choice import Choice
 from oakvale.policy.lending import Lending
 from oakvale.policy.records import EASE, SECOND, Desk, Held
+from oakvale.retry_budget import Budget
 
 
 class Attempts:
--- a/oakvale/policy/gateway.py
+++ b/oakvale/policy/gateway.py
@@ -4,9 +4,9 @@
 from typing import Any
 
 from oakvale import interface as i
-from oakvale.budget import Budget, OwnBudget
 from oakvale.policy import admission, attempts, choice, health, lending, limits, quota, upkeep
 from oakvale.policy.records import BATCH, Desk
+from oakvale.retry_budget import Budget, OwnBudget
 
 
 class Gateway:
--- a/oakvale/policy/records.py
+++ b/oakvale/policy/records.py
@@ -2,8 +2,8 @@
 
 import random
 
-from oakvale.budget import Spent
 from oakvale.interface import Action, Ending, Entry, Plan, Request, RequestClass, Settings
+from oakvale.retry_budget import Spent
 
 BATCH = 250_000  # DESIGN: the global counts go four times a second
 SECOND = 1_000_000
--- a/oakvale/gauge/handover.py
+++ b/oakvale/ratelimit/handover.py
@@ -16,10 +16,10 @@
 
 from oakvale.base.address import Address, parse_address
 from oakvale.base.loop import Loop
-from oakvale.gauge.state import CounterState
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.links import Answer, Conn, Mains
-from oakvale.penstock.tree import Member
+from oakvale.dissemination.tree import Member
+from oakvale.lifecycle.eventlog import Writer
+from oakvale.ratelimit.counter_state import CounterState
+from oakvale.transport.links import Answer, Conn, Mains
 
 CONSENT_TIMEOUT_US = 150_000  # for one gateway to say whether it takes a duty
 ASK_AGAIN_US = 200_000  # where nobody takes a duty, since all are told to end
--- a/oakvale/gauge/presence.py
+++ b/oakvale/ratelimit/presence.py
@@ -12,8 +12,8 @@
 
 from oakvale.base.address import Address, parse_address
 from oakvale.base.loop import Loop
-from oakvale.mains.links import Mains
-from oakvale.penstock.tree import Member, Members
+from oakvale.dissemination.tree import Member, Members
+from oakvale.transport.links import Mains
 
 PRESENT = 900_000  # a counter reckons with who has heard from it this lately, as far as it knows
 ABSENT = PRESENT + 100_000  # after so long without hearing from it, a gateway knows that none reckons with it
--- a/oakvale/gauge/floors.py
+++ b/oakvale/ratelimit/quotas.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from oakvale.gauge.state import CounterState
+from oakvale.ratelimit.counter_state import CounterState
 
 SECOND = 1_000_000
 OVER = 0.15  # of the slack, for the level over the burst
--- a/oakvale/gauge/service.py
+++ b/oakvale/ratelimit/service.py
@@ -10,16 +10,16 @@
 
 from oakvale.base.address import Address, parse_address, spelled
 from oakvale.base.loop import Loop
-from oakvale.gauge.ballots import MARGIN, QUIET, SPAN, Ask, Candidate, Word
-from oakvale.gauge.floors import SECOND, Alone, Floors, Quota, Read, Terms
-from oakvale.gauge.gathering import Gathering
-from oakvale.gauge.handover import STATE_KEPT_US, Handover
-from oakvale.gauge.presence import ABSENT, KEPT, Presence
-from oakvale.gauge.returns import Returns
-from oakvale.gauge.state import CounterState, Receipt
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.links import Answer, Conn, Mains
-from oakvale.penstock.tree import Member, Members, next_on_ring, place
+from oakvale.dissemination.tree import Member, Members, next_on_ring, place
+from oakvale.election.voting import MARGIN, QUIET, SPAN, Ask, Candidate, Word
+from oakvale.lifecycle.eventlog import Writer
+from oakvale.ratelimit.counter_state import CounterState, Receipt
+from oakvale.ratelimit.handover import STATE_KEPT_US, Handover
+from oakvale.ratelimit.presence import ABSENT, KEPT, Presence
+from oakvale.ratelimit.quotas import SECOND, Alone, Floors, Quota, Read, Terms
+from oakvale.ratelimit.refunds import Returns
+from oakvale.ratelimit.usage_collection import Gathering
+from oakvale.transport.links import Answer, Conn, Mains
 
 DUTIES = 4  # parts that the tenants are counted in
 STAND = 4  # gateways that stand for a duty
--- a/oakvale/gauge/gathering.py
+++ b/oakvale/ratelimit/usage_collection.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from oakvale.gauge.floors import Floors
+from oakvale.ratelimit.quotas import Floors
 
 
 class Gathering:
--- a/oakvale/shared.py
+++ b/oakvale/shared.py
@@ -8,9 +8,9 @@
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
 from oakvale.memory.buffers import BufferPool, Room
-from oakvale.memory.idle import Clients, IdleConnections
+from oakvale.memory.counters import Tally
+from oakvale.memory.idle_connections import Clients, IdleConnections
 from oakvale.memory.requests import Answer, InHand, RequestsInHand
-from oakvale.memory.tally import Tally
 from oakvale.wire.clients import response
 
 
--- a/oakvale/cistern/store.py
+++ b/oakvale/storage/store.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from oakvale.base.loop import READ, Coroutine, Loop, Rank
-from oakvale.lifecycle.daybook import Writer
+from oakvale.lifecycle.eventlog import Writer
 
 Row = tuple[str, bytes]
 Piece = tuple[bytes, bytes]  # its name, and what it holds
--- a/oakvale/mains/links.py
+++ b/oakvale/transport/links.py
@@ -19,8 +19,8 @@
 from oakvale.base.address import Address
 from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Loop, Rank, Timer, call_off
 from oakvale.base.net import Sock
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.frames import BadFrame, Frame, decode, encode
+from oakvale.lifecycle.eventlog import Writer
+from oakvale.transport.frames import BadFrame, Frame, decode, encode
 
 TCP_USER_TIMEOUT = 18  # Linux; milliseconds that sent bytes may stay unacknowledged
 SILENT_MS = 1_500  # behind a cut nothing is ever refused: such a connection is given up after this
--- a/oakvale/mains/standing.py
+++ b/oakvale/transport/status_service.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from oakvale.base.address import Address
-from oakvale.lifecycle.daybook import Writer
-from oakvale.mains.frames import BadFrame, decode, encode
-from oakvale.mains.links import Mains
+from oakvale.lifecycle.eventlog import Writer
+from oakvale.transport.frames import BadFrame, decode, encode
+from oakvale.transport.links import Mains
 
 EACH = 30_000_000  # microseconds between two notes
 KIND = "status"
--- a/oakvale/wire/backends.py
+++ b/oakvale/wire/backends.py
@@ -10,7 +10,7 @@
 from oakvale.base.loop import READ, WOKEN, Coroutine, Rank, Step
 from oakvale.interface import Ending
 from oakvale.memory.buffers import Room, Share
-from oakvale.memory.idle import IdleConnections
+from oakvale.memory.idle_connections import IdleConnections
 from oakvale.memory.requests import Answer, AttemptOut, Headers
 from oakvale.numbers import decimal
 from oakvale.wire.http import END, end_to_end, more
--- a/oakvale/wire/clients.py
+++ b/oakvale/wire/clients.py
@@ -16,9 +16,9 @@
 from oakvale.base.loop import BROKEN, READ, TIMED_OUT, WOKEN, Coroutine, Rank, Step
 from oakvale.base.net import Sock
 from oakvale.memory.buffers import Room, Share
-from oakvale.memory.idle import Clients
+from oakvale.memory.counters import Tally
+from oakvale.memory.idle_connections import Clients
 from oakvale.memory.requests import Answer, Headers, InHand
-from oakvale.memory.tally import Tally
 from oakvale.numbers import decimal, whole
 from oakvale.settings import Names
 from oakvale.wire.http import END, more
--- a/oakvale/wire/discovery.py
+++ b/oakvale/wire/discovery.py
@@ -11,7 +11,7 @@
 from oakvale.base.address import Address, spelled
 from oakvale.base.loop import Coroutine, Rank, Step, Task
 from oakvale.base.net import Sock
-from oakvale.memory.names import BackendNames
+from oakvale.memory.backend_names import BackendNames
 from oakvale.numbers import whole as whole_number
 from oakvale.wire.http import END, more
 from oakvale.wire.owner import Process
--- a/tests/world.py
+++ b/tests/control_plane_simulation.py
@@ -13,20 +13,20 @@
 
 import cbor2
 
-from oakvale.headworks.core import Core
-from oakvale.headworks.pruning import Pruning
-from oakvale.headworks.succession import View, unpack_durable
-from oakvale.intake.settings import Bounds, Settings
+from oakvale.config.settings import Bounds, Settings
+from oakvale.controlplane.compaction import Pruning
+from oakvale.controlplane.core import Core
+from oakvale.controlplane.view_change import View, unpack_durable
+from oakvale.dissemination.table import NOTHING, Table, Version, unpack
 from oakvale.lab.simulation.disks import Held
-from oakvale.penstock.table import NOTHING, Table, Version, unpack
-from tests import simulated
-from tests.simulated import MS, SECOND, Loop, Time
+from tests import simulated_processes
+from tests.simulated_processes import MS, SECOND, Loop, Time
 
 PORT = 7340
 KEYS = 4
 
 
-class Life(simulated.Life):
+class Life(simulated_processes.Life):
     machine: Machine
 
     def __init__(self, machine: Machine) -> None:
@@ -133,7 +133,7 @@
         self._start()
 
 
-class Machine(simulated.Machine):
+class Machine(simulated_processes.Machine):
     def __init__(self, world: World, name: str, zone: str) -> None:
         super().__init__()
         self.world, self.address = world, (name, PORT)
--- a/tests/paired.py
+++ b/tests/cpu_comparison.py
@@ -1,6 +1,6 @@
 """Processor time of a request through `oakvale serve`, one tree against another in pairs: no test, but a measurement.
 
-    python -m tests.paired OLD NEW [--requests N] [--pairs N]
+    python -m tests.cpu_comparison OLD NEW [--requests N] [--pairs N]
 
 Each run starts the program from its tree beside stand-ins of a backend, a counter and discovery, sends requests one
 after another over a few kept connections, and reads what the process has used of user and system time meanwhile. Runs
--- a/tests/data_plane.py
+++ b/tests/data_plane.py
@@ -9,12 +9,12 @@
 
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
-from oakvale.budget import Retries
-from oakvale.gauge.state import Receipt
+from oakvale.dataplane.request_router import Plant
+from oakvale.dataplane.routes import Backend, Picture, configured
 from oakvale.lifecycle.acceptor import Acceptor, listening
+from oakvale.ratelimit.counter_state import Receipt
+from oakvale.retry_budget import Retries
 from oakvale.shared import Shared
-from oakvale.sluice.plant import Plant
-from oakvale.sluice.routes import Backend, Picture, configured
 from tests.node import MS, FakeClock, Node, Party, StandIn, answer
 
 KEY = "ctnfzs989anu6wsjnban"
--- a/tests/crossing.py
+++ b/tests/data_plane_model.py
@@ -16,14 +16,14 @@
 from typing import Any, cast
 
 from oakvale.base.loop import Loop
-from oakvale.budget import Retries
-from oakvale.intake.bounds import bounds
+from oakvale.config.bounds import bounds
+from oakvale.dataplane.request_router import Plant
+from oakvale.dataplane.routes import Backend, Picture, configured
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.shutdown import Shutdown
+from oakvale.retry_budget import Retries
 from oakvale.shared import Shared
-from oakvale.sluice.plant import Plant
-from oakvale.sluice.routes import Backend, Picture, configured
-from tests.lines import PLENTY, Line, Lines
+from tests.memory_connections import PLENTY, Line, Lines
 
 MS, SECOND = 1_000, 1_000_000
 START = 1_800_000_000 * SECOND
--- a/tests/waterway.py
+++ b/tests/drain_simulation.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oakvale.towpath.course import Course
-from oakvale.towpath.hours import MINUTES, SECOND, Contract, Span
-from oakvale.towpath.moves import Moves, kept
-from oakvale.towpath.planning import GATEWAY_LEAD, LIVE, PUBLIC, Facts, Hours, Plan, plan, targets
+from oakvale.drains.execution import Course
+from oakvale.drains.hours import MINUTES, SECOND, Contract, Span
+from oakvale.drains.moves import Moves, kept
+from oakvale.drains.planning import GATEWAY_LEAD, LIVE, PUBLIC, Facts, Hours, Plan, plan, targets
 
 TICK = 4 * SECOND
 PACE = 5 * SECOND
--- a/tests/basin.py
+++ b/tests/failover_simulation.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from oakvale.spillway.chains import Chains, Load, plan
-from oakvale.spillway.crest import Ask, Crest, Wait
-from oakvale.spillway.fall import Flow
-from oakvale.spillway.places import hierarchy
+from oakvale.failover.chains import Chains, Load, plan
+from oakvale.failover.evacuation import Flow
+from oakvale.failover.places import hierarchy
+from oakvale.failover.spill import Ask, Crest, Wait
 
 MS, SECOND = 1_000, 1_000_000
 WORK = 200 * MS
--- a/tests/questions.py
+++ b/tests/link_model.py
@@ -7,9 +7,9 @@
 
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
-from oakvale.mains.frames import decode, encode
-from oakvale.mains.links import Conn, Mains
-from tests.lines import PLENTY, Line, Lines
+from oakvale.transport.frames import decode, encode
+from oakvale.transport.links import Conn, Mains
+from tests.memory_connections import PLENTY, Line, Lines
 
 MS, SECOND = 1_000, 1_000_000
 PEERS = [("10.0.0.2", 7), ("10.0.0.3", 7)]
--- a/tests/fleet.py
+++ b/tests/ratelimit_simulation.py
@@ -16,20 +16,20 @@
 import cbor2
 
 from oakvale.base.address import Address, spelled
-from oakvale.gauge.floors import Quota, Terms
-from oakvale.gauge.service import DUTIES, Gauge
-from oakvale.headworks.jury import Jury
-from oakvale.mains.links import CONNECT
-from oakvale.penstock.tree import Member, Members
-from tests import simulated
-from tests.simulated import MS, SECOND, Loop, Time
+from oakvale.controlplane.voter import Jury
+from oakvale.dissemination.tree import Member, Members
+from oakvale.ratelimit.quotas import Quota, Terms
+from oakvale.ratelimit.service import DUTIES, Gauge
+from oakvale.transport.links import CONNECT
+from tests import simulated_processes
+from tests.simulated_processes import MS, SECOND, Loop, Time
 
 TERMS = Terms(5 * SECOND, 0.1, 20)
 CALM = 3 * SECOND  # after the last trouble
 OFF_LIST = 2_500 * MS  # a silent gateway is taken from the list after this
 
 
-class Life(simulated.Life):
+class Life(simulated_processes.Life):
     machine: Machine
 
     def __init__(self, machine: Machine, number: int) -> None:
@@ -126,7 +126,7 @@
         then()
 
 
-class Machine(simulated.Machine):
+class Machine(simulated_processes.Machine):
     def __init__(self, fleet: Fleet, name: str, juror: bool) -> None:
         super().__init__()
         self.fleet, self.name, self.juror = fleet, name, juror
--- a/tests/simulated.py
+++ b/tests/simulated_processes.py
@@ -1,5 +1,5 @@
-"""Simulated time and machines, on which processes live, stand still and end; what tests/fleet.py and tests/world.py
-share. What a link does to a message is theirs.
+"""Simulated time and machines, on which processes live, stand still and end; shared by
+tests/ratelimit_simulation.py and tests/control_plane_simulation.py. What a link does to a message is theirs.
 """
 
 from __future__ import annotations
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -7,8 +7,8 @@
 import pytest
 
 from oakvale.base.net import Sock
-from tests.crossing import World
 from tests.data_plane import KEY, Gate, sealed
+from tests.data_plane_model import World
 from tests.node import MS, StandIn
 
 LARGE = b"x" * 60_000  # more than small kernel buffers take for a backend that does not read
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,5 +1,5 @@
 """Answers to the right caller, nothing unrepeatable twice: drawn schedules of clients, backends and one gateway between
-them (tests/crossing.py), and each mechanism taken out in turn, which the same draw must find."""
+them (tests/data_plane_model.py), and each mechanism taken out in turn, which the same draw must find."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 from oakvale import interface as i
 from oakvale.base.limits import Limits
-from oakvale.intake.bounds import bounds
+from oakvale.config.bounds import bounds
+from oakvale.dataplane import backend_protocol
+from oakvale.dataplane.backend_protocol import SystemDialect
 from oakvale.memory.requests import Answer
 from oakvale.policy.attempts import Attempts
-from oakvale.sluice import dialect
-from oakvale.sluice.dialect import SystemDialect
 from oakvale.wire import backends
 from oakvale.wire.backends import BackendConnection
 from oakvale.wire.clients import ClientConnection
 from oakvale.wire.tcp import Gone
 from tests import schedules
-from tests.crossing import MS, SECOND, SETTINGS, Caller, Ear, World, play
-from tests.lines import PLENTY
+from tests.data_plane_model import MS, SECOND, SETTINGS, Caller, Ear, World, play
+from tests.memory_connections import PLENTY
 from tests.node import Node, request
 
 EXAMPLES = 2_000  # `python -m tests.test_answers N` plays N others
@@ -85,7 +85,7 @@
     "part of a request is none": (SystemDialect, "part_may_run", False),
     "what ended without an answer never ran": (BackendConnection, "_may_have_run", lambda *_: False),
     "a 503 that does not say so never ran": (SystemDialect, "ending", ending(503)),
-    "a 429 that does not say so is passed on as a promise": (dialect, "PROMISES", ()),
+    "a 429 that does not say so is passed on as a promise": (backend_protocol, "PROMISES", ()),
     "a success needs no stamp": (SystemDialect, "ending", ending(stamped=False)),
     "an encoded body is the backend's": (SystemDialect, "check", lambda *_: None),
     "an answer needs no length": (backends, "framing", loose),
@@ -95,7 +95,7 @@
     "a silent backend is given up": (SystemDialect, "waits", lambda *_: False),
     "requests behind one in hand are forgotten": (h11.Connection, "start_next_cycle", forgets),
     "a client that ended its sending has gone": (ClientConnection, "_probe", gone),
-    "keys are passed on": (dialect, "OURS", dialect.OURS - {b"authorization"}),
+    "keys are passed on": (backend_protocol, "OURS", backend_protocol.OURS - {b"authorization"}),
 }
 
 
--- a/tests/test_dialect.py
+++ b/tests/test_backend_protocol.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from oakvale.dataplane.backend_protocol import SystemDialect
 from oakvale.interface import Ending
 from oakvale.memory.requests import Answer
-from oakvale.sluice.dialect import SystemDialect
 
 SEAL = (b"seal", b"x")
 
--- a/tests/test_pieces.py
+++ b/tests/test_chunks.py
@@ -12,14 +12,14 @@
 
 import pytest
 
-from oakvale.headworks import pieces
-from oakvale.headworks.core import SILENCE, Core
-from oakvale.headworks.pieces import PIECE, cut, join, names
+from oakvale.controlplane import chunks
+from oakvale.controlplane.chunks import PIECE, cut, join, names
+from oakvale.controlplane.core import SILENCE, Core
+from oakvale.dissemination.table import NOTHING, Entry
 from oakvale.lab.simulation.works import Layout, Station, Works
-from oakvale.penstock.table import NOTHING, Entry
-from tests.simulated import MS, SECOND
-from tests.test_succession import SHAPES
-from tests.world import Machine, World
+from tests.control_plane_simulation import Machine, World
+from tests.simulated_processes import MS, SECOND
+from tests.test_view_change import SHAPES
 
 
 def configuration(gen: int, tenants: int = 16) -> bytes:
@@ -56,7 +56,7 @@
     made = cut(entries)
     assert sorted(join(made.manifest(), made.pieces)) == sorted(entries)
     assert set(names(made.manifest())) == set(made.pieces)
-    assert all(len(piece) <= (PIECE if made.ranges else pieces.INLINE) for piece in made.pieces.values())
+    assert all(len(piece) <= (PIECE if made.ranges else chunks.INLINE) for piece in made.pieces.values())
     gone = rng.choice(list(made.pieces))
     with pytest.raises(KeyError):
         join(made.manifest(), {name: piece for name, piece in made.pieces.items() if name != gone})
@@ -79,15 +79,15 @@
 
 @pytest.fixture
 def small(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    monkeypatch.setattr(pieces, "PIECE", 64)
-    monkeypatch.setattr(pieces, "INLINE", 128)
+    monkeypatch.setattr(chunks, "PIECE", 64)
+    monkeypatch.setattr(chunks, "INLINE", 128)
     yield
 
 
 @pytest.mark.parametrize("seed", range(300, 312))
 def test_a_day_of_faults_with_every_state_in_pieces(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pieces, "PIECE", 3)
-    monkeypatch.setattr(pieces, "INLINE", seed % 2 * 12)
+    monkeypatch.setattr(chunks, "PIECE", 3)
+    monkeypatch.setattr(chunks, "INLINE", seed % 2 * 12)
     World(seed, *SHAPES[seed % len(SHAPES)]).day(5)
 
 
--- a/tests/test_intake.py
+++ b/tests/test_config.py
@@ -8,10 +8,10 @@
 import orjson
 import pytest
 
-from oakvale.intake import model, settings
-from oakvale.intake.table import BadFile
-from oakvale.intake.times import micros
-from oakvale.intake.watch import SettingsWatch
+from oakvale.config import model, settings
+from oakvale.config.durations import micros
+from oakvale.config.settings_watch import SettingsWatch
+from oakvale.config.toml_table import BadFile
 
 FILE = """
 later = 1
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -12,15 +12,15 @@
 
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
-from oakvale.headworks.ctl import Ctl
-from oakvale.headworks.resources import Reply
-from oakvale.intake.bounds import bounds
+from oakvale.config.bounds import bounds
+from oakvale.controlplane.control_server import Ctl
+from oakvale.controlplane.resources import Reply
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.memory.requests import Answer
 from oakvale.shared import Owner, Shared
 from tests import schedules
-from tests.crossing import MS, SECOND, SETTINGS, START
-from tests.lines import PLENTY, Line, Lines
+from tests.data_plane_model import MS, SECOND, SETTINGS, START
+from tests.memory_connections import PLENTY, Line, Lines
 
 ADDRESS = ("10.0.0.1", 8783)
 MOST = 8  # orders at once
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -10,7 +10,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from oakvale.demo.caller import Caller
+from oakvale.demo.control_client import Caller
 from oakvale.demo.show import CONFIGURATION
 from tests.helpers import invoke
 
--- a/tests/test_penstock.py
+++ b/tests/test_dissemination.py
@@ -11,10 +11,10 @@
 import pytest
 
 from oakvale.base.address import parse_address
-from oakvale.penstock.feed import FORGIVEN, PULSE, STALE, TRY, UNHEARD, Feed, Outlet
-from oakvale.penstock.table import FLOOR, GRAVES, NOTHING, Entry, Table, Version, unpack
-from oakvale.penstock.tree import FAN_OUT, Member, Members, next_on_ring, ring, sources, watched, watchers
-from oakvale.sluice.routes import members as shown_members
+from oakvale.dataplane.routes import members as shown_members
+from oakvale.dissemination.feed import FORGIVEN, PULSE, STALE, TRY, UNHEARD, Feed, Outlet
+from oakvale.dissemination.table import FLOOR, GRAVES, NOTHING, Entry, Table, Version, unpack
+from oakvale.dissemination.tree import FAN_OUT, Member, Members, next_on_ring, ring, sources, watched, watchers
 
 MS, SECOND = 1_000, 1_000_000
 
@@ -436,7 +436,7 @@
 def test_a_spell_without_news_is_noted_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each source asked in it was said to have fallen silent, 15 lines a second: those that did not were hid."""
     noted: list[Any] = []
-    monkeypatch.setattr("oakvale.penstock.feed.note", lambda event, **fields: noted.append(fields["source"]))
+    monkeypatch.setattr("oakvale.dissemination.feed.note", lambda event, **fields: noted.append(fields["source"]))
     fleet = Fleet(1, 1)
     fleet.net.run(2 * SECOND)
     for core in fleet.cores:
--- a/tests/test_tow.py
+++ b/tests/test_drain_agent.py
@@ -8,8 +8,8 @@
 
 import pytest
 
+from oakvale.dataplane.drain_agent import TELL, Tow
 from oakvale.lifecycle.shutdown import Shutdown
-from oakvale.sluice.tow import TELL, Tow
 from tests.data_plane import Gate, sealed
 from tests.node import MS, answer
 
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from oakvale.towpath.course import Course, key_of
-from oakvale.towpath.hours import Contract, Span
-from oakvale.towpath.planning import Hours
-from tests.waterway import MINUTE, PACE, TICK, Request, Waterway, in_hours
+from oakvale.drains.execution import Course, key_of
+from oakvale.drains.hours import Contract, Span
+from oakvale.drains.planning import Hours
+from tests.drain_simulation import MINUTE, PACE, TICK, Request, Waterway, in_hours
 
 BLOCK = 100
 NODE = "book-east0"
--- a/tests/test_drains_core.py
+++ b/tests/test_drains_core.py
@@ -8,14 +8,14 @@
 import orjson
 import pytest
 
-from oakvale.headworks.drains import Drains
-from oakvale.headworks.resources import Backends, Reply
-from oakvale.headworks.resources import Drains as Handler
-from oakvale.towpath import account
-from oakvale.towpath.moves import Moves
-from oakvale.towpath.planning import MARGIN
-from tests.simulated import MS, SECOND, Loop
-from tests.world import Machine, World
+from oakvale.controlplane.drains import Drains
+from oakvale.controlplane.resources import Backends, Reply
+from oakvale.controlplane.resources import Drains as Handler
+from oakvale.drains import report
+from oakvale.drains.moves import Moves
+from oakvale.drains.planning import MARGIN
+from tests.control_plane_simulation import Machine, World
+from tests.simulated_processes import MS, SECOND, Loop
 
 DAY0 = 1_796_212_800 * SECOND - 1_000 * SECOND  # the world begins at its second 1,000: 12:00 UTC on a Wednesday
 PACE = 2_500 * MS
@@ -136,7 +136,7 @@
     cores.run(8 * SECOND)
     after = cores.ask("show", "o1")[1]
     assert (after["orders"], after["moves"]) == (before["orders"], before["moves"])
-    lines = account.as_csv(after).splitlines()
+    lines = report.as_csv(after).splitlines()
     assert lines[1].startswith("o1,backend,b0,,moved,2026-12-02T12:00:")
     assert cores.ask("cancel", "o1", {"by": "ben", "why": "not today"})[0] == 200
     cores.run(10 * SECOND)
@@ -176,7 +176,7 @@
     assert len(told) == 1 and told[0]["state"] == "moved" and told[0]["again"] == 0
     followed = [cores.followed[node, "o1/b0/ana"] for node in cores.gates]
     assert all(0 <= when - OPENS - MARGIN <= 8 * SECOND for when in followed)
-    assert told[0]["moved"] <= account.stamp(min(followed)) or min(followed) - OPENS - MARGIN < SECOND
+    assert told[0]["moved"] <= report.stamp(min(followed)) or min(followed) - OPENS - MARGIN < SECOND
 
 
 def test_a_backend_that_leaves_by_itself_is_recorded_once_for_each_contract_out_of_hours(tmp_path: Path) -> None:
--- a/tests/test_daybook.py
+++ b/tests/test_eventlog.py
@@ -12,7 +12,7 @@
 import eliot
 import pytest
 
-from oakvale.lifecycle import daybook
+from oakvale.lifecycle import eventlog
 
 Lines = Callable[[], list[str]]
 
@@ -30,7 +30,7 @@
     os.set_blocking(read, False)
     eliot.add_destinations(_nowhere)  # eliot keeps what was noted before the first destination, for that one
     eliot.remove_destination(_nowhere)
-    daybook.configure("info", 3, write)
+    eventlog.configure("info", 3, write)
 
     def since() -> list[str]:
         try:
@@ -39,7 +39,7 @@
             return []
 
     yield since
-    daybook.BOOK.close()
+    eventlog.BOOK.close()
     root.handlers[:] = handlers
     root.setLevel(level)
     os.close(read)
@@ -47,13 +47,13 @@
 
 
 def test_a_note_is_one_line_of_pairs_with_its_own_fields(lines: Lines) -> None:
-    note = daybook.Writer("oakvale.mains.links")
+    note = eventlog.Writer("oakvale.transport.links")
     note("view", view=3, primary="10.0.0.1:7340")
     note("bad frame", "warning", why='two "words"\n')
     note("nothing", "debug")
     assert lines() == [
-        "level=info part=mains.links event=view view=3 primary=10.0.0.1:7340",
-        'level=warning part=mains.links event="bad frame" why="two \\"words\\"\\n"',
+        "level=info part=transport.links event=view view=3 primary=10.0.0.1:7340",
+        'level=warning part=transport.links event="bad frame" why="two \\"words\\"\\n"',
     ]
 
 
@@ -61,26 +61,26 @@
     try:
         raise ValueError("odd")
     except ValueError:
-        daybook.Writer("oakvale.mains.links").fault("message failed", kind="news")
+        eventlog.Writer("oakvale.transport.links").fault("message failed", kind="news")
         logging.getLogger("oakvale.base.loop").exception("timer failed", extra={"party": "client"})
     logging.getLogger("oakvale.host").debug("unheard")
     own, taken = lines()
-    assert own.startswith('level=error part=mains.links event="message failed" kind=news traceback="Traceback')
+    assert own.startswith('level=error part=transport.links event="message failed" kind=news traceback="Traceback')
     assert taken.startswith('level=error part=base.loop event="timer failed" party=client traceback="Trace')
     assert "ValueError: odd" in own and "ValueError: odd" in taken
 
 
 def test_lines_of_one_event_are_bounded_and_counted(lines: Lines, monkeypatch: pytest.MonkeyPatch) -> None:
     now = 1000.0
-    monkeypatch.setattr("oakvale.lifecycle.daybook.time.time", lambda: now)
-    note = daybook.Writer("oakvale.gauge.service")
+    monkeypatch.setattr("oakvale.lifecycle.eventlog.time.time", lambda: now)
+    note = eventlog.Writer("oakvale.ratelimit.service")
     for _ in range(10):
         note("counting")
     note("counts no longer")
     assert len(lines()) == 4
     now += 1
     note("counting")
-    assert lines() == ["level=info part=gauge.service event=counting held_back=7"]
+    assert lines() == ["level=info part=ratelimit.service event=counting held_back=7"]
 
 
 def test_the_gateway_in_service_does_without_eliot() -> None:
--- a/tests/test_spillway.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Chains, and load that moves along them: each test a hard case, most in simulated time (`tests/basin.py`)."""
+"""Chains, and load that moves along them: each test a hard case, most in simulated time (`failover_simulation`)."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 import pytest
 
 from oakvale import cli
-from oakvale.headworks.ledger import Ledger
-from oakvale.headworks.planning import Planning
-from oakvale.intake.chains import Given, load
-from oakvale.intake.settings import decode
-from oakvale.intake.table import BadFile
-from oakvale.mains import standing
-from oakvale.spillway import telling
-from oakvale.spillway.chains import Chains, Load, pack, plan, unpack
-from oakvale.spillway.crest import Ask, Crest, Wait, Way
-from oakvale.spillway.fall import HOLD, Fall, Flow
-from oakvale.spillway.places import hierarchy
-from oakvale.spillway.sight import Sight
-from oakvale.spillway.weir import Weir
-from tests.basin import AIM, DEADLINE, MS, SECOND, WORK, Basin, Request
+from oakvale.config.chains import Given, load
+from oakvale.config.settings import decode
+from oakvale.config.toml_table import BadFile
+from oakvale.controlplane.failover_planning import Planning
+from oakvale.controlplane.replicated_state import Ledger
+from oakvale.failover import report
+from oakvale.failover.chains import Chains, Load, pack, plan, unpack
+from oakvale.failover.evacuation import HOLD, Fall, Flow
+from oakvale.failover.failure_detector import Sight
+from oakvale.failover.places import hierarchy
+from oakvale.failover.spill import Ask, Crest, Wait, Way
+from oakvale.failover.spill_limit import Weir
+from oakvale.transport import status_service
+from tests.failover_simulation import AIM, DEADLINE, MS, SECOND, WORK, Basin, Request
 
 ZONES = {"a": "r", "b": "r", "c": "r"}
 SLOTS = {"a": 3, "b": 3, "c": 3}
@@ -105,12 +105,12 @@
 def test_what_an_operator_is_told() -> None:
     loads = [Load(zone, "s", rank, 1.0) for zone in ZONES for rank in (0, 2)]
     made = unpack(pack(plan(3, hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, loads, ["g"])))
-    assert telling.check(made)[0] == "a and b out: s lacks 3.0 of 6.0 slots (50 %)"
-    assert telling.explain(made, "b", "s")[0] == "b (b) out, s, version 3"
-    assert "nothing is left" in telling.explain(made, "r", "s")[-1]
-    assert any("fails: " in line for line in telling.show(made))
-    with pytest.raises(telling.Unknown, match="there are a, b, c, r"):
-        telling.explain(made, "x", "s")
+    assert report.check(made)[0] == "a and b out: s lacks 3.0 of 6.0 slots (50 %)"
+    assert report.explain(made, "b", "s")[0] == "b (b) out, s, version 3"
+    assert "nothing is left" in report.explain(made, "r", "s")[-1]
+    assert any("fails: " in line for line in report.show(made))
+    with pytest.raises(report.Unknown, match="there are a, b, c, r"):
+        report.explain(made, "x", "s")
 
 
 @pytest.mark.parametrize(
@@ -522,7 +522,7 @@
     loads = [Load("a", "s", 0, 5.0)]
     held = pack(plan(3, hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, loads, ["g"]))
     answers: list[Any] = [held, held, held, None]
-    monkeypatch.setattr(standing, "inquire", lambda address, timeout, kind: {"held": answers.pop(0)})
+    monkeypatch.setattr(status_service, "inquire", lambda address, timeout, kind: {"held": answers.pop(0)})
     ends = []
     for words in (["check"], ["explain", "b", "s"], ["explain", "b", "x"], ["show"]):
         try:
--- a/tests/test_domains.py
+++ b/tests/test_failure_domains.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from oakvale.headworks.succession import Seat
-from oakvale.intake.settings import Bounds
-from tests.simulated import MS, SECOND
+from oakvale.config.settings import Bounds
+from oakvale.controlplane.view_change import Seat
+from tests.control_plane_simulation import World
+from tests.simulated_processes import MS, SECOND
 from tests.test_losses import busy, core
-from tests.world import World
 
 SYNC_TIME = Bounds().sync_time
 ZONES = ("a", "b", "c")
--- a/tests/test_closing.py
+++ b/tests/test_final_faults.py
@@ -10,8 +10,8 @@
 import pytest
 
 from oakvale.lab.modelcheck.breakages import BREAKAGES
-from tests.simulated import MS, SECOND
-from tests.world import Machine, World
+from tests.control_plane_simulation import Machine, World
+from tests.simulated_processes import MS, SECOND
 
 SHAPES = [(3, 1), (4, 1), (5, 2)]  # core machines, and how many of their disks may be lost at once
 RECOVER = 6 * SECOND  # the operators' bound is 15 s
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,10 +7,10 @@
 import cbor2
 import pytest
 
-from oakvale.gauge.service import DUTIES
-from oakvale.headworks.jury import Jury
-from tests.fleet import Fleet
-from tests.simulated import MS, SECOND
+from oakvale.controlplane.voter import Jury
+from oakvale.ratelimit.service import DUTIES
+from tests.ratelimit_simulation import Fleet
+from tests.simulated_processes import MS, SECOND
 
 FILLED = 1_500 * MS  # a duty whose holder's process ended is counted again after this at most
 OFF = 3_200 * MS  # where nothing proves that it ended: its span, and those who stand by turn
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from oakvale.gauge.ballots import LONGEST_ROUND, MARGIN, RENEW, ROUND, SPAN, Candidate, Word
-from oakvale.gauge.floors import SECOND, Floors, Quota, Terms
-from oakvale.gauge.handover import Handover
-from oakvale.gauge.state import CounterState
-from tests.fleet import Fleet
-from tests.simulated import MS
+from oakvale.election.voting import LONGEST_ROUND, MARGIN, RENEW, ROUND, SPAN, Candidate, Word
+from oakvale.ratelimit.counter_state import CounterState
+from oakvale.ratelimit.handover import Handover
+from oakvale.ratelimit.quotas import SECOND, Floors, Quota, Terms
+from tests.ratelimit_simulation import Fleet
+from tests.simulated_processes import MS
 
 GRACE = 4 * SECOND
 HANDED_WITHIN = 150 * MS  # mostly much less: consent, a round of votes with two writes to disk, the state
--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from oakvale.intake import contracts
-from oakvale.intake.table import BadFile
-from oakvale.towpath.clocks import HEARD, SECOND, SETTLE, Agreement
-from oakvale.towpath.hours import DAY, MINUTES, Calendar, Contract, Span, windows
+from oakvale.config import contracts
+from oakvale.config.toml_table import BadFile
+from oakvale.drains.agreed_clock import HEARD, SECOND, SETTLE, Agreement
+from oakvale.drains.hours import DAY, MINUTES, Calendar, Contract, Span, windows
 
 ZONES = (
     "UTC",
--- a/tests/test_order.py
+++ b/tests/test_import_order.py
@@ -14,20 +14,22 @@
 ORDER = (
     ("__init__",),
     ("interface", "numbers"),
-    ("settings", "budget"),
+    ("settings", "retry_budget"),
     ("base", "policy"),
     ("memory",),
     ("wire",),
     ("shared",),
-    ("lane",),
+    ("driver",),
     ("host",),
-    ("lifecycle", "adapter", "towpath"),
-    ("intake",),  # from here on, the whole system
-    ("mains", "cistern"),
-    ("penstock",),
-    ("spillway",),
-    ("gauge",),
-    ("headworks", "sluice"),
+    ("lifecycle", "adapter", "drains"),
+    ("config",),  # from here on, the whole system
+    ("transport", "storage"),
+    ("dissemination",),
+    ("failover",),
+    ("election",),
+    ("ratelimit",),
+    ("loadbalancing",),
+    ("controlplane", "dataplane"),
     ("demo", "lab"),
     ("cli",),
     ("__main__",),
@@ -81,7 +83,7 @@
 
 
 def test_the_deploy_file_names_all_that_the_gateway_in_service_is_made_of() -> None:
-    """A file that was moved out of `lane` was not named: the operators would have judged the gateway without it."""
+    """A file that was moved out of the driver was not named: the operators would have judged the gateway without it."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     named, left, seen = (*deploy["node"], *deploy["policy"]), ["oakvale.lifecycle.serving"], set[str]()
     while left:
--- a/tests/test_cut_off.py
+++ b/tests/test_isolation.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from oakvale.headworks.core import SILENCE
+from oakvale.controlplane.core import SILENCE
+from oakvale.dissemination.feed import STALE
 from oakvale.lab.models.orders import Books
 from oakvale.lab.models.ways import Reply, ask
 from oakvale.lab.simulation.sockets import Stream
 from oakvale.lab.simulation.works import CTL, PORTS, Layout, Station, Works
-from oakvale.penstock.feed import STALE
 from tests.test_simulation import day
 
 MS, SECOND = 1_000, 1_000_000
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -28,7 +28,7 @@
     Said,
     State,
 )
-from tests.told import MS, ROUTES, SECOND, Told, text
+from tests.judge_records import MS, ROUTES, SECOND, Told, text
 
 CASES: dict[str, tuple[list[str], Callable[[Told], Any]]] = {}
 
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -10,19 +10,19 @@
 
 import pytest
 
-from oakvale.gauge.service import Gauge
-from oakvale.headworks.core import Core
-from oakvale.headworks.resources import UNSURE, Backends, Config, Give, Reply
-from oakvale.intake import model
+from oakvale.config import model
+from oakvale.controlplane.core import Core
+from oakvale.controlplane.resources import UNSURE, Backends, Config, Give, Reply
+from oakvale.dataplane import routes
+from oakvale.dataplane.backend_protocol import SystemDialect
+from oakvale.dataplane.gateway import Readyz, Sluice
+from oakvale.dataplane.request_router import Plant, ServiceLane, later
+from oakvale.dissemination.table import Table
 from oakvale.lab import undone
 from oakvale.lab.days import Day, decode
 from oakvale.lab.judge.verdict import judge
 from oakvale.lab.play import Variant, play
-from oakvale.penstock.table import Table
-from oakvale.sluice import routes
-from oakvale.sluice.dialect import SystemDialect
-from oakvale.sluice.gate import Readyz, Sluice
-from oakvale.sluice.plant import Plant, ServiceLane, later
+from oakvale.ratelimit.service import Gauge
 from oakvale.wire.clients import plain
 
 MS, SECOND = 1_000, 1_000_000
@@ -172,71 +172,77 @@
     "an order sent again is refused": Break(
         "CONFIG",
         day(("ack_lost", 1.0, {"for_s": 5, "x": 0.7}), ("config_change", 2.0, {"count": 3, "how": "timeout"})),
-        {"oakvale.headworks.resources.Config.replace": sent_again_is_refused},
+        {"oakvale.controlplane.resources.Config.replace": sent_again_is_refused},
     ),
     "a second content is confirmed": Break(
         "CONFIG",
         day(("config_race", 2.0, {"how": "number"})),
-        {"oakvale.headworks.resources.Config._judge": another_content_is_confirmed},
+        {"oakvale.controlplane.resources.Config._judge": another_content_is_confirmed},
     ),
     "what is cut off is read": Break(
         "CONFIG",
         day(("core_cut", 2.0, {"for_s": 5, "how": "leader meet"}), ("config_change", 4.0, {"how": "timeout"})),
         {
-            "oakvale.headworks.resources.Config.read": read_unconfirmed,
-            "oakvale.headworks.core.Core.serving": lambda core: core.active,
+            "oakvale.controlplane.resources.Config.read": read_unconfirmed,
+            "oakvale.controlplane.core.Core.serving": lambda core: core.active,
         },
     ),
     "leaving is not heard": Break(
         "ACKS",
         day(("scale_in", 1.0, {"share": 0.5, "on": "one"}), seconds=9),
-        {"oakvale.headworks.resources.Backends.heartbeat": leaving_is_not_heard},
+        {"oakvale.controlplane.resources.Backends.heartbeat": leaving_is_not_heard},
     ),
-    "a kind is starved": Break("STARVED", day(), {"oakvale.sluice.plant.Plant.open": unsafe_ones_are_turned_away}),
-    "gateways are never ready": Break("DUTY", day(), {"oakvale.sluice.gate.Readyz.open": never_ready}),
+    "a kind is starved": Break(
+        "STARVED", day(), {"oakvale.dataplane.request_router.Plant.open": unsafe_ones_are_turned_away}
+    ),
+    "gateways are never ready": Break("DUTY", day(), {"oakvale.dataplane.gateway.Readyz.open": never_ready}),
     "what may have run is sent again": Break(
         "TWICE", day(LOST_BY_RESET), {"oakvale.policy.attempts.Attempts.repeatable": lambda attempts, held: True}
     ),
     "what may have run is refused": Break(
-        "REFUSED", day(LOST_BY_RESET), {"oakvale.sluice.plant.ServiceLane.answer_of": may_have_run_is_refused}
+        "REFUSED",
+        day(LOST_BY_RESET),
+        {"oakvale.dataplane.request_router.ServiceLane.answer_of": may_have_run_is_refused},
     ),
     "nothing is counted": Break(
-        "QUOTA", day(("hot_tenant", 1.0, {"for_s": 6, "x": 4})), {"oakvale.gauge.service.Gauge.ask": all_pass}
+        "QUOTA", day(("hot_tenant", 1.0, {"for_s": 6, "x": 4})), {"oakvale.ratelimit.service.Gauge.ask": all_pass}
     ),
     "further attempts are free": Break(
         "BUDGET",
         day(READS_LOST, bounds={"retry-slack": 2, "retry-ratio": 0.02}),
         {
-            "oakvale.budget.SharedBudget.take": lambda budget, spent, ending, now: True,
-            "oakvale.budget.SharedBudget.may": lambda budget, now: True,
+            "oakvale.retry_budget.SharedBudget.take": lambda budget, spent, ending, now: True,
+            "oakvale.retry_budget.SharedBudget.may": lambda budget, now: True,
         },
     ),
     "who drains is used": Break(
         "DRAIN",
         day(("scale_in", 1.0, {"share": 0.5, "on": "one"}), seconds=12),
-        {"oakvale.sluice.gate.backends": all_ready},
+        {"oakvale.dataplane.gateway.backends": all_ready},
     ),
     "a configuration does not come": Break(
-        "CONFIG", day(MOVES), {"oakvale.sluice.gate.Sluice._changed": first_configuration_stays}
+        "CONFIG", day(MOVES), {"oakvale.dataplane.gateway.Sluice._changed": first_configuration_stays}
     ),
     "a configuration goes back": Break(
-        "CONFIG", day(MOVES), {"oakvale.sluice.plant.Plant.show": older_picture_comes_back}
+        "CONFIG", day(MOVES), {"oakvale.dataplane.request_router.Plant.show": older_picture_comes_back}
     ),
     "an invalid one is taken": Break(
         "CONFIG",
         day(("bad_config", 2.0, {"how": "unknown_service"})),
-        {"oakvale.intake.model.check": lambda config: None},
+        {"oakvale.config.model.check": lambda config: None},
     ),
     "any answer is believed": Break(
         "MIXED",
         day(("garble", 1.0, {"for_s": 6, "share": 1.0, "x": 0.6, "how": "extra late"})),
-        {"oakvale.sluice.dialect.SystemDialect.belongs": lambda *_: True},
+        {"oakvale.dataplane.backend_protocol.SystemDialect.belongs": lambda *_: True},
     ),
     "another tenant is named": Break(
-        "UNASKED", day(), {"oakvale.sluice.dialect.SystemDialect.headers": another_tenant}
+        "UNASKED", day(), {"oakvale.dataplane.backend_protocol.SystemDialect.headers": another_tenant}
+    ),
+    "known routes are denied": Break(
+        "DENIED", day(), {"oakvale.dataplane.request_router.Plant.open": now_and_then_404}
     ),
-    "known routes are denied": Break("DENIED", day(), {"oakvale.sluice.plant.Plant.open": now_and_then_404}),
-    "services are confused": Break("ROUTE", day(), {"oakvale.sluice.plant.Plant._lane": one_lane_for_all}),
+    "services are confused": Break("ROUTE", day(), {"oakvale.dataplane.request_router.Plant._lane": one_lane_for_all}),
     "work goes on for clients that left": Break(
         "GONE",
         day(
@@ -251,7 +257,7 @@
             plan=(("restart", 2.0, {"on": "edge", "share": 1.0}),),
             routes=[route | {"work_ms": 200} for route in SITE["routes"]],
         ),
-        {"oakvale.sluice.process.Process.stop": lambda process: process.sluice.loop.stop()},
+        {"oakvale.dataplane.process.Process.stop": lambda process: process.sluice.loop.stop()},
     ),
     "who ends goes on calling itself ready": Break(
         "DRAIN",
@@ -263,12 +269,12 @@
                 for route in SITE["routes"]
             ],
         ),
-        {"oakvale.sluice.gate.Sluice.ready": lambda sluice: sluice.plant.picture.gen >= 0},
+        {"oakvale.dataplane.gateway.Sluice.ready": lambda sluice: sluice.plant.picture.gen >= 0},
     ),
     "acknowledged before it is kept": Break(
         "CONFIG",
         day(("after_ack_wipe", 2.0, {"for_s": 1}), seconds=12),
-        {"oakvale.headworks.core.Core.change": acknowledged_before_it_is_kept},
+        {"oakvale.controlplane.core.Core.change": acknowledged_before_it_is_kept},
     ),
 }
 
--- a/tests/test_lab_experiments.py
+++ b/tests/test_lab_experiments.py
@@ -28,7 +28,7 @@
 name = "base"
 [[variants]]
 name = "longer"
-set = { "oakvale.gauge.service.DUTIES" = 8 }
+set = { "oakvale.ratelimit.service.DUTIES" = 8 }
 [[variants]]
 name = "unsafe"
 """
@@ -115,9 +115,9 @@
 @pytest.mark.parametrize(
     "old, new, said",
     [
-        ("DUTIES", "DUTYS", "variants.longer: oakvale.gauge.service.DUTYS: oakvale.gauge.service has no DUTYS"),
-        ("= 8 }", "= 'x' }", "variants.longer.set.oakvale.gauge.service.DUTIES: 'x' is not like 4"),
-        ("oakvale.gauge", "os.gauge", "variants.longer: os.gauge.service.DUTIES: no name of oakvale's"),
+        ("DUTIES", "DUTYS", "variants.longer: oakvale.ratelimit.service.DUTYS: oakvale.ratelimit.service has no DUTYS"),
+        ("= 8 }", "= 'x' }", "variants.longer.set.oakvale.ratelimit.service.DUTIES: 'x' is not like 4"),
+        ("oakvale.ratelimit", "os.ratelimit", "variants.longer: os.ratelimit.service.DUTIES: no name of oakvale's"),
         ('"longer"', '"base"', "variants: 'base' is there twice"),
         ("seeds = 8", "seeds = 0", "seeds: Input should be greater than or equal to 1"),
         ("seeds = 8", "seed = 8", "seed: Extra inputs are not permitted"),
@@ -140,21 +140,21 @@
     import oakvale.base.limits
 
     found = variants.patches(Spec(name="big", set={"oakvale.base.limits.MB": 2}))
-    assert found["oakvale.base.limits.MB"] == found["oakvale.intake.bounds.MB"] == 2
+    assert found["oakvale.base.limits.MB"] == found["oakvale.config.bounds.MB"] == 2
     assert all(getattr(*variants.found(name)) == oakvale.base.limits.MB for name in found)
-    swapped = variants.patches(Spec(name="other", swap={"oakvale.intake.times.micros": "oakvale.numbers.whole"}))
+    swapped = variants.patches(Spec(name="other", swap={"oakvale.config.durations.micros": "oakvale.numbers.whole"}))
     same = [name for name in swapped if name.endswith(".micros")]
-    assert len({id(swapped[name]) for name in same}) == 1 and "oakvale.intake.model.micros" in same
+    assert len({id(swapped[name]) for name in same}) == 1 and "oakvale.config.model.micros" in same
 
 
 def test_what_follows_from_a_constant_changes_with_it() -> None:
     """The bench plays edited sources; a variant that left a default as it was would be another one there than here."""
-    found = variants.patches(Spec(name="slow", set={"oakvale.penstock.feed.STALE": 1_000_000}))
-    assert found["oakvale.penstock.feed.FORGIVEN"] == 20_000_000
-    assert found["oakvale.penstock.feed.Feed.fresh.__defaults__"] == (1_000_000,)
-    assert found.keys() >= {"oakvale.penstock.feed.STALE"} and all(variants.found(name) for name in found)
-    later = variants.patches(Spec(name="later", set={"oakvale.gauge.presence.PRESENT": 5}))
-    assert later["oakvale.gauge.presence.ABSENT"] == later["oakvale.gauge.service.ABSENT"] == 100_005
+    found = variants.patches(Spec(name="slow", set={"oakvale.dissemination.feed.STALE": 1_000_000}))
+    assert found["oakvale.dissemination.feed.FORGIVEN"] == 20_000_000
+    assert found["oakvale.dissemination.feed.Feed.fresh.__defaults__"] == (1_000_000,)
+    assert found.keys() >= {"oakvale.dissemination.feed.STALE"} and all(variants.found(name) for name in found)
+    later = variants.patches(Spec(name="later", set={"oakvale.ratelimit.presence.PRESENT": 5}))
+    assert later["oakvale.ratelimit.presence.ABSENT"] == later["oakvale.ratelimit.service.ABSENT"] == 100_005
 
 
 def test_a_hunt_keeps_what_it_found_as_a_day(
--- a/tests/test_lab_failures.py
+++ b/tests/test_lab_failures.py
@@ -16,7 +16,7 @@
 from oakvale.lab.record import Event, Record
 
 FOLDER = Path(__file__).parent.parent / "lab" / "days"
-SUCCESSION, UNDONE = "oakvale.headworks.succession.Succession", "oakvale.lab.undone"
+SUCCESSION, UNDONE = "oakvale.controlplane.view_change.Succession", "oakvale.lab.undone"
 
 
 def away(record: Record, kind: Event, since: int) -> int:
@@ -50,7 +50,7 @@
         (
             "dark",
             2,
-            Spec(name="notes", swap={"oakvale.penstock.feed.Feed._next": f"{UNDONE}.next_source"}),
+            Spec(name="notes", swap={"oakvale.dissemination.feed.Feed._next": f"{UNDONE}.next_source"}),
             lambda record: sum(one.event == "news are stale" for one in record.noted),
             3,
         ),
@@ -66,7 +66,10 @@
         (
             "anew",
             1,
-            Spec(name="no-moment", set={"oakvale.sluice.plant.MOMENT": 0, "oakvale.gauge.service.MOMENT": 0}),
+            Spec(
+                name="no-moment",
+                set={"oakvale.dataplane.request_router.MOMENT": 0, "oakvale.ratelimit.service.MOMENT": 0},
+            ),
             refused,
             12,
         ),
@@ -101,13 +104,13 @@
     "name, spec, rule",
     [
         # the counter lets far too much over the burst: one edge, one tenant, one trouble
-        ("quota-9-small", Spec(name="lavish", set={"oakvale.gauge.floors.OVER": 40.0}), "QUOTA"),
+        ("quota-9-small", Spec(name="lavish", set={"oakvale.ratelimit.quotas.OVER": 40.0}), "QUOTA"),
         # orders whose pieces were on their way to the backup were not compared with: two contents under one number
         (
             "config-14003-small",
             Spec(
                 name="unplanned",
-                swap={"oakvale.headworks.ledger.Ledger.latest_items": "oakvale.lab.undone.latest_items"},
+                swap={"oakvale.controlplane.replicated_state.Ledger.latest_items": "oakvale.lab.undone.latest_items"},
             ),
             "CONFIG",
         ),
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -5,14 +5,14 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from oakvale.gauge.ballots import SPAN
-from oakvale.headworks.copying import Replaced
-from oakvale.headworks.core import SILENCE
-from oakvale.headworks.jury import Jury
-from oakvale.headworks.leases import MARGIN, Leases, Waiting
-from oakvale.headworks.succession import FOUNDER, Seat, View, founding
-from tests.simulated import MS
-from tests.test_succession import roles, settled
+from oakvale.controlplane.core import SILENCE
+from oakvale.controlplane.leases import MARGIN, Leases, Waiting
+from oakvale.controlplane.replication import Replaced
+from oakvale.controlplane.view_change import FOUNDER, Seat, View, founding
+from oakvale.controlplane.voter import Jury
+from oakvale.election.voting import SPAN
+from tests.simulated_processes import MS
+from tests.test_view_change import roles, settled
 
 A, B, C = (("a:1", FOUNDER), ("b:1", FOUNDER), ("c:1", FOUNDER))
 ONE = founding([A[0], B[0], C[0]], 2)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -10,13 +10,13 @@
 
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Clock, Loop
-from oakvale.gauge.floors import Quota, Terms
-from oakvale.gauge.service import Gauge
-from oakvale.lifecycle.daybook import BOOK
-from oakvale.mains.links import Conn, Mains
-from oakvale.penstock.tree import Member, Members
+from oakvale.dissemination.tree import Member, Members
+from oakvale.lifecycle.eventlog import BOOK
+from oakvale.ratelimit.quotas import Quota, Terms
+from oakvale.ratelimit.service import Gauge
+from oakvale.transport.links import Conn, Mains
 from tests import schedules
-from tests.questions import PEERS, World
+from tests.link_model import PEERS, World
 
 
 def test_a_connection_that_is_being_made_is_not_waited_for_once_its_peer_is_known_to_be_up() -> None:
--- a/tests/test_board.py
+++ b/tests/test_load_board.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from oakvale.gauge.board import FAR, OWN, WARM, Board, Offer, leaning
+from oakvale.loadbalancing.load_board import FAR, OWN, WARM, Board, Offer, leaning
 
 MS, SECOND = 1_000, 1_000_000
 HERE = [Offer(f"b{n}", "z", 2, 0) for n in range(4)]
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from oakvale.headworks.copying import Copying
-from oakvale.headworks.core import Core
-from oakvale.headworks.peers import KEPT, NAMED, Peers
-from oakvale.headworks.succession import Succession
-from oakvale.intake.settings import Bounds
-from tests.simulated import MS, SECOND
-from tests.world import Machine, World
+from oakvale.config.settings import Bounds
+from oakvale.controlplane.core import Core
+from oakvale.controlplane.peers import KEPT, NAMED, Peers
+from oakvale.controlplane.replication import Copying
+from oakvale.controlplane.view_change import Succession
+from tests.control_plane_simulation import Machine, World
+from tests.simulated_processes import MS, SECOND
 
 SYNC_TIME, GRACE = Bounds().sync_time, Bounds().grace
 KINDS = ("killed", "wiped", "replaced", "planned", "stopped", "slow", "frozen", "cut")
@@ -294,7 +294,7 @@
         with pytest.raises(AssertionError):
             test_who_leaves_goes_as_soon_as_it_is_not_missed("backup", 800)
     else:
-        monkeypatch.setattr("oakvale.headworks.succession.BRIEF", 1_000)
+        monkeypatch.setattr("oakvale.controlplane.view_change.BRIEF", 1_000)
         with pytest.raises(AssertionError):
             test_all_is_whole_when_the_next_loss_may_come(0, (3, 1, 3))
 
--- a/tests/test_gates.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from oakvale.headworks.gates import Gates
+from oakvale.controlplane.membership import Gates
 
 
 class Primary:
--- a/tests/test_parts.py
+++ b/tests/test_message_parts.py
@@ -10,8 +10,8 @@
 
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Clock, Loop
-from oakvale.mains import links
-from oakvale.mains.links import BACKLOG, LONG, Mains
+from oakvale.transport import links
+from oakvale.transport.links import BACKLOG, LONG, Mains
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from oakvale.headworks.copying import Copying
-from oakvale.headworks.succession import Succession
+from oakvale.controlplane.replication import Copying
+from oakvale.controlplane.view_change import Succession
 from oakvale.lab.modelcheck.breakages import BREAKAGES, QUIET, Breakage
 from oakvale.lab.modelcheck.check import BadFaults, arguments, check, find, read_faults, searches
 from oakvale.lab.modelcheck.machine import Machine
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -13,14 +13,14 @@
 import orjson
 import pytest
 
-from oakvale.headworks import pieces, resources
-from oakvale.headworks.ledger import Ledger
-from oakvale.headworks.resources import TAKEN, Config, Reply
-from oakvale.intake import model
+from oakvale.config import model
+from oakvale.controlplane import chunks, resources
+from oakvale.controlplane.replicated_state import Ledger
+from oakvale.controlplane.resources import TAKEN, Config, Reply
+from oakvale.dissemination.table import NOTHING
 from oakvale.lab import undone
-from oakvale.penstock.table import NOTHING
-from tests.simulated import MS, SECOND, Loop
-from tests.world import Machine, World
+from tests.control_plane_simulation import Machine, World
+from tests.simulated_processes import MS, SECOND, Loop
 
 CONTENTS = 3
 
@@ -151,8 +151,8 @@
 @pytest.mark.parametrize("seed", [0, 4, 5, 10])
 def test_one_number_one_content_where_orders_go_in_pieces(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Ahead of a large order its pieces are sent; what is said of it meanwhile waits for it."""
-    monkeypatch.setattr(pieces, "INLINE", 120)
-    monkeypatch.setattr(pieces, "PIECE", 100)
+    monkeypatch.setattr(chunks, "INLINE", 120)
+    monkeypatch.setattr(chunks, "PIECE", 100)
     Operators(seed).day(50)
 
 
--- a/tests/test_packages.py
+++ b/tests/test_packages.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from oakvale.intake import deploy, packages
-from oakvale.intake.table import BadFile
+from oakvale.config import deploy, packages
+from oakvale.config.toml_table import BadFile
 
 ROOT = Path(__file__).parent.parent
 SYSTEM = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,7 +11,7 @@
 
 from oakvale import interface as i
 from oakvale.policy.gateway import Gateway
-from tests.drawn import Drawn
+from tests.drawn_events import Drawn
 
 EVENTS = 300
 MARKS = (
--- a/tests/test_gauge.py
+++ b/tests/test_ratelimit.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from oakvale.gauge.ballots import MARGIN, ROUND, SPAN, TURN, Ask, Candidate, Juror, Word
-from oakvale.gauge.floors import ALONE, AT_START, Alone, Floors, Quota, Read, Terms
+from oakvale.election.voting import MARGIN, ROUND, SPAN, TURN, Ask, Candidate, Juror, Word
+from oakvale.ratelimit.quotas import ALONE, AT_START, Alone, Floors, Quota, Read, Terms
 
 MS, SECOND = 1_000, 1_000_000
 TERMS = Terms(5 * SECOND, 0.1, 20)
--- a/tests/test_give_back.py
+++ b/tests/test_refunds.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from oakvale.gauge.floors import SECOND, Floors, Quota, Terms
-from oakvale.gauge.returns import REMEMBERED_US, Returns
-from oakvale.gauge.state import Receipt
+from oakvale.ratelimit.counter_state import Receipt
+from oakvale.ratelimit.quotas import SECOND, Floors, Quota, Terms
+from oakvale.ratelimit.refunds import REMEMBERED_US, Returns
 from tests.data_plane import Gate
-from tests.fleet import Fleet, Tenant
-from tests.simulated import MS
+from tests.ratelimit_simulation import Fleet, Tenant
+from tests.simulated_processes import MS
 
 QUOTA = Quota(20, 20)
 TERMS = Terms(5 * SECOND, 0.1, 20)
--- a/tests/test_plant.py
+++ b/tests/test_request_router.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from oakvale.gauge.dispatch import Pick, Turned
-from oakvale.gauge.floors import Quota
-from oakvale.sluice.routes import Picture
-from oakvale.spillway.chains import Chains
+from oakvale.dataplane.routes import Picture
+from oakvale.failover.chains import Chains
+from oakvale.loadbalancing.board_service import Pick, Turned
+from oakvale.ratelimit.quotas import Quota
 from tests.data_plane import CONFIG, KEY, Gate, sealed
 from tests.node import MS, answer
 
--- a/tests/test_budget.py
+++ b/tests/test_retry_budget.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from oakvale.budget import MOST, OwnBudget, Retries, SharedBudget, Spent
 from oakvale.interface import Attempt, Effect, Ending, RequestClass
 from oakvale.policy.gateway import Gateway
+from oakvale.retry_budget import MOST, OwnBudget, Retries, SharedBudget, Spent
 from tests.helpers import Drive, of
 
 MS, SECOND = 1_000, 1_000_000
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -424,7 +424,7 @@
 
 def test_a_variant_stands_for_the_run_alone() -> None:
     """Without a heartbeat of the cores nobody serves the control state, so there is no configuration to serve by."""
-    from oakvale.headworks import core
+    from oakvale.controlplane import core
 
-    variant = Variant("mute", {"oakvale.headworks.core.SILENCE": 0})
+    variant = Variant("mute", {"oakvale.controlplane.core.SILENCE": 0})
     assert judge(play(day(), 1, variant)).worth.served == 0 and core.SILENCE > 0
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from oakvale.sluice.routes import Route, configured
+from oakvale.dataplane.routes import Route, configured
 from tests.data_plane import CONFIG, Gate, sealed
 
 SPAN, WITHIN = 200, 0.2  # the operators' judge: requests, and how far off a part's share may be
--- a/tests/test_cistern.py
+++ b/tests/test_storage.py
@@ -13,9 +13,9 @@
 import pytest
 
 from oakvale.base.loop import READ
-from oakvale.cistern import store
-from oakvale.cistern.store import Cistern
 from oakvale.lab.simulation.disks import Held
+from oakvale.storage import store
+from oakvale.storage.store import Cistern
 
 
 class Still:
--- a/tests/test_succession.py
+++ b/tests/test_view_change.py
@@ -7,12 +7,23 @@
 import cbor2
 import pytest
 
-from oakvale.headworks.core import SILENCE, Core
-from oakvale.headworks.ledger import Ledger
-from oakvale.headworks.succession import FOUNDER, Durable, Keep, Moved, Say, Seat, Succession, View, founded, founding
-from oakvale.penstock.table import NOTHING
-from tests.simulated import MS, SECOND
-from tests.world import Link, Machine, World
+from oakvale.controlplane.core import SILENCE, Core
+from oakvale.controlplane.replicated_state import Ledger
+from oakvale.controlplane.view_change import (
+    FOUNDER,
+    Durable,
+    Keep,
+    Moved,
+    Say,
+    Seat,
+    Succession,
+    View,
+    founded,
+    founding,
+)
+from oakvale.dissemination.table import NOTHING
+from tests.control_plane_simulation import Link, Machine, World
+from tests.simulated_processes import MS, SECOND
 
 SHAPES = ((3, 1, 3), (4, 1, 3), (5, 2, 5), (3, 1, 3), (5, 2, 3))  # machines, tolerance, seeds
 A, B, C = (("10.0.0.1:7340", FOUNDER), ("10.0.0.2:7340", FOUNDER), ("10.0.0.3:7340", FOUNDER))
@@ -28,7 +39,7 @@
 @pytest.mark.parametrize("seed", range(100, 108))
 def test_a_day_of_faults_with_much_that_is_forgotten(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Markers and graves go from all copies, disks and gateways, whoever is primary."""
-    monkeypatch.setattr("oakvale.penstock.table.GRAVES", 3)
+    monkeypatch.setattr("oakvale.dissemination.table.GRAVES", 3)
     world = World(seed, *SHAPES[seed % len(SHAPES)], prunes=(200 * MS, 600 * MS))
     world.day(5)
     world.run(4 * SECOND)
@@ -42,7 +53,7 @@
 
 
 def test_a_pruned_state_survives_a_takeover(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("oakvale.penstock.table.GRAVES", 3)
+    monkeypatch.setattr("oakvale.dissemination.table.GRAVES", 3)
     world = World(1, prunes=(200 * MS, 600 * MS))
     world.run(2 * SECOND)
     for _ in range(30):
--- a/tests/test_jury.py
+++ b/tests/test_voter.py
@@ -7,10 +7,10 @@
 import cbor2
 import pytest
 
-from oakvale.gauge.ballots import SPAN
-from oakvale.headworks.jury import Jury
-from tests.fleet import Fleet
-from tests.simulated import MS, SECOND
+from oakvale.controlplane.voter import Jury
+from oakvale.election.voting import SPAN
+from tests.ratelimit_simulation import Fleet
+from tests.simulated_processes import MS, SECOND
 
 
 def holder_with_a_bare_majority() -> Fleet:
--- a/tests/test_wire_snapshots.py
+++ b/tests/test_wire_snapshots.py
@@ -8,9 +8,9 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from oakvale.headworks.succession import FOUNDER, Durable, View, founding, unpack, unpack_durable
-from oakvale.mains.frames import LENGTH, LONGEST, BadFrame, decode, encode
-from oakvale.penstock import table
+from oakvale.controlplane.view_change import FOUNDER, Durable, View, founding, unpack, unpack_durable
+from oakvale.dissemination import table
+from oakvale.transport.frames import LENGTH, LONGEST, BadFrame, decode, encode
 
 VIEW = founding(["10.1.0.33:7340", "10.2.0.25:7340", "10.3.0.16:7340"], 2)
 DURABLE = Durable(VIEW, (3, VIEW.primary), ((2, VIEW.backups[0]), View(2, VIEW.backups[0], (), VIEW.witnesses)), 1, 0)
