--- a/oakvale/config/settings_watch.py
+++ b/oakvale/config/settings_watch.py
@@ -13,11 +13,11 @@
 from oakvale.base.loop import Loop
 from oakvale.config.settings import DEFAULT_PATH, Settings, load
 from oakvale.config.toml_table import BadFile
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 
 LOOK = 2_000_000  # microseconds between two looks at the file
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 class SettingsWatch:
@@ -48,11 +48,11 @@
         try:
             fresh = load(self._environment)
         except BadFile as error:
-            note("settings refused", "error", why=str(error))
+            log_event("settings refused", "error", why=str(error))
             return
         was, self.settings = self.settings, fresh
         if fresh == was:
             return
         kept = replace(was, seeds=fresh.seeds) != fresh
-        note("settings", seeds=",".join(f"{ip}:{port}" for ip, port in fresh.seeds), needs_restart=kept)
+        log_event("settings", seeds=",".join(f"{ip}:{port}" for ip, port in fresh.seeds), needs_restart=kept)
         self._told(fresh)
--- a/oakvale/controlplane/compaction.py
+++ b/oakvale/controlplane/compaction.py
@@ -10,13 +10,13 @@
 from oakvale.base.loop import Loop
 from oakvale.controlplane.core import Core
 from oakvale.dissemination.table import FLOOR, NOTHING, Version
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 
 ROUND = 10_000_000  # microseconds between two looks
 LEFT = 90_000_000  # for so long late beats of a backend that left are recognised, and graves stay whatever their number
 MOST = 200  # markers that go in one change
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 class Pruning:
@@ -33,7 +33,7 @@
             self._since.clear()
             self._highs.clear()
             return
-        table = self._core.ledger.table
+        table = self._core.replicated_state.table
         self._since = {name: self._since.get(name, now) for name, _ in table.items("left/")}
         old = [name for name, at in self._since.items() if now - at >= self._kept][:MOST]
         changes: dict[str, Any] = {f"left/{name}": None for name in old}
@@ -46,6 +46,6 @@
         floor = min(table.next_floor(), last)
         if floor > table.floor:
             changes[FLOOR] = list(floor)
-        if changes and not self._core.ledger.waits():
-            note("forgets", left=len(old), up_to="/".join(map(str, floor)))
+        if changes and not self._core.replicated_state.waits():
+            log_event("forgets", left=len(old), up_to="/".join(map(str, floor)))
             self._core.change(changes, lambda done: None)
--- a/oakvale/controlplane/core.py
+++ b/oakvale/controlplane/core.py
@@ -15,14 +15,14 @@
 from oakvale.controlplane.failure_domains import Domains
 from oakvale.controlplane.leases import Leases, Waiting
 from oakvale.controlplane.peers import Peers
-from oakvale.controlplane.replicated_state import Ledger, Then
-from oakvale.controlplane.replication import Copying
-from oakvale.controlplane.view_change import Out, Seat, Succession, View, founding, seat, unpack
-from oakvale.dissemination.feed import PULSE, Outlet
+from oakvale.controlplane.replicated_state import ReplicatedState, Then
+from oakvale.controlplane.replication import Replicator
+from oakvale.controlplane.view_change import Out, Seat, View, ViewManager, founding, seat, unpack
+from oakvale.dissemination.feed import PULSE, Publisher
 from oakvale.dissemination.table import Version
-from oakvale.lifecycle.eventlog import Writer
-from oakvale.storage.store import Cistern
-from oakvale.transport.links import Answer, Conn, Mains
+from oakvale.lifecycle.eventlog import EventLogger
+from oakvale.storage.store import Storage
+from oakvale.transport.links import Answer, Connection, Transport
 
 BEAT = 200_000  # microseconds between two heartbeats of core machines
 SILENCE = 900_000  # a core machine that was not heard for this counts as down
@@ -35,7 +35,7 @@
 LEAST, LOOK = 300_000, 50_000  # after it is told to end: for answers that are under way; between two looks
 LAST = 1_000_000  # before the end of `grace`: then it goes, whatever it holds
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 def address_of(peer: Seat) -> Address:
@@ -45,67 +45,67 @@
 
 
 class Core:
-    def __init__(self, loop: Loop, mains: Mains, settings: Settings, cistern: Cistern) -> None:
-        self.loop, self.mains, self.settings, self.cistern = loop, mains, settings, cistern
+    def __init__(self, loop: Loop, transport: Transport, settings: Settings, storage: Storage) -> None:
+        self.loop, self.transport, self.settings, self.storage = loop, transport, settings, storage
         self.on_change: list[Callable[[bool], None]] = []  # hears when this seat begins or ends to serve
         self._tick_number = 0
         seeds = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]
         copies = 1 + max(1, settings.tolerate, settings.tolerate_zones, settings.tolerate_regions)
         domains = Domains(settings.zones, settings.tolerate_zones > 0, settings.tolerate_regions > 0)
-        founds = settings.bootstrap and cistern.first and spelled(mains.own) in seeds
+        founds = settings.bootstrap and storage.first and spelled(transport.own) in seeds
         start = replication.start(
-            spelled(mains.own),
-            cistern.fact("self"),
-            cistern.fact("state"),
+            spelled(transport.own),
+            storage.fact("self"),
+            storage.fact("state"),
             founding(seeds, copies) if founds else None,
             lambda: loop.net.token(4),
         )
         patience = settings.bounds.sync_time + settings.bounds.contact
-        self.copying = Copying(
-            start, cistern.rows(), copies, SILENCE, patience, cistern.pieces(), settings.zone, domains
+        self.replicator = Replicator(
+            start, storage.rows(), copies, SILENCE, patience, storage.pieces(), settings.zone, domains
         )
         self.own: Seat = start.own
-        served = cistern.fact("served")
+        served = storage.fact("served")
         self._leases = Leases(start.own, SILENCE, loop.clock(), start.durable.view, int(served) if served else 0)
         self._waiting = Waiting(WAIT)
         self._served: int | None = None  # when it was last seen to serve in this view
         self._looks = False  # a look at those who wait is due
         self._lives: dict[Seat, int] = {}  # the latest start of each peer that was heard
-        self.outlet = Outlet(self.ledger.table)
+        self.outlet = Publisher(self.replicated_state.table)
         self.peers = Peers(seeds)
         for kind in ("prepare", "promise", "accept", "accepted", "decided", "refused", "void", "voided"):
-            mains.handlers[kind] = self._council(kind)
-        mains.handlers["core"] = self._heard
-        mains.handlers["leaving"] = self._leaving
-        mains.handlers["released"] = lambda conn, body, answer: self.copying.released(int(body[1][0]))
-        mains.handlers["gone"] = self._gone
-        mains.handlers["append"] = lambda conn, body, answer: self._do(self.copying.append(body, answer))
-        mains.handlers["sync"] = lambda conn, body, answer: self._do(self.copying.sync(body, answer))
-        mains.handlers["offer"] = lambda conn, body, answer: self._do(self.copying.offer(body, answer))
-        mains.handlers["piece"] = lambda conn, body, answer: self._do(self.copying.piece(body, answer))
-        mains.handlers["subscribe"] = self._subscribe
-        mains.handlers["leave"] = lambda conn, body, answer: self.outlet.leave(conn)
-        mains.handlers["digests"] = self._digests
-        self._do(self.copying.flush())
+            transport.handlers[kind] = self._council(kind)
+        transport.handlers["core"] = self._heard
+        transport.handlers["leaving"] = self._leaving
+        transport.handlers["released"] = lambda conn, body, answer: self.replicator.released(int(body[1][0]))
+        transport.handlers["gone"] = self._gone
+        transport.handlers["append"] = lambda conn, body, answer: self._do(self.replicator.append(body, answer))
+        transport.handlers["sync"] = lambda conn, body, answer: self._do(self.replicator.sync(body, answer))
+        transport.handlers["offer"] = lambda conn, body, answer: self._do(self.replicator.offer(body, answer))
+        transport.handlers["piece"] = lambda conn, body, answer: self._do(self.replicator.piece(body, answer))
+        transport.handlers["subscribe"] = self._subscribe
+        transport.handlers["leave"] = lambda conn, body, answer: self.outlet.leave(conn)
+        transport.handlers["digests"] = self._digests
+        self._do(self.replicator.flush())
         loop.at(loop.now, self._beat)
         loop.at(loop.now + PULSE, self._pulse)
 
     # ---- what the rest of the process asks
 
     @property
-    def ledger(self) -> Ledger:
-        return self.copying.ledger
+    def replicated_state(self) -> ReplicatedState:
+        return self.replicator.replicated_state
 
     @property
-    def succession(self) -> Succession:
-        return self.copying.succession
+    def view_manager(self) -> ViewManager:
+        return self.replicator.view_manager
 
     @property
     def active(self) -> bool:
-        return self.copying.active
+        return self.replicator.active
 
     def view(self) -> View | None:
-        return self.copying.view()
+        return self.replicator.view()
 
     def is_witness(self) -> bool:
         """Whether the view that is known here names this seat as a witness."""
@@ -115,7 +115,7 @@
     def primary(self) -> Seat | None:
         """Who serves, as far as known here and lately heard of."""
         view = self.view()
-        if view is None or not self.succession.alive(view.primary, self.loop.now):
+        if view is None or not self.view_manager.alive(view.primary, self.loop.now):
             return None
         return view.primary
 
@@ -141,36 +141,36 @@
     def leave(self, then: Callable[[], None]) -> None:
         """This machine is told to end: it says so, serves on while it is missed, and calls `then` as soon as it is not,
         or when `grace` is nearly over."""
-        if self.succession.leaves:
+        if self.view_manager.leaves:
             return
-        self.copying.leave()
+        self.replicator.leave()
         self._say()
         earliest = self.loop.now + LEAST
         latest = max(earliest, self.loop.now + self.settings.bounds.grace - LAST)
         self.loop.at(earliest, self._look_whether_missed, (latest, then))
 
     def _look_whether_missed(self, leaving: tuple[int, Callable[[], None]]) -> None:
-        now, may = self.loop.now, self.copying.may_go(self.loop.now)
+        now, may = self.loop.now, self.replicator.may_go(self.loop.now)
         if not may and now < leaving[0]:
             self.loop.at(now + LOOK, self._look_whether_missed, leaving)
             return
         number = view.number if (view := self.view()) else 0
-        note("goes" if may else "goes while it is missed", "info" if may else "warning", view=number)
+        log_event("goes" if may else "goes while it is missed", "info" if may else "warning", view=number)
         self._leases.give_up()
         for address in self._others():
-            self.mains.tell(address, "gone", [*self.own, self.copying.life])
+            self.transport.tell(address, "gone", [*self.own, self.replicator.life])
         leaving[1]()
 
     def change(self, changes: dict[str, Any], then: Then, behind: bool = False) -> None:
         """Makes a change; `then` hears True once it is in force and the news of it are on their way, or False as soon
         as the lease is lost, or after `WAIT`: it may still come into force, but nobody hears a yes of it."""
         told = self._waiting.add(then, self.loop.clock())
-        self._do(self.copying.change(changes or {"confirmed": None}, told, behind))
+        self._do(self.replicator.change(changes or {"confirmed": None}, told, behind))
         self._look_later()
 
     def when_settled(self, then: Then) -> None:
         """Calls with True once everything that waits now is in force, else as `change`."""
-        self.ledger.when_settled(self._waiting.add(then, self.loop.clock()))
+        self.replicated_state.when_settled(self._waiting.add(then, self.loop.clock()))
         self._look_later()
 
     # ---- what is decided, done
@@ -179,31 +179,31 @@
         for item in items:
             match item:
                 case replication.Write(number, what):
-                    self.cistern.write(
+                    self.storage.write(
                         what,
                         lambda number=number: self._do(  # type: ignore[misc]
-                            self.copying.written(number)
+                            self.replicator.written(number)
                         ),
                     )
                 case replication.Ask(number, to, kind, body, timeout):
-                    self.mains.ask(
+                    self.transport.ask(
                         address_of(to),
                         kind,
                         body,
                         timeout,
                         lambda answer, number=number: self._do(  # type: ignore[misc]
-                            self.copying.answered(number, answer)
+                            self.replicator.answered(number, answer)
                         ),
                     )
                 case replication.Tell(to, kind, body):
-                    self.mains.tell(address_of(to), kind, [list(self.own), body])
+                    self.transport.tell(address_of(to), kind, [list(self.own), body])
                 case replication.Reply(answer, said):
                     answer(said)
                 case replication.Again(backup, view):
                     self.loop.at(
                         self.loop.now + AGAIN,
                         lambda _, backup=backup, view=view: self._do(  # type: ignore[misc]
-                            self.copying.again(backup, view)
+                            self.replicator.again(backup, view)
                         ),
                     )
                 case replication.Told(then, done):
@@ -213,7 +213,7 @@
                 case replication.Entered(view):
                     self._served = None
                     self._say()  # a primary asks for its lease, one that was replaced tells the other so
-                    note(
+                    log_event(
                         "view",
                         view=view.number,
                         primary=view.primary[0],
@@ -226,7 +226,7 @@
                 case replication.Resigned():
                     self.outlet.drop()
                 case replication.Replaced():
-                    self.outlet = Outlet(self.ledger.table)
+                    self.outlet = Publisher(self.replicated_state.table)
                     current = self.view()
                     if current is not None:  # its primary may have granted a lease just before
                         self._leases.grant(current, current.primary, self.loop.clock())
@@ -247,7 +247,7 @@
                 self._leases.answered(backup, int(answer), sent)
                 self._watch()
 
-        self.mains.ask(address_of(backup), kind, body, SILENCE, answered)
+        self.transport.ask(address_of(backup), kind, body, SILENCE, answered)
 
     def _watch(self) -> None:
         """Looks whether this seat serves now: who waits is not kept waiting without a lease."""
@@ -259,8 +259,8 @@
             return
         begins, self._served = self._served is None or now - self._served >= BRIEF, now
         if begins:
-            self.cistern.write(("fact", ("served", str(view.number).encode())), lambda: None)
-            note("serving the control state", view=view.number, backups=_names(view.backups))
+            self.storage.write(("fact", ("served", str(view.number).encode())), lambda: None)
+            log_event("serving the control state", view=view.number, backups=_names(view.backups))
             for call in self.on_change:
                 call(True)
 
@@ -279,25 +279,25 @@
 
     # ---- views
 
-    def _council(self, kind: str) -> Callable[[Conn, Any, Answer], None]:
-        def take(conn: Conn, body: Any, _: Answer) -> None:
-            self._carry(self.succession.message(self.loop.now, seat(body[0]), kind, body[1]))
+    def _council(self, kind: str) -> Callable[[Connection, Any, Answer], None]:
+        def take(conn: Connection, body: Any, _: Answer) -> None:
+            self._carry(self.view_manager.message(self.loop.now, seat(body[0]), kind, body[1]))
 
         return take
 
     def _carry(self, out: list[Out]) -> None:
-        self._do(self.copying.carry(out))
+        self._do(self.replicator.carry(out))
 
     # ---- heartbeats, pulses, those who want news
 
     def _beat(self, _: Any) -> None:
         self._watch()
         now = self.loop.now
-        since = self.cistern.waiting_since()
+        since = self.storage.waiting_since()
         healthy = since is None or now - since < SICK
         if healthy:  # one whose disk does not answer keeps nothing, so it does not count
             self._say()
-        self._do(self.copying.tick(now, healthy))
+        self._do(self.replicator.tick(now, healthy))
         self.loop.at(now + BEAT, self._beat)
 
     def _say(self) -> None:
@@ -308,24 +308,24 @@
             self.settings.zone,
             view.pack() if view else None,
             self.peers.lively(self.loop.now),
-            self.copying.life,
+            self.replicator.life,
         ]
-        kind = "leaving" if self.succession.leaves else "core"
+        kind = "leaving" if self.view_manager.leaves else "core"
         backups = {address_of(peer): peer for peer in view.backups} if view and view.primary == self.own else {}
         for address in self._others():
             if address in backups:
                 self._ask_for_lease(backups[address], kind, body)
             else:
-                self.mains.tell(address, kind, body)
+                self.transport.tell(address, kind, body)
 
     def _others(self) -> list[Address]:
         """Whom it speaks to."""
         now, view = self.loop.now, self.view()
         members = {peer[0] for peer in view.witnesses} if view else set()
-        known = self.peers.called(now, members, self.succession.in_touch(now)) - {self.own[0]}
+        known = self.peers.called(now, members, self.view_manager.in_touch(now)) - {self.own[0]}
         return [address for address in map(parse_address, sorted(known)) if address is not None]
 
-    def _heard(self, conn: Conn, body: Any, answer: Answer, leaves: bool = False) -> None:
+    def _heard(self, conn: Connection, body: Any, answer: Answer, leaves: bool = False) -> None:
         peer, zone, now = seat(body[0]), str(body[1]), self.loop.clock()
         if int(body[4]) < self._lives.get(peer, 0):
             return  # of an earlier life, that was long on its way
@@ -335,26 +335,26 @@
         self.peers.heard(now, peer[0], map(str, body[3]))
         view = unpack(body[2]) if body[2] is not None else None
         self._leases.speaks(peer, view.number if view is not None else 0)
-        self._carry(self.succession.heard(now, peer, zone, view, leaves))
+        self._carry(self.view_manager.heard(now, peer, zone, view, leaves))
         answer(self._leases.grant(self.view(), peer, now))
         if leaves:
-            self._do(self.copying.leaving(now, peer))
+            self._do(self.replicator.leaving(now, peer))
 
-    def _leaving(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _leaving(self, conn: Connection, body: Any, answer: Answer) -> None:
         self._heard(conn, body, answer, leaves=True)
 
-    def _gone(self, conn: Conn, body: Any, _: Answer) -> None:
+    def _gone(self, conn: Connection, body: Any, _: Answer) -> None:
         peer = seat(body[:2])
         if int(body[2]) >= self._lives.get(peer, 0):  # else it was long on its way, and has begun anew since
             self.peers.gone(peer[0])
-            self.succession.gone(peer)
+            self.view_manager.gone(peer)
             self._leases.ended(peer)
 
     def _next_pulse(self) -> Version:
         """Above those of earlier lives: a primary that starts again in its view would give stale ones for hours."""
         view = self.view()
         self._tick_number += 1
-        return (view.number if view else 0, (self.copying.life << 32) + self._tick_number)
+        return (view.number if view else 0, (self.replicator.life << 32) + self._tick_number)
 
     def _pulse(self, _: Any) -> None:
         self._watch()
@@ -362,14 +362,14 @@
             self.outlet.publish(self._next_pulse(), [])
         self.loop.at(self.loop.now + PULSE, self._pulse)
 
-    def _digests(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _digests(self, conn: Connection, body: Any, answer: Answer) -> None:
         """A copy that does not serve may hold what is not in force, or was replaced."""
         if self.serving():
             self.outlet.mend(conn, body, answer)
         else:
             answer(None)
 
-    def _subscribe(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _subscribe(self, conn: Connection, body: Any, answer: Answer) -> None:
         """Only the primary gives news; others name it."""
         if self.serving():
             answer({})
--- a/oakvale/controlplane/drains.py
+++ b/oakvale/controlplane/drains.py
@@ -20,8 +20,8 @@
 from oakvale.drains.execution import KEPT, Course, outside
 from oakvale.drains.hours import Contract
 from oakvale.drains.planning import PUBLIC, Facts, Hours, Plan, plan, targets
-from oakvale.lifecycle.eventlog import Writer
-from oakvale.transport.links import Answer, Conn, Mains
+from oakvale.lifecycle.eventlog import EventLogger
+from oakvale.transport.links import Answer, Connection, Transport
 
 STEP = 500_000  # microseconds between two steps
 TELL = 1_000_000  # between two words of this machine's clock
@@ -29,15 +29,15 @@
 AGAIN = 10_000_000  # before an order of the file whose plan has obstacles is planned anew
 MOST_OUTSIDE = 500  # records of moves outside hours that are kept, the latest
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 class Drains:
     def __init__(
-        self, core: Core, loop: Loop, mains: Mains, path: str, pace: int, wall: Callable[[], int] | None = None
+        self, core: Core, loop: Loop, transport: Transport, path: str, pace: int, wall: Callable[[], int] | None = None
     ) -> None:
         """`pace`: between two moves, and what one takes to be in effect everywhere (the bound `apply`)."""
-        self._core, self._loop, self._mains, self._path = core, loop, mains, path
+        self._core, self._loop, self._transport, self._path = core, loop, transport, path
         self._wall = wall or (lambda: loop.net.unix_time() // 1000)
         self.contracts: contracts.Contracts | None = None
         self._serves_since: int | None = None
@@ -48,8 +48,8 @@
         self._config: tuple[int, tuple[str, ...]] = (-1, ())
         self._refused: dict[str, tuple[list[str], int]] = {}  # orders of the file, why and when
         self._stamp: tuple[int, int] | None = None
-        mains.handlers["clock"] = self._clock
-        mains.handlers["towed"] = self._towed
+        transport.handlers["clock"] = self._clock
+        transport.handlers["towed"] = self._towed
         core.on_change.append(self._turned)
         self.again()
         loop.at(loop.now, self._tell)
@@ -64,8 +64,8 @@
         try:
             self.contracts = contracts.load(self._path)
         except BadFile as error:
-            return note("contracts refused", "error", why=str(error))
-        note(
+            return log_event("contracts refused", "error", why=str(error))
+        log_event(
             "contracts",
             file=self._path,
             tenants=",".join(sorted(self.contracts.by_tenant)),
@@ -93,10 +93,10 @@
         if view is not None:
             for peer in view.witnesses:
                 if peer[0] != self._core.own[0]:
-                    self._mains.tell(address_of(peer), "clock", [self._core.own[0], wall])
+                    self._transport.tell(address_of(peer), "clock", [self._core.own[0], wall])
             self.clock.look(now, len({peer[0] for peer in view.witnesses} | {self._core.own[0]}))
 
-    def _clock(self, conn: Conn, body: Any, _: Answer) -> None:
+    def _clock(self, conn: Connection, body: Any, _: Answer) -> None:
         self.clock.hear(str(body[0]), int(body[1]), self._loop.now)
 
     def now(self) -> int | None:
@@ -105,7 +105,7 @@
     # ---- the hand
 
     def facts(self, now: int) -> Facts:
-        table = self._core.ledger.table
+        table = self._core.replicated_state.table
         held = table.get("config")
         if held is not None and held["gen"] != self._config[0]:
             data = orjson.loads(bytes(held["text"]))
@@ -157,7 +157,7 @@
             if (
                 self._loop.now - since < order.after
                 or self._loop.now - asked < AGAIN
-                or self._core.ledger.latest(f"drain/{order.name}") is not None
+                or self._core.replicated_state.latest(f"drain/{order.name}") is not None
             ):
                 continue
             entry, plan = self.entry(
@@ -174,17 +174,17 @@
                 return {f"drain/{order.name}": entry}
             self._refused[order.name] = (plan.obstacles, self._loop.now)
             if why != plan.obstacles:
-                note("order of the file waits", "warning", order=order.name, why="; ".join(plan.obstacles)[:300])
+                log_event("order of the file waits", "warning", order=order.name, why="; ".join(plan.obstacles)[:300])
         return {}
 
     def _step(self, _: Any) -> None:
         self._loop.at(self._loop.now + STEP, self._step)
-        now, table = self.now(), self._core.ledger.table
+        now, table = self.now(), self._core.replicated_state.table
         if not self._core.serving() or self._writing or now is None or self.contracts is None:
             return
         if self.contracts.orders and (given := self._written_ahead(now)):
             self._writing = True
-            note("drain ordered", order=next(iter(given)), by="the file of contracts")
+            log_event("drain ordered", order=next(iter(given)), by="the file of contracts")
             return self._core.change(given, self._written)
         orders, records = table.items("drain/"), table.items("outside/")
         calm = len(orders) <= KEPT and not any(
@@ -203,13 +203,13 @@
             self._writing = True
             for key, value in changes.items():
                 if value is not None and value["state"] != (table.get(key) or {}).get("state"):
-                    note("drain", key=key, state=value["state"], why=value.get("why_state", ""))
+                    log_event("drain", key=key, state=value["state"], why=value.get("why_state", ""))
             self._core.change(changes, self._written)
 
     def _written(self, done: bool) -> None:
         self._writing = False
 
-    def _towed(self, conn: Conn, body: Any, _: Answer) -> None:
+    def _towed(self, conn: Connection, body: Any, _: Answer) -> None:
         if self._core.serving():
             node, life = str(body[0]), str(body[1])
             for key, away, began, left, ends in body[2]:
@@ -217,16 +217,16 @@
 
     def leaves(self, name: str, why: str) -> dict[str, Any]:
         """What is to be written with a backend's own leaving: whose hours it did not ask."""
-        if self.contracts is None or self._core.ledger.latest(f"outside/{name}") is not None:
+        if self.contracts is None or self._core.replicated_state.latest(f"outside/{name}") is not None:
             return {}
         record = outside(self.facts(self.now() or 0), self.hours, name, why)
         if record is None:
             return {}
-        note("moved outside hours", "warning", backend=name, why=why, tenants=",".join(record["tenants"]))
+        log_event("moved outside hours", "warning", backend=name, why=why, tenants=",".join(record["tenants"]))
         return {f"outside/{name}": record}
 
     def told(self, only: str = "") -> dict[str, Any]:
-        table, now = self._core.ledger.table, self.now()
+        table, now = self._core.replicated_state.table, self.now()
         return {"time": report.stamp(now) if now is not None else "unknown: the clocks don't agree"} | report.told(
             table.items("drain/"), table.items("move/"), table.items("outside/"), only
         )
--- a/oakvale/controlplane/failover_planning.py
+++ b/oakvale/controlplane/failover_planning.py
@@ -14,8 +14,8 @@
 from oakvale.controlplane.resources import Backends
 from oakvale.failover.chains import Chains, Load, apart, pack, plan, unpack
 from oakvale.failover.places import hierarchy
-from oakvale.lifecycle.eventlog import Writer
-from oakvale.transport.links import Answer, Conn, Mains
+from oakvale.lifecycle.eventlog import EventLogger
+from oakvale.transport.links import Answer, Connection, Transport
 
 if TYPE_CHECKING:
     from oakvale.config.chains import Given  # its imports cost, and most systems have no chains
@@ -29,13 +29,13 @@
 QUIET = 2.5  # beats that all backends of a place must miss
 MASS = 0.5  # of the places: where more fall silent, it is rather the way from them to here that broke
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 Key = tuple[str, str]  # zone and service
 
 
 class Planning:
     def __init__(
-        self, core: Core, backends: Backends, loop: Loop, mains: Mains, settings: Settings, given: Given | None
+        self, core: Core, backends: Backends, loop: Loop, transport: Transport, settings: Settings, given: Given | None
     ) -> None:
         self._core, self._backends, self._loop, self._given, self._settings = core, backends, loop, given, settings
         self._capacity: dict[Key, float] = {}  # as keepers measured
@@ -44,18 +44,20 @@
         self._before: list[tuple[int, Chains]] = []  # versions, and until when a gateway may go by each
         self._last = -LEAST
         core.on_change.append(self._turned)
-        mains.handlers["chains"] = lambda conn, body, answer: answer({"held": core.ledger.table.get("chains")})
+        transport.handlers["chains"] = lambda conn, body, answer: answer(
+            {"held": core.replicated_state.table.get("chains")}
+        )
         if given is not None:
-            mains.handlers["flows"] = self._flows
+            transport.handlers["flows"] = self._flows
             loop.at(loop.now + ROUND, self._look)
 
     def _turned(self, serves: bool) -> None:
         self._capacity, self._loads, self._planned, self._before = {}, {}, None, []
-        left = [key for key in ("chains", "quiet") if self._core.ledger.latest(key) is not None]
+        left = [key for key in ("chains", "quiet") if self._core.replicated_state.latest(key) is not None]
         if serves and self._given is None and left:
             self._core.change(dict.fromkeys(left), lambda done: None)
 
-    def _flows(self, conn: Conn, body: Any, _: Answer) -> None:
+    def _flows(self, conn: Connection, body: Any, _: Answer) -> None:
         service = str(body[0])
         for zone, slots in body[1].items():
             self._capacity[str(zone), service] = float(slots)
@@ -68,10 +70,10 @@
     def _look(self, _: Any) -> None:
         now = self._loop.now
         self._loop.at(now + ROUND, self._look)
-        if not self._core.serving() or self._core.ledger.waits():
+        if not self._core.serving() or self._core.replicated_state.waits():
             return
         assert self._given is not None
-        listed = dict(self._core.ledger.table.items("backend/"))
+        listed = dict(self._core.replicated_state.table.items("backend/"))
         told: dict[Key, float] = {}
         for value in listed.values():
             if value["state"] == "ready":
@@ -91,14 +93,14 @@
             if slots > 0
         }
         loads = [Load(home, service, rank, work) for (home, service, rank), work in sorted(self._loads.items()) if work]
-        roster = frozenset(node for node, _ in self._core.ledger.table.items("gate/"))
+        roster = frozenset(node for node, _ in self._core.replicated_state.table.items("gate/"))
         asked: dict[Key, float] = {}
         for load in loads:
             asked[load.home, load.service] = asked.get((load.home, load.service), 0.0) + load.work
         if now - self._last >= LEAST and roster and self._differs(capacity, asked, roster):
             self._last, self._planned = now, (capacity, asked, roster)
             zones = {zone: "" for zone, _ in told} | self._settings.zones
-            held = self._core.ledger.table.get("chains")
+            held = self._core.replicated_state.table.get("chains")
             self._before = [(until, chains) for until, chains in self._before if until > now]
             if held is not None:
                 self._before.append((now + OLD, unpack(held)))
@@ -106,7 +108,7 @@
             made = plan(version, places, capacity, loads, roster, self._given.headroom, [c for _, c in self._before])
             changes["chains"] = pack(made)
             short = made.short(1)
-            note(
+            log_event(
                 "chains",
                 version=made.version,
                 places=len(made.hierarchy.places()),
@@ -131,5 +133,5 @@
         quiet = sorted(list(key) for key, all_silent in by_place.items() if all(all_silent))
         if len(quiet) > MASS * len(by_place):
             quiet = []
-        if quiet != (self._core.ledger.table.get("quiet") or []):
+        if quiet != (self._core.replicated_state.table.get("quiet") or []):
             changes["quiet"] = quiet
--- a/oakvale/controlplane/process.py
+++ b/oakvale/controlplane/process.py
@@ -23,35 +23,35 @@
 from oakvale.controlplane.failover_planning import Planning
 from oakvale.controlplane.membership import Gates
 from oakvale.controlplane.status import standing
-from oakvale.controlplane.voter import Jury
+from oakvale.controlplane.voter import VoterService
 from oakvale.lifecycle.acceptor import Acceptor
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.lifecycle.signals import Signals
 from oakvale.shared import Shared
-from oakvale.storage.store import Cistern
-from oakvale.transport.links import Mains
+from oakvale.storage.store import Storage
+from oakvale.transport.links import Transport
 from oakvale.transport.status_service import offer
 
 if TYPE_CHECKING:
     from oakvale.config.chains import Given
     from oakvale.controlplane.drains import Drains
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 SWEEP = 1_000_000
 BROKEN = 3  # the status to end with: the next start puts the file aside, and is let in as a seat without state
 READY = 3_000_000  # after it began to serve; by then, who waited for it has been served
 OPENS, PAUSE = 50, 0.2  # tries at the disk at the start, and seconds between them
 
 
-def _opened(loop: Loop, folder: str) -> Cistern:
+def _opened(loop: Loop, folder: str) -> Storage:
     """A disk in trouble refuses for a while; a process that ends for that would only begin again."""
     for tries in range(OPENS):
         try:
-            return Cistern(loop, folder)
+            return Storage(loop, folder)
         except (sqlite3.Error, OSError) as error:
             if tries == OPENS - 1:
                 raise BadFile(f"[self] datadir {folder}: {error}") from error
-            note("disk refuses", "warning", why=str(error))
+            log_event("disk refuses", "warning", why=str(error))
             time.sleep(PAUSE)
     raise AssertionError
 
@@ -67,33 +67,33 @@
     """All that runs on the loop, but for what the operating system tells."""
 
     def __init__(
-        self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop, opened: Callable[[], Cistern]
+        self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop, opened: Callable[[], Storage]
     ) -> None:
         """`opened` gives the disk, and may take a while. Raises BadFile, OSError."""
         self.loop = loop
-        self.mains = Mains(loop, (settings.ip, settings.ports[0]))
-        self.mains.listen()
-        self.cistern = opened()
-        self.core = core = Core(loop, self.mains, settings, self.cistern)
-        jury = Jury(loop, self.mains, self.cistern, settings.bootstrap, core.is_witness)
-        Gates(core, jury, loop, self.mains)
+        self.transport = Transport(loop, (settings.ip, settings.ports[0]))
+        self.transport.listen()
+        self.storage = opened()
+        self.core = core = Core(loop, self.transport, settings, self.storage)
+        voter_service = VoterService(loop, self.transport, self.storage, settings.bootstrap, core.is_witness)
+        Gates(core, voter_service, loop, self.transport)
         Pruning(core, loop)
-        offer(self.mains, "headworks", settings.node, lambda: standing(core))
+        offer(self.transport, "headworks", settings.node, lambda: standing(core))
         self.shared = Shared(loop, bounds(settings))
         self._ctl = Ctl(self.shared, core, settings)
         self.acceptor = Acceptor(self._ctl, listeners["ctl"], loop)
         self._drains: Drains | None = None
         self.know = core.know
         loop.at(loop.now + SWEEP, self._sweep)
-        note("headworks", node=settings.node, own=core.own[0], incarnation=core.own[1])
+        log_event("headworks", node=settings.node, own=core.own[0], incarnation=core.own[1])
 
     def _sweep(self, _: object) -> None:
-        self.mains.sweep()
+        self.transport.sweep()
         self.loop.at(self.loop.now + SWEEP, self._sweep)
 
     def plan(self, settings: Settings, given: Given | None) -> None:
         """Works out failover chains, where they are wanted."""
-        Planning(self.core, self._ctl.backends, self.loop, self.mains, settings, given)
+        Planning(self.core, self._ctl.backends, self.loop, self.transport, settings, given)
 
     def contracts(self, settings: Settings) -> None:
         """At the start and on SIGHUP; a file that is there is looked at anew by itself."""
@@ -102,7 +102,7 @@
         elif os.path.exists(settings.contracts):
             from oakvale.controlplane.drains import Drains  # its imports cost, and most systems have no contracts
 
-            self._drains = Drains(self.core, self.loop, self.mains, settings.contracts, settings.bounds.apply)
+            self._drains = Drains(self.core, self.loop, self.transport, settings.contracts, settings.bounds.apply)
             self._ctl.offer(self._drains)
 
     def stop(self) -> None:
@@ -132,7 +132,7 @@
         process.contracts(settings)
 
     process.contracts(settings)
-    process.cistern.on_broken = loop.stop
+    process.storage.on_broken = loop.stop
     loop.start(signals.run(process.stop, again), signals.fileno(), Rank.DISCOVERY)
     gc.collect()
     gc.freeze()
@@ -140,11 +140,11 @@
         loop.run()
     finally:
         loop.end(process.acceptor.task)
-        process.cistern.close()
+        process.storage.close()
         loop.close()
         signals.close()
-    if process.cistern.broken:
-        note("ends, its file is broken", "error", node=settings.node)
+    if process.storage.broken:
+        log_event("ends, its file is broken", "error", node=settings.node)
         return BROKEN
-    note("stopped", node=settings.node)
+    log_event("stopped", node=settings.node)
     return 0
--- a/oakvale/controlplane/replicated_state.py
+++ b/oakvale/controlplane/replicated_state.py
@@ -25,7 +25,7 @@
     owed: set[Seat] = field(default_factory=set)  # those that have not synced it yet, this seat among them
 
 
-class Ledger:
+class ReplicatedState:
     def __init__(self) -> None:
         self.table = Table()  # in force, or received as a backup
         self._pending: deque[Pending] = deque()
--- a/oakvale/controlplane/replication.py
+++ b/oakvale/controlplane/replication.py
@@ -23,7 +23,7 @@
 from oakvale.controlplane import chunks
 from oakvale.controlplane.chunks import Cut
 from oakvale.controlplane.failure_domains import Domains
-from oakvale.controlplane.replicated_state import Ledger, Then
+from oakvale.controlplane.replicated_state import ReplicatedState, Then
 from oakvale.controlplane.view_change import (
     FOUNDER,
     Durable,
@@ -31,8 +31,8 @@
     Out,
     Say,
     Seat,
-    Succession,
     View,
+    ViewManager,
     founded,
     seat,
     unpack,
@@ -182,7 +182,7 @@
     waits: set[Seat] = field(default_factory=set)
 
 
-class Copying:
+class Replicator:
     """One seat, from one start to its end."""
 
     def __init__(
@@ -197,8 +197,8 @@
         domains: Domains | None = None,
     ) -> None:
         self.own, self.life = began.own, began.life
-        self.succession = Succession(began.own, began.durable, copies, silence, patience, zone, domains)
-        self.ledger = Ledger()  # another one once a primary has sent its state
+        self.view_manager = ViewManager(began.own, began.durable, copies, silence, patience, zone, domains)
+        self.replicated_state = ReplicatedState()  # another one once a primary has sent its state
         self.active = False
         self._released = 0  # the view whose primary said that this seat, which leaves, may go
         self._said = 0  # to backups in this life
@@ -213,7 +213,7 @@
         self._writes: dict[int, tuple[Any, ...]] = {}  # what follows each write
         self._asks: dict[int, tuple[Any, ...]] = {}  # what each question that is out was about
         self._out: list[Do] = []
-        self.ledger.take(
+        self.replicated_state.take(
             [
                 (key, (version[0], version[1]), value)
                 for key, version, value in ((key, *cbor2.loads(data)) for key, data in rows)
@@ -223,7 +223,7 @@
         self._clear()
 
     def view(self) -> View | None:
-        return self.succession.state.view
+        return self.view_manager.state.view
 
     def flush(self) -> list[Do]:
         out, self._out = self._out, []
@@ -244,7 +244,7 @@
             behind and self._planned or taken & set(changes) or chunks.size_of(changes) > chunks.INLINE
         ):
             self._planned.append(Planned(changes, then))
-            self.ledger.planned.append(changes)
+            self.replicated_state.planned.append(changes)
             if len(self._planned) == 1:
                 self._stage()
         else:
@@ -258,54 +258,54 @@
 
     def tick(self, now: int, healthy: bool = True) -> list[Do]:
         """Several times a second; see `Succession.tick`."""
-        self._carry(self.succession.tick(now, healthy, self.active))
+        self._carry(self.view_manager.tick(now, healthy, self.active))
         return self.flush()
 
     def leaving(self, now: int, peer: Seat) -> list[Do]:
         """A peer that was just heard says that it is told to end, again and again until it goes."""
-        self._carry(self.succession.tick(now, whole=self.active))
+        self._carry(self.view_manager.tick(now, whole=self.active))
         view = self.view()
         if view is not None and self._releases(now, peer, view):
-            self.succession.let_go(peer)
+            self.view_manager.let_go(peer)
             self._out.append(Tell(peer, "released", [view.number]))
         return self.flush()
 
     def _releases(self, now: int, peer: Seat, view: View) -> bool:
         """As primary: nothing gets worse by a peer's end, or nobody can take its place."""
-        succession = self.succession
+        view_manager = self.view_manager
         if not self._serves(view):
             return False
-        if succession.too_few_stay(now, peer, view):
+        if view_manager.too_few_stay(now, peer, view):
             return True
         return (
             peer not in view.copies
-            and all(succession.stays(b, now) for b in view.backups)
-            and succession.wanted(now, view, True) is None
+            and all(view_manager.stays(b, now) for b in view.backups)
+            and view_manager.wanted(now, view, True) is None
         )
 
     def _serves(self, view: View) -> bool:
         """In this very view: what is active just before another came to disk was active in the one before."""
-        return self.active and view.primary == self.own and self.succession.on_disk(view)
+        return self.active and view.primary == self.own and self.view_manager.on_disk(view)
 
     def released(self, view: int) -> None:
         self._released = max(self._released, view)
 
     def leave(self) -> None:
         """This seat is told to end."""
-        self.succession.leaves = True
+        self.view_manager.leaves = True
 
     def may_go(self, now: int) -> bool:
         """Whether this seat, which is told to end, leaves as many complete copies and as large a majority as can be
         without it: not while it is the only complete copy, nor before a view without it among the copies is whole."""
-        view, succession = self.view(), self.succession
-        if view is None or self.own not in view.witnesses and succession.state.complete < view.number - 1:
+        view, view_manager = self.view(), self.view_manager
+        if view is None or self.own not in view.witnesses and view_manager.state.complete < view.number - 1:
             return True  # it has no part in the view, nor in the one before it
-        if not succession.too_few_stay(now, self.own, view):
+        if not view_manager.too_few_stay(now, self.own, view):
             return self._released == view.number and self.own not in view.copies
         if self.own == view.primary:
             return self._serves(view)
-        whole = self.own not in view.copies or succession.state.complete == view.number
-        return whole and (succession.alive(view.primary, now) or succession.said_to_leave(view.primary))
+        whole = self.own not in view.copies or view_manager.state.complete == view.number
+        return whole and (view_manager.alive(view.primary, now) or view_manager.said_to_leave(view.primary))
 
     def written(self, number: int) -> list[Do]:
         kind, *about = self._writes.pop(number)
@@ -315,18 +315,18 @@
         elif kind == "synced":
             self._synced(self.own, about[0])
         elif kind == "kept":
-            self._carry(self.succession.kept(about[0]))
+            self._carry(self.view_manager.kept(about[0]))
         elif kind == "append":
             view, sender, ticket = about
             self._out.append(Reply(ticket, self._follows(view, sender)))
         elif kind == "piece":
             self._out.append(Reply(about[0], True))
         elif kind == "sync":
-            self._carry(self.succession.synced(about[0].number))
+            self._carry(self.view_manager.synced(about[0].number))
             self._write(("fact", ("last-sync", str(about[0].number).encode())), ("complete", *about))
         elif kind == "complete":
             view, sender, ticket = about
-            state = self.succession.state
+            state = self.view_manager.state
             complete = self._follows(view, sender) and state.complete == view.number
             self._out.append(Reply(ticket, "void" if state.void == view.number else complete))
         return self.flush()
@@ -361,8 +361,8 @@
 
     def _propose(self, view: View, changes: dict[str, Any], then: Then, cut: Cut | None = None) -> None:
         """`cut`: the pieces of its large values, which the backups hold."""
-        before = self.ledger.last
-        entries = self.ledger.propose(changes, {self.own, *view.backups}, then)
+        before = self.replicated_state.last
+        entries = self.replicated_state.propose(changes, {self.own, *view.backups}, then)
         up_to = entries[-1][1]
         self._write(("rows", _rows(entries)), ("synced", up_to))
         large = [
@@ -395,7 +395,7 @@
     def _offer(self, backup: Seat, view: View, transfer: Transfer, now: bool = False) -> None:
         """The state as it is now, where little of it is lacking; else as it was when its pieces were counted, and what
         came since goes in another round."""
-        entries = self.ledger.everything()
+        entries = self.replicated_state.everything()
         made = chunks.cut(entries)
         size = sum(len(piece) for name, piece in made.pieces.items() if name not in transfer.known)
         if now or size <= chunks.INLINE:
@@ -426,7 +426,7 @@
                 self._send_all(backup, view)
         else:
             if answer == "void":
-                self.succession.voided_by_backup(view.number)
+                self.view_manager.voided_by_backup(view.number)
             self._failed(backup, view)
 
     def _lacked(self, backup: Seat, view: View, transfer: Transfer, answer: Iterable[Any]) -> None:
@@ -483,7 +483,7 @@
                     )
                 return
             self._planned.popleft()
-            self.ledger.planned.pop(0)
+            self.replicated_state.planned.pop(0)
             self._propose(view, planned.changes, planned.then, cut)
 
     def _offer_answered(self, backup: Seat, view: View, answer: Any) -> None:
@@ -503,7 +503,7 @@
         if not self._planned[0].waits:
             planned, view = self._planned.popleft(), self.view()
             assert view is not None
-            self.ledger.planned.pop(0)
+            self.replicated_state.planned.pop(0)
             cut = chunks.cut_change([(key, NOTHING, value) for key, value in planned.changes.items()])
             self._propose(view, planned.changes, planned.then, cut)
             self._stage()
@@ -515,15 +515,15 @@
         self._out.append(Turned(True))
 
     def _synced(self, who: Seat, up_to: Version) -> None:
-        came = self.ledger.synced(who, up_to)
+        came = self.replicated_state.synced(who, up_to)
         if came:
             self._out.append(News(came))
             self._clear()
-        self._out += [Told(then, True) for then in self.ledger.settled()]
+        self._out += [Told(then, True) for then in self.replicated_state.settled()]
 
     def _clear(self) -> None:
         """What the table has forgotten goes from the disk, behind the floor that it was forgotten for."""
-        gone, self.ledger.forgotten = self.ledger.forgotten, []
+        gone, self.replicated_state.forgotten = self.replicated_state.forgotten, []
         if gone:
             self._write(("gone", gone), ("gone",))
 
@@ -539,12 +539,12 @@
 
     def _append(self, body: Any, ticket: Any) -> None:
         view, sender, large = unpack(body[0]), seat(body[1]), [1, body[5], []]
-        if not self._in_order(view, sender, body[2]) or self.succession.state.complete != view.number:
+        if not self._in_order(view, sender, body[2]) or self.view_manager.state.complete != view.number:
             return self._out.append(Reply(ticket, False))
         if not self._follows_on((int(body[3][0]), int(body[3][1]))) or chunks.lacking(large, self._staged):
             return self._out.append(Reply(ticket, False))
         entries = sorted(unpack_entries(body[4]) + chunks.join(large, self._staged), key=lambda entry: entry[1])
-        self.ledger.take(entries)
+        self.replicated_state.take(entries)
         self._write(("rows", _rows(entries)), ("append", view, sender, ticket))
         if body[5]:
             self._unstage(set())
@@ -552,24 +552,24 @@
 
     def _follows_on(self, before: Version) -> bool:
         """Something before it did not arrive otherwise: an answer would vouch for that too."""
-        return self.ledger.table.high == before
+        return self.replicated_state.table.high == before
 
     def _sync(self, body: Any, ticket: Any) -> None:
         view, sender, manifest = unpack(body[0]), seat(body[1]), body[3]
-        self._carry(self.succession.learn(view))
+        self._carry(self.view_manager.learn(view))
         if not self._in_order(view, sender, body[2]):
             return self._out.append(Reply(ticket, False))
         held = self._staged | {chunks.name_of(piece): bytes(piece) for piece in body[4]}
         lacks = chunks.lacking(manifest, held)
         if lacks and manifest[0]:
-            held |= chunks.cut(self.ledger.everything(), int(manifest[0])).pieces
+            held |= chunks.cut(self.replicated_state.everything(), int(manifest[0])).pieces
             lacks = chunks.lacking(manifest, held)
         if lacks:
             return self._want(manifest, lacks, ticket)
         entries = chunks.join(manifest, held)
         self._resign()
-        self.ledger = Ledger()
-        self.ledger.table.put(entries)
+        self.replicated_state = ReplicatedState()
+        self.replicated_state.table.put(entries)
         self._staged, self._wanted = {}, set()
         self._out.append(Replaced())
         self._write(("whole", _rows(entries)), ("sync", view, sender, ticket))
@@ -643,9 +643,9 @@
         if self.own not in view.backups:
             self._wanted = set()
             self._unstage(set())
-        if self.succession.is_primary():
-            self.ledger.start(view.number)
-            self.ledger.owed_by(set(view.backups), self.own)
+        if self.view_manager.is_primary():
+            self.replicated_state.start(view.number)
+            self.replicated_state.owed_by(set(view.backups), self.own)
             for backup in view.backups:
                 self._send_all(backup, view)
             self._activate(view)
@@ -656,13 +656,13 @@
 
     def _resign(self) -> None:
         self._forgo()
-        self._out += [Told(then, False) for then in self.ledger.abandon()]
+        self._out += [Told(then, False) for then in self.replicated_state.abandon()]
         self._out.append(Resigned())
 
     def _forgo(self) -> None:
         """Changes that were not made yet."""
         gone, self._planned = self._planned, deque()
-        self.ledger.planned = []
+        self.replicated_state.planned = []
         self._out += [Told(planned.then, False) for planned in gone]
 
     # ---- numbers
--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -22,7 +22,7 @@
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.view_change import View
 from oakvale.dissemination.table import PRIVATE
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 
 if TYPE_CHECKING:  # of use only with contracts, or to a primary
     from oakvale.config.model import Configuration, Read
@@ -38,7 +38,7 @@
 LOST_BEATS = 4  # without so many a backend counts as crashed
 MASS = 0.34  # where more than this share falls silent at once, it is rather the way to here that broke
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 @dataclass(slots=True, frozen=True)
@@ -128,7 +128,7 @@
         except StopIteration as ended:
             checked = self._keep(text, *ended.value)
         except model.Invalid as error:
-            note("configuration refused", why=str(error)[:200])
+            log_event("configuration refused", why=str(error)[:200])
             refused = problem(400, str(error))
         finally:
             if not goes_on:
@@ -149,7 +149,7 @@
         return checked
 
     def _judge(self, order: Checked, body: bytes, give: Give) -> None:
-        held = self._core.ledger.latest("config")
+        held = self._core.replicated_state.latest("config")
         known, forgotten = self._taken()
         changes: dict[str, Any] = {}
         if held is not None and held["gen"] not in known:  # from before such digests were kept
@@ -161,7 +161,7 @@
         if order.gen in known:
             if known[order.gen][1] == order.digest:
                 return self._core.confirm(told(Reply(200)), behind=True)
-            note("configuration refused", why=f"another content of gen {order.gen}")
+            log_event("configuration refused", why=f"another content of gen {order.gen}")
             no = problem(409, f"gen {order.gen}: taken with another content, which stays")
             return self._core.confirm(told(no), behind=True)
         if forgotten is not None and order.gen <= forgotten:
@@ -170,7 +170,7 @@
         changes |= _remember(known, order.gen, order.digest)
         # what gateways are sent as well comes last, so that when all is still they are as far as the core
         if held is None or order.gen > held["gen"]:
-            note("configuration", gen=order.gen, routes=order.routes, bytes=len(body))
+            log_event("configuration", gen=order.gen, routes=order.routes, bytes=len(body))
             changes["config"] = {"gen": order.gen, "text": body}
         else:
             changes["confirmed"] = None
@@ -178,7 +178,7 @@
 
     def _taken(self) -> tuple[dict[int, tuple[str, bytes]], int | None]:
         """Number -> its place and digest, with what waits to come into force; and up to which numbers are forgotten."""
-        taken = self._core.ledger.latest_items(TAKEN)
+        taken = self._core.replicated_state.latest_items(TAKEN)
         forgotten = taken.pop(FORGOTTEN, None)
         return {int(gen): (place, digest) for place, (gen, digest) in taken.items()}, forgotten
 
@@ -193,7 +193,7 @@
 
     def read(self, rest: str, body: bytes, give: Give) -> None:
         def confirmed(done: bool) -> None:
-            held = self._core.ledger.table.get("config")
+            held = self._core.replicated_state.table.get("config")
             if not done:
                 give(UNSURE)
             elif held is None:
@@ -234,35 +234,35 @@
         if not ID.fullmatch(name) or parse_address(said["addr"]) is None:
             return give(problem(400, "no id or no address"))
         key = f"backend/{name}"
-        held = self._core.ledger.latest(key)
+        held = self._core.replicated_state.latest(key)
         self._seen[name] = self._loop.now
         yes = Reply(200, orjson.dumps({"beat-url": self._url}))
         late = calls and calls <= max(self._calls.get(name, 0), held["calls"] if held else 0)
-        gone = held is None and self._core.ledger.table.version(key) != (0, 0) and said["state"] != "ready"
-        if late or gone or self._core.ledger.latest(f"left/{name}") is not None:
+        gone = held is None and self._core.replicated_state.table.version(key) != (0, 0) and said["state"] != "ready"
+        if late or gone or self._core.replicated_state.latest(f"left/{name}") is not None:
             return give(yes)
         self._calls[name] = calls
         if held is not None and all(held[field] == value for field, value in said.items()):
             return (
                 give(yes)
-                if not self._core.ledger.waits()
+                if not self._core.replicated_state.waits()
                 else self._core.when_settled(lambda done: give(yes if done else UNSURE))
             )
         changes: dict[str, Any] = {key: said | {"calls": calls, "warm": warm}}
-        for other, value in self._core.ledger.table.items("backend/"):
+        for other, value in self._core.replicated_state.table.items("backend/"):
             if other != name and value["addr"] == said["addr"]:
                 changes[f"backend/{other}"] = None  # its address has another's life now
                 changes |= self.leaves(other, "replaced")
         if held is not None and held["state"] == "ready" != said["state"]:
             changes |= self.leaves(name, "drain")
-        note("backend", backend=name, svc=said["svc"], state=said["state"], addr=said["addr"])
+        log_event("backend", backend=name, svc=said["svc"], state=said["state"], addr=said["addr"])
         self._core.change(changes, lambda done: give(yes if done else UNSURE))
 
     def leave(self, name: str, body: bytes, give: Give) -> None:
         self._seen.pop(name, None)
-        if self._core.ledger.latest(f"backend/{name}") is None:
+        if self._core.replicated_state.latest(f"backend/{name}") is None:
             return self._core.confirm(lambda done: give(Reply(200) if done else UNSURE))
-        note("backend leaves", backend=name)
+        log_event("backend leaves", backend=name)
         self._core.change(
             {f"backend/{name}": None, f"left/{name}": 1} | self.leaves(name, "left"),
             lambda done: give(Reply(200) if done else UNSURE),
@@ -271,13 +271,17 @@
     def silent(self, span: int) -> list[str]:
         """Those on the list that have not beaten for so long."""
         now = self._loop.now
-        return [name for name, _ in self._core.ledger.table.items("backend/") if now - self._seen.get(name, now) > span]
+        return [
+            name
+            for name, _ in self._core.replicated_state.table.items("backend/")
+            if now - self._seen.get(name, now) > span
+        ]
 
     def _turned(self, serves: bool) -> None:
         """A new primary heard nothing before: silence counts from now."""
         if serves:
             now = self._loop.now
-            self._seen = {name: now for name, _ in self._core.ledger.table.items("backend/")}
+            self._seen = {name: now for name, _ in self._core.replicated_state.table.items("backend/")}
             self._calls.clear()
 
     def _sweep(self, _: Any) -> None:
@@ -287,7 +291,7 @@
         self._loop.at(now + self._beat, self._sweep)
         if not self._core.serving():
             return
-        listed = [name for name, _ in self._core.ledger.table.items("backend/")]
+        listed = [name for name, _ in self._core.replicated_state.table.items("backend/")]
         for name in set(self._calls) - set(listed):
             if now - self._seen.get(name, 0) > LEFT:
                 del self._calls[name]
@@ -299,7 +303,7 @@
             or len(silent) == len(quiet) < len(listed)
             and now - min(self._seen[name] for name in silent) > 4 * LOST_BEATS * self._beat
         ):
-            note("backends are silent", "warning", backends=",".join(silent))
+            log_event("backends are silent", "warning", backends=",".join(silent))
             changes: dict[str, Any] = {f"backend/{name}": None for name in silent}
             for name in silent:
                 changes |= self.leaves(name, "silent")
@@ -335,12 +339,12 @@
         if now is None:
             return give(problem(503, "the clocks of the core machines don't agree on the time yet"))
         given = {"kind": form.kind, "target": form.target, "by": form.by, "why": form.why, "due": form.due_at()}
-        held = self._core.ledger.latest(f"drain/{name}") if keep else None
+        held = self._core.replicated_state.latest(f"drain/{name}") if keep else None
         if held is not None:
             if any(held[field] != value for field, value in given.items()):
                 return give(problem(409, "another order has this name"))
             return self._core.confirm(lambda done: give(Reply(200) if done else UNSURE))
-        if keep and any(key.startswith("drain/") for key in self._core.ledger.waiting()):
+        if keep and any(key.startswith("drain/") for key in self._core.replicated_state.waiting()):
             return give(UNSURE)  # another order is being kept: this one's plan has to know it
         entry, plan = self._drains.entry(given, now)
         told = report.of_plan(plan)
@@ -348,7 +352,7 @@
             return give(Reply(200, orjson.dumps(told)))
         if plan.obstacles:
             return give(Reply(409, orjson.dumps({"error": "; ".join(plan.obstacles), "plan": told})))
-        note("drain ordered", order=name, kind=form.kind, target=form.target, by=form.by)
+        log_event("drain ordered", order=name, kind=form.kind, target=form.target, by=form.by)
         self._core.change(
             {f"drain/{name}": entry}, lambda done: give(Reply(200, orjson.dumps(told)) if done else UNSURE)
         )
@@ -361,12 +365,12 @@
             form = contracts.order(contracts.Cancelled, body)
         except contracts.BadOrder as error:
             return give(problem(400, str(error)))
-        held = self._core.ledger.latest(f"drain/{name}")
+        held = self._core.replicated_state.latest(f"drain/{name}")
         if held is None:
             return give(problem(404, "no such order"))
         if held["cancelled"] or held["state"] == "done":
             return self._core.confirm(lambda done: give(Reply(200) if done else UNSURE))
-        note("drain cancelled", order=name, by=form.by)
+        log_event("drain cancelled", order=name, by=form.by)
         entry = held | {
             "state": "cancelled",
             "cancelled": True,
@@ -379,7 +383,7 @@
         def confirmed(done: bool) -> None:
             if not done:
                 give(UNSURE)
-            elif name and self._core.ledger.table.get(f"drain/{name}") is None:
+            elif name and self._core.replicated_state.table.get(f"drain/{name}") is None:
                 give(problem(404, "no such order"))
             else:
                 give(Reply(200, orjson.dumps(self._drains.told(name))))
--- a/oakvale/controlplane/status.py
+++ b/oakvale/controlplane/status.py
@@ -9,8 +9,8 @@
 
 
 def standing(core: Core) -> dict[str, Any]:
-    now, view, table = core.loop.now, core.view(), core.ledger.table
-    held, since = table.get("config"), core.cistern.waiting_since()
+    now, view, table = core.loop.now, core.view(), core.replicated_state.table
+    held, since = table.get("config"), core.storage.waiting_since()
     fields: dict[str, Any] = {"own": core.own[0], "incarnation": core.own[1], "view": view.number if view else 0}
     if view is not None:
         place = (
@@ -20,7 +20,7 @@
             if core.own in view.backups
             else ("witness" if core.own in view.witnesses else "none")
         )
-        silent = [peer[0] for peer in view.witnesses if not core.succession.alive(peer, now)]
+        silent = [peer[0] for peer in view.witnesses if not core.view_manager.alive(peer, now)]
         fields |= {
             "place": place,
             "primary": view.primary[0],
@@ -32,10 +32,10 @@
         fields
         | {
             "serving": core.serving(),
-            "complete": core.succession.state.complete,
+            "complete": core.view_manager.state.complete,
             "gen": held["gen"] if held else -1,
             "news": "/".join(map(str, table.high)),
-            "waits": core.ledger.waits(),
+            "waits": core.replicated_state.waits(),
             "disk_waits_ms": 0 if since is None else (now - since) // MS,
             "relays": len(core.outlet),
             "gateways": ",".join(sorted(node for node, _ in table.items("gate/"))),
--- a/oakvale/controlplane/view_change.py
+++ b/oakvale/controlplane/view_change.py
@@ -161,7 +161,7 @@
     chosen: View | None = None  # the value put to the vote, once a majority has promised
 
 
-class Succession:
+class ViewManager:
     """One seat's part. Times are microseconds of a steady clock that only the caller reads."""
 
     def __init__(
--- a/oakvale/dataplane/backend_protocol.py
+++ b/oakvale/dataplane/backend_protocol.py
@@ -24,7 +24,7 @@
         own = [
             (b"attempt-id", request.id.encode("latin-1")),
             (b"time-left", b"%d" % (left // 1000)),
-            (b"backend", order.lane.backend_id(attempt.backend).encode("latin-1")),
+            (b"backend", order.driver.backend_id(attempt.backend).encode("latin-1")),
         ]
         if order.tenant is not None:
             own.append((b"tenant", order.tenant.encode("latin-1")))
@@ -43,7 +43,7 @@
         repeated gains nothing by it; and a gateway that goes puts no answer of its own in the place of one that is
         under way."""
         order = attempt.request.event
-        return not order.route.safe or order.lane.stopping
+        return not order.route.safe or order.driver.stopping
 
     def check(self, headers: Headers) -> None:
         if any(name == b"content-encoding" and value.lower() != b"identity" for name, value in headers):
--- a/oakvale/dataplane/drain_agent.py
+++ b/oakvale/dataplane/drain_agent.py
@@ -12,16 +12,16 @@
 
 from oakvale.base.address import Address
 from oakvale.base.loop import Loop
-from oakvale.dataplane.request_router import Order, Plant
+from oakvale.dataplane.request_router import Order, RequestRouter
 from oakvale.drains.moves import Avoid, Moves
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.memory.requests import Answer, InHand
-from oakvale.transport.links import Mains
+from oakvale.transport.links import Transport
 
 LOOK = 100_000  # microseconds between two looks at what is in flight
 TELL = 5  # looks between two words to the primary
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 class Seen:
@@ -67,18 +67,18 @@
     ends: dict[str, int] = field(default_factory=dict)
 
 
-class Tow:
+class DrainAgent:
     def __init__(
         self,
         loop: Loop,
-        mains: Mains,
-        plant: Plant,
+        transport: Transport,
+        router: RequestRouter,
         node: str,
         life: str,
         primary: Callable[[], Address | None],
         wall: Callable[[], int] | None = None,
     ) -> None:
-        self._loop, self._mains, self._plant = loop, mains, plant
+        self._loop, self._transport, self._router = loop, transport, router
         self._node, self._life, self._primary = node, life, primary
         self._wall = wall or (lambda: loop.net.unix_time() // 1000)
         self._moves = Moves(node, life)
@@ -92,13 +92,13 @@
         moves = dict(entries)
         for key in self._moves.take(entries, self._wall(), born):
             move = moves[key]
-            note("moves", tenant=move["tenant"], node=move["node"], order=move["order"])
+            log_event("moves", tenant=move["tenant"], node=move["node"], order=move["order"])
             found = (
                 []
                 if born
                 else [
                     Seen(request)
-                    for request in self._plant.requests.all()
+                    for request in self._router.requests.all()
                     if not request.over and self._concerned(request, move)
                 ]
             )
@@ -106,7 +106,7 @@
             self._look_at(key, move)
         for key in [key for key in self._watches if key not in self._moves.away]:
             del self._watches[key]
-        self._plant.leaving = self._moves.leaving
+        self._router.leaving = self._moves.leaving
         if self._moves.owed() and not self._looking:
             self._looking, self._looks = True, 0
             self._loop.at(self._loop.now, self._look)
@@ -118,8 +118,8 @@
             return False
         if move["kind"] == "gateway":
             return True
-        backend = self._plant.picture.backends.get(move["node"])
-        return backend is None or order.lane.service == backend.service and move["node"] not in order.lane.without
+        backend = self._router.picture.backends.get(move["node"])
+        return backend is None or order.driver.service == backend.service and move["node"] not in order.driver.without
 
     def _look_at(self, key: str, move: dict[str, Any]) -> int:
         """How many of the requests that were in hand may still be at the node."""
@@ -128,7 +128,7 @@
         for seen in watch.seen:
             order: Order = seen.request.event
             at = move["kind"] == "gateway" or any(
-                order.lane.backend_id(attempt.backend) == move["node"] for attempt in seen.request.out.values()
+                order.driver.backend_id(attempt.backend) == move["node"] for attempt in seen.request.out.values()
             )
             if at and not seen.there:
                 seen.there = True
@@ -153,10 +153,10 @@
             left = self._look_at(key, move) if watch is not None else 0
             if move["kind"] == "gateway" and watch is not None:
                 # the platform passes new connections on until two of its looks have failed
-                comes = self._loop.now - watch.since < self._plant.limits.stop_accepting
-                left = max(left, len(self._plant.clients.all), int(comes))
+                comes = self._loop.now - watch.since < self._router.limits.stop_accepting
+                left = max(left, len(self._router.clients.all), int(comes))
             words.append([key, key in self._moves.away, watch.began if watch else 0, left, watch.ends if watch else {}])
         primary = self._primary()
         if self._looks % TELL == 0 and words and primary is not None:
-            self._mains.tell(primary, "towed", [self._node, self._life, words])
+            self._transport.tell(primary, "towed", [self._node, self._life, words])
         self._looks += 1
--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -11,22 +11,22 @@
 from oakvale.base.net import Sock
 from oakvale.config.bounds import bounds
 from oakvale.config.settings import Settings
-from oakvale.dataplane.drain_agent import Tow
-from oakvale.dataplane.request_router import Plant
+from oakvale.dataplane.drain_agent import DrainAgent
+from oakvale.dataplane.request_router import RequestRouter
 from oakvale.dataplane.routes import backends, configured, members
 from oakvale.dissemination.feed import Feed
 from oakvale.dissemination.table import Table
 from oakvale.dissemination.tree import Member, Members, sources, watched, watchers
 from oakvale.failover.chains import unpack
 from oakvale.lifecycle.acceptor import Acceptor
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.memory.requests import Answer as HttpAnswer
 from oakvale.memory.requests import InHand
 from oakvale.ratelimit.quotas import Quota, Terms
-from oakvale.ratelimit.service import Gauge
+from oakvale.ratelimit.service import RateLimiter
 from oakvale.retry_budget import Retries
 from oakvale.shared import Shared
-from oakvale.transport.links import Answer, Conn, Mains
+from oakvale.transport.links import Answer, Connection, Transport
 from oakvale.wire.clients import Incoming, plain
 
 CORE = 24  # core machines' addresses that are remembered
@@ -38,13 +38,13 @@
 SWEEP = 1_000_000
 BLIND = 2_000_000  # without news for so long, what they said of silent places is not gone by
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 class Readyz:
     """The owner of `readyz` connections: the same bounds, one answer."""
 
-    def __init__(self, shared: Shared, sluice: Sluice) -> None:
+    def __init__(self, shared: Shared, sluice: EdgeGateway) -> None:
         self._sluice = sluice
         self.loop, self.limits, self.log = shared.loop, shared.limits, shared.log
         self.buffers, self.bodies, self.response = shared.buffers, shared.bodies, shared.response
@@ -67,36 +67,36 @@
         raise AssertionError("answered at once")
 
 
-class Sluice:
+class EdgeGateway:
     def __init__(self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop) -> None:
         self.settings = settings
         limits = bounds(settings)
         self.loop = loop
         self.life = loop.net.token(6)
         # two roles of a machine share its ports: the headworks takes the first
-        self.mains = Mains(self.loop, (settings.ip, settings.ports[0] + 1))
-        self.own = spelled(self.mains.own)
+        self.transport = Transport(self.loop, (settings.ip, settings.ports[0] + 1))
+        self.own = spelled(self.transport.own)
         self.table = Table()
         self.shared = Shared(self.loop, limits)
         self._core = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]  # the primary first, if known
-        self._jurors: list[str] = []
+        self._voters: list[str] = []
         given = settings.bounds
         terms = Terms(given.quota_win, given.quota_excess, given.quota_slack)
-        self.gauge = Gauge(
+        self.rate_limiter = RateLimiter(
             self.loop,
-            self.mains,
+            self.transport,
             terms,
             settings.node,
             self.life,
             self.own,
             self._members,
-            lambda: self._jurors,
+            lambda: self._voters,
             self._quota,
         )
-        self.plant = Plant(
+        self.router = RequestRouter(
             self.shared,
-            self.gauge,
-            self.mains,
+            self.rate_limiter,
+            self.transport,
             settings.node,
             sorted(settings.zones),
             settings.zone,
@@ -104,18 +104,18 @@
         )
         self.feed = Feed(
             self.loop,
-            self.mains,
+            self.transport,
             self.table,
             lambda: {"node": settings.node, "life": self.life},
             self._sources,
             self._changed,
         )
         if given.strict_revoke:  # half of it: a pulse may have been on its way through the relays for the rest
-            self.plant.sure = lambda: self.feed.fresh(given.revoke // 2)
-        self.tow = Tow(
+            self.router.sure = lambda: self.feed.fresh(given.revoke // 2)
+        self.drain_agent = DrainAgent(
             self.loop,
-            self.mains,
-            self.plant,
+            self.transport,
+            self.router,
             settings.node,
             self.life,
             lambda: parse_address(self._core[0]) if self._core else None,
@@ -128,20 +128,20 @@
         self._gated: set[str] = set()  # zones that ever had a gateway
         self._bare: frozenset[str] = frozenset()  # of these, those that have none now
         self._sweeps = 0
-        self.plant.boards.missing = self._missing
+        self.router.boards.missing = self._missing
         self._turn = 0
         self._joined = self._asking = False
-        self.mains.handlers["alive"] = self._alive
+        self.transport.handlers["alive"] = self._alive
         self.loop.at(self.loop.now, self._join)
         self.loop.at(self.loop.now + HEARTBEAT, self._beat)
         self.loop.at(self.loop.now + SWEEP, self._sweep)
-        self.plant_acceptor = Acceptor(self.plant, listeners["http"], self.loop, lambda: self.plant.picture.gen >= 0)
+        self.plant_acceptor = Acceptor(self.router, listeners["http"], self.loop, lambda: self.router.picture.gen >= 0)
         self.ready_acceptor: Acceptor | None = None
         if "readyz" in listeners:
             self.ready_acceptor = Acceptor(Readyz(self.shared, self), listeners["readyz"], self.loop)
         self.accepting = self.plant_acceptor.task
-        self.host = self.plant
-        self.mains.listen()
+        self.host = self.router
+        self.transport.listen()
 
     # ---- for the shutdown
 
@@ -149,8 +149,8 @@
         return self.plant_acceptor.accept_one()
 
     def ready(self) -> bool:
-        picture = self.plant.picture
-        return picture.gen >= 0 and bool(picture.backends) and self.plant.sure() and not self.plant.stopping
+        picture = self.router.picture
+        return picture.gen >= 0 and bool(picture.backends) and self.router.sure() and not self.router.stopping
 
     def know(self, seeds: tuple[Address, ...]) -> None:
         """Other core machines than those that are known, perhaps; tried behind the primary. Behind all that are
@@ -161,18 +161,18 @@
     # ---- the list of gateways
 
     def _members(self) -> Members:
-        return self.plant.picture.members
+        return self.router.picture.members
 
     def _quota(self, tenant: str) -> Quota:
-        found = self.plant.picture.tenants.get(tenant)
+        found = self.router.picture.tenants.get(tenant)
         return found.quota if found else Quota()
 
     def _sources(self, failed: dict[str, int]) -> list[str]:
-        return sources(self.plant.picture.members, self.settings.node, self.settings.zone, self._core, failed)
+        return sources(self.router.picture.members, self.settings.node, self.settings.zone, self._core, failed)
 
     def _join(self, _: Any) -> None:
         """Until the list has this gateway, and again whenever it has not."""
-        own = self.plant.picture.members.get(self.settings.node)
+        own = self.router.picture.members.get(self.settings.node)
         here = own is not None and own.life == self.life
         self.loop.at(self.loop.now + (STAY if here else JOIN), self._join)
         if not here or not self._joined:
@@ -197,7 +197,7 @@
                 self._know(str(answer["primary"]))
                 self._ask_in()
 
-        self.mains.ask(address, "join", body, 4 * JOIN, answered)
+        self.transport.ask(address, "join", body, 4 * JOIN, answered)
 
     def _know(self, primary: str) -> None:
         """Put first among the core machines; tried next."""
@@ -208,7 +208,7 @@
         """To this gateway's watchers; and a look at those that it watches itself."""
         now = self.loop.now
         self.loop.at(now + HEARTBEAT, self._beat)
-        everyone = self.plant.picture.members
+        everyone = self.router.picture.members
         own = everyone.get(self.settings.node)
         if own is None or own.life != self.life:
             self._joined = False
@@ -216,50 +216,50 @@
         for member in self._watchers:
             address = parse_address(member.address)
             if address is not None:
-                self.mains.tell(address, "alive", [self.settings.node, self.life])
+                self.transport.tell(address, "alive", [self.settings.node, self.life])
         seen = self._watched
         heard = {f"{m.node} {m.life}": self._heard.get(f"{m.node} {m.life}", now) for m in seen}
         self._heard = heard
         primary = parse_address(self._core[0]) if self._core else None
         for member in seen:
             if now - heard[f"{member.node} {member.life}"] > MISSED and primary is not None:
-                self.mains.tell(
+                self.transport.tell(
                     primary, "missing", {"node": member.node, "life": member.life, "watcher": self.settings.node}
                 )
 
-    def _alive(self, conn: Conn, body: Any, _: Answer) -> None:
+    def _alive(self, conn: Connection, body: Any, _: Answer) -> None:
         self._heard[f"{body[0]} {body[1]}"] = self.loop.now
 
     # ---- the news
 
     def _changed(self, keys: list[str]) -> None:
-        picture = self.plant.picture
+        picture = self.router.picture
         if "config" in keys:
             held = self.table.get("config")
             if held is not None and held["gen"] > picture.gen:
                 picture = replace(picture, **configured(bytes(held["text"])))
-                note("configuration", gen=picture.gen)
+                log_event("configuration", gen=picture.gen)
         if any(key.startswith("backend/") for key in keys):
             picture = replace(picture, backends=backends(self.table, keys, picture.backends))
         moved = any(key.startswith("gate/") for key in keys)
         if moved:
             picture = replace(picture, members=members(self.table, keys, picture.members))
         if any(key.startswith("move/") for key in keys):
-            avoid = self.tow.take(self.table.items("move/"), self._born)
+            avoid = self.drain_agent.take(self.table.items("move/"), self._born)
             if avoid != picture.avoid:
                 picture = replace(picture, avoid=avoid)
         self._born = False
-        self.plant.show(picture)
+        self.router.show(picture)
         if "chains" in keys:
             held = self.table.get("chains")
-            self.plant.boards.show(unpack(held) if held is not None else None)
+            self.router.boards.show(unpack(held) if held is not None else None)
         if "quiet" in keys:
             self._quiet = frozenset((str(service), str(zone)) for service, zone in self.table.get("quiet") or [])
         if "core" in keys:
             held = self.table.get("core") or {}
-            self._jurors = [str(address) for address in held.get("witnesses") or []]
+            self._voters = [str(address) for address in held.get("witnesses") or []]
             copies = [str(address) for address in held.get("copies") or []]
-            self._core = list(dict.fromkeys([*copies, *self._jurors, *self._core]))[:CORE]
+            self._core = list(dict.fromkeys([*copies, *self._voters, *self._core]))[:CORE]
             if not self._joined:
                 self._turn, self._asking = 0, False  # who was asked last may be dark
                 self._ask_in()
@@ -270,7 +270,7 @@
             self._bare = frozenset(self._gated - zones)
             self._watchers = watchers(everyone, self.settings.node, WATCHERS)
             self._watched = watched(everyone, self.settings.node, WATCHERS)
-            self.gauge.members_changed()
+            self.rate_limiter.members_changed()
             self.feed.reconsider()
 
     def _missing(self, service: str, zone: str) -> frozenset[str]:
@@ -286,13 +286,13 @@
         """To the primary, which works out the chains."""
         primary = parse_address(self._core[0]) if self._core else None
         if primary is not None:
-            for flow in self.plant.boards.flows():
-                self.mains.tell(primary, "flows", flow)
+            for flow in self.router.boards.flows():
+                self.transport.tell(primary, "flows", flow)
 
     def _sweep(self, _: Any) -> None:
         self._sweeps += 1
-        if self.plant.boards.chains is not None and self._sweeps % 2 == 0:
+        if self.router.boards.chains is not None and self._sweeps % 2 == 0:
             self._tell_flows()
         self.shared.idle.sweep(self.loop.now)
-        self.mains.sweep()
+        self.transport.sweep()
         self.loop.at(self.loop.now + SWEEP, self._sweep)
--- a/oakvale/dataplane/process.py
+++ b/oakvale/dataplane/process.py
@@ -12,15 +12,15 @@
 from oakvale.config.settings import Settings
 from oakvale.config.settings_watch import SettingsWatch
 from oakvale.config.toml_table import BadFile
-from oakvale.dataplane.gateway import Sluice
+from oakvale.dataplane.gateway import EdgeGateway
 from oakvale.dataplane.status import standing
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
 from oakvale.lifecycle.status import Status
 from oakvale.transport.status_service import offer
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 class Process:
@@ -28,17 +28,17 @@
 
     def __init__(self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop) -> None:
         """Raises OSError."""
-        self.sluice = sluice = Sluice(settings, listeners, loop)
+        self.sluice = sluice = EdgeGateway(settings, listeners, loop)
         self.shutdown = Shutdown(sluice)
-        offer(sluice.mains, "sluice", settings.node, lambda: standing(sluice))
-        sluice.mains.handlers["chains"] = lambda conn, body, answer: answer({"held": sluice.table.get("chains")})
+        offer(sluice.transport, "sluice", settings.node, lambda: standing(sluice))
+        sluice.transport.handlers["chains"] = lambda conn, body, answer: answer({"held": sluice.table.get("chains")})
         self.know = sluice.know
         Status(sluice.shared).begin()
-        note("sluice", node=settings.node, own=sluice.own, life=sluice.life)
+        log_event("sluice", node=settings.node, own=sluice.own, life=sluice.life)
 
     def stop(self) -> None:
         self.shutdown.begin()
-        self.sluice.gauge.release()
+        self.sluice.rate_limiter.release()
 
 
 def serve(settings: Settings, signals: Signals, listeners: Mapping[str, Sock]) -> int:
@@ -56,5 +56,5 @@
     finally:
         process.shutdown.close()
         signals.close()
-    note("stopped", node=settings.node)
+    log_event("stopped", node=settings.node)
     return 0
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -13,15 +13,15 @@
 from oakvale.dataplane.backend_protocol import SystemDialect
 from oakvale.dataplane.routes import Backend, Picture, Route
 from oakvale.drains.moves import kept
-from oakvale.driver import Lane
+from oakvale.driver import Driver
 from oakvale.loadbalancing.board_service import Boards, Facts, Pick, Turned
 from oakvale.loadbalancing.load_board import Offer
 from oakvale.memory.requests import Answer, AttemptOut, InHand
 from oakvale.ratelimit.counter_state import Receipt
-from oakvale.ratelimit.service import Gauge
+from oakvale.ratelimit.service import RateLimiter
 from oakvale.retry_budget import Retries, SharedBudget
 from oakvale.shared import Owner, Shared
-from oakvale.transport.links import Mains
+from oakvale.transport.links import Transport
 from oakvale.wire.clients import BadRequest, Incoming, plain
 
 ATTEMPT_ID = re.compile(rb"[!-~]{1,128}")
@@ -55,7 +55,7 @@
 class Order:
     """A request as the lanes know it."""
 
-    lane: ServiceLane
+    driver: ServiceDriver
     route: Route
     tenant: str | None
     event: i.Request
@@ -67,7 +67,7 @@
     receipt: Receipt = field(default_factory=Receipt)  # of its count, until it is given back
 
 
-class ServiceLane(Lane):
+class ServiceDriver(Driver):
     """One service: its backends, and the decisions on them."""
 
     def __init__(
@@ -171,7 +171,9 @@
         gone = {self._numbers[b.id] for b in self._known.values() if b.zone in came}
         for number in gone:
             self.idle.free(number)
-        for attempt in [a for r in self.requests.all() if not r.over and r.event.lane is self for a in r.out.values()]:
+        for attempt in [
+            a for r in self.requests.all() if not r.over and r.event.driver is self for a in r.out.values()
+        ]:
             if attempt.backend in gone and attempt.written and attempt.connection is not None:
                 self.call_off(attempt, i.Ending.TIMEOUT)
 
@@ -228,7 +230,7 @@
         self._carry[i.Wake] = self._last_wakes
 
     def _last_wakes(self, action: i.Wake) -> None:
-        if any(request.event.lane is self for request in self.requests.all()):
+        if any(request.event.driver is self for request in self.requests.all()):
             self._wake(action)
 
     def offers(self) -> list[Offer]:
@@ -258,20 +260,29 @@
         return later(503, action.retry_after, b"try again later\n")
 
 
-class Plant(Owner):
+class RequestRouter(Owner):
     """The owner of clients' connections."""
 
     def __init__(
-        self, shared: Shared, gauge: Gauge, mains: Mains, node: str, zones: list[str], zone: str, retries: Retries
+        self,
+        shared: Shared,
+        rate_limiter: RateLimiter,
+        transport: Transport,
+        node: str,
+        zones: list[str],
+        zone: str,
+        retries: Retries,
     ) -> None:
         super().__init__(shared)
-        self.gauge = gauge
-        self.boards = Boards(shared.loop, mains, gauge, node, zone, lambda service: self._lane(service).offers())
-        self.boards.on_closed = lambda service, zones: self._lane(service).close(zones, self._numbers)
+        self.rate_limiter = rate_limiter
+        self.boards = Boards(
+            shared.loop, transport, rate_limiter, node, zone, lambda service: self._driver(service).offers()
+        )
+        self.boards.on_closed = lambda service, zones: self._driver(service).close(zones, self._numbers)
         self.picture = Picture()
         self._zones, self._zone = {name: n for n, name in enumerate(zones)}, zone
-        self._lanes: dict[str, ServiceLane] = {}
-        self._aside: dict[tuple[str, frozenset[str]], ServiceLane] = {}  # of tenants that were moved off backends
+        self._drivers: dict[str, ServiceDriver] = {}
+        self._aside: dict[tuple[str, frozenset[str]], ServiceDriver] = {}  # of tenants that were moved off backends
         self.leaving = False  # this gateway is drained: its clients are to come back elsewhere
         self._numbers: dict[str, int] = {}
         self._rng, self._retries = self.loop.net.rng, retries
@@ -305,10 +316,10 @@
             by_service: dict[str, list[Backend]] = {}
             for backend in picture.backends.values():
                 by_service.setdefault(backend.service, []).append(backend)
-            for service in dict.fromkeys([*self._lanes, *by_service]):  # in an order that a replay has too
-                self._lane(service).learn(by_service.get(service, []), self._numbers)
-            for (service, _), lane in self._aside.items():
-                lane.learn(by_service.get(service, []), self._numbers)
+            for service in dict.fromkeys([*self._drivers, *by_service]):  # in an order that a replay has too
+                self._driver(service).learn(by_service.get(service, []), self._numbers)
+            for (service, _), driver in self._aside.items():
+                driver.learn(by_service.get(service, []), self._numbers)
         if picture.avoid is not was.avoid:
             held = {off for off in picture.avoid.values()}
             for key in [key for key in self._aside if not any(key[1] <= off for off in held)]:
@@ -322,11 +333,11 @@
             limits = replace(limits, client_idle=max(limits.client_idle, held))
         self.limits = limits
 
-    def _lane(self, service: str) -> ServiceLane:
-        lane = self._lanes.get(service)
-        if lane is None:
+    def _driver(self, service: str) -> ServiceDriver:
+        driver = self._drivers.get(service)
+        if driver is None:
             budget = SharedBudget(self._retries, lambda: len(self.picture.members), self._rng.random, self.loop.now)
-            lane = self._lanes[service] = ServiceLane(
+            driver = self._drivers[service] = ServiceDriver(
                 self.shared,
                 self.boards,
                 service,
@@ -334,31 +345,31 @@
                 self._zone,
                 self._rng.getrandbits(32),
                 budget,
-                self.gauge.give_back,
+                self.rate_limiter.give_back,
             )
-        return lane
+        return driver
 
-    def _lane_of(self, service: str, tenant: str | None) -> ServiceLane:
+    def _lane_of(self, service: str, tenant: str | None) -> ServiceDriver:
         """The lane of a tenant that was moved off some backends, if the service has any of them."""
-        lane = self._lane(service)
+        driver = self._driver(service)
         without = frozenset(
             name
             for name in self.picture.avoid.get(tenant or "", ())
             if (found := self.picture.backends.get(name)) is not None and found.service == service
         )
         if not without:
-            return lane
+            return driver
         aside = self._aside.get((service, without))
         if aside is None:
-            aside = self._aside[service, without] = ServiceLane(
+            aside = self._aside[service, without] = ServiceDriver(
                 self.shared,
                 self.boards,
                 service,
                 self._zones,
                 self._zone,
                 self._rng.getrandbits(32),
-                lane.budget,
-                self.gauge.give_back,
+                driver.budget,
+                self.rate_limiter.give_back,
                 without,
             )
             aside.learn([b for b in self.picture.backends.values() if b.service == service], self._numbers)
@@ -401,9 +412,9 @@
         left = fields.get(b"time-left", b"")
         wait = min(route.deadline, int(left) * MS if DIGITS.fullmatch(left) else route.deadline)
         service = route.service(self._rng.random())
-        lane = self._lane_of(service, tenant) if picture.avoid else self._lane(service)
-        event = i.Request(name, "", lane.class_of(route), 0, 1.0, 1, 0, came + wait)
-        order = Order(lane, route, tenant, event, again=self._comes_again(route, wait))
+        driver = self._lane_of(service, tenant) if picture.avoid else self._driver(service)
+        event = i.Request(name, "", driver.class_of(route), 0, 1.0, 1, 0, came + wait)
+        order = Order(driver, route, tenant, event, again=self._comes_again(route, wait))
         return InHand(
             name, client, incoming.method, incoming.target, incoming.headers, incoming.body, event.deadline, order
         )
@@ -420,11 +431,11 @@
         if order.tenant is None:
             return self._go(request)
         patience = min(MOMENT, order.route.aim // 5)
-        self.gauge.ask(order.tenant, order.again, partial(self._counted, request), patience, order.receipt)
+        self.rate_limiter.ask(order.tenant, order.again, partial(self._counted, request), patience, order.receipt)
 
     def _counted(self, request: InHand, passes: bool, wait: int, counted: bool) -> None:
         if request.over:
-            return self.gauge.give_back(request.event.receipt)  # its client left while it was counted
+            return self.rate_limiter.give_back(request.event.receipt)  # its client left while it was counted
         if passes:
             return self._go(request)
         self.tally.refusals["quota" if counted else "uncounted"] += 1
@@ -442,11 +453,11 @@
             rank = route.prio if holder is None or holder.prio is None else int(holder.prio)
             facts = Facts(route.name, rank, order.tenant or "", route.safe, route.aim)
         self.boards.ask(
-            order.lane.service,
+            order.driver.service,
             request.deadline - self.loop.now,
             partial(self._advised, request),
             facts,
-            order.lane.without,
+            order.driver.without,
         )
 
     def _advised(self, request: InHand, pick: Pick | Turned | None) -> None:
@@ -460,10 +471,10 @@
             order.given, order.pick = True, pick
             if pick is not None:
                 order.youth = None if order.route.safe else pick.youth
-                order.event = replace(order.event, hint=order.lane.number(pick.backend))
-            order.lane.request_came(request, order.event)
+                order.event = replace(order.event, hint=order.driver.number(pick.backend))
+            order.driver.request_came(request, order.event)
             pick, out = order.pick, {attempt.backend for attempt in request.out.values()}
-            if pick is None or order.lane.number(pick.backend) in out:
+            if pick is None or order.driver.number(pick.backend) in out:
                 return
         if pick is not None:  # not followed
             order.pick = None
@@ -472,11 +483,11 @@
     def final(self, request: InHand, answer: Answer) -> None:
         """The answer to a request that was given to no lane."""
         super().final(request, answer)
-        self.gauge.give_back(request.event.receipt)
+        self.rate_limiter.give_back(request.event.receipt)
 
     def client_gone(self, request: InHand) -> None:
         order: Order = request.event
         if order.given:
-            return order.lane.client_gone(request)
+            return order.driver.client_gone(request)
         self.abandon(request)
-        self.gauge.give_back(order.receipt)
+        self.rate_limiter.give_back(order.receipt)
--- a/oakvale/dataplane/status.py
+++ b/oakvale/dataplane/status.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from oakvale.base.address import spelled
-from oakvale.dataplane.gateway import Sluice
+from oakvale.dataplane.gateway import EdgeGateway
 from oakvale.transport.status_service import MS, by_service
 
 
-def standing(sluice: Sluice) -> dict[str, Any]:
-    now, picture, feed, plant = sluice.loop.now, sluice.plant.picture, sluice.feed, sluice.plant
+def standing(sluice: EdgeGateway) -> dict[str, Any]:
+    now, picture, feed, router = sluice.loop.now, sluice.router.picture, sluice.feed, sluice.router
     source, own = feed.source(), picture.members.get(sluice.settings.node)
     return (
         {
@@ -25,12 +25,12 @@
             "news": "/".join(map(str, sluice.table.high)),
             "news_age_ms": (now - feed.fresh_at) // MS if feed.fresh_at else -1,
             "relays": len(feed.outlet),
-            "duties": ",".join(sluice.gauge.held()),
-            "clients": len(plant.clients.all),
-            "in_hand": len(plant.requests),
+            "duties": ",".join(sluice.rate_limiter.held()),
+            "clients": len(router.clients.all),
+            "in_hand": len(router.requests),
             "backend_connections": sluice.shared.backend_connections,
             "idle_connections": sluice.shared.idle.count,
         }
-        | plant.tally.fields()
+        | router.tally.fields()
         | by_service((backend.service, "ready" if backend.ready else "drain") for backend in picture.backends.values())
     )
--- a/oakvale/demo/machines.py
+++ b/oakvale/demo/machines.py
@@ -35,7 +35,9 @@
         self.ctl = [f"{ip}:{self._ports[0]}" for ip in self.core]
         self.http = [f"{ip}:{self._ports[1]}" for ip in self.edge]
         self.readyz = [f"{ip}:{self._ports[2]}" for ip in self.edge]
-        self.mains = [f"{ip}:{self._ports[3]}" for ip in self.core] + [f"{ip}:{self._ports[3] + 1}" for ip in self.edge]
+        self.transport = [f"{ip}:{self._ports[3]}" for ip in self.core] + [
+            f"{ip}:{self._ports[3] + 1}" for ip in self.edge
+        ]
 
     def start(self, tree: Path = ROOT) -> None:
         """`tree`: of the sources that all run."""
--- a/oakvale/demo/show.py
+++ b/oakvale/demo/show.py
@@ -101,7 +101,7 @@
             if stay:
                 say(f"operator and backends: {' '.join(machines.ctl)}")
                 say(f"clients: {' '.join(machines.http)} (Host: {HOST}, Authorization: Bearer {KEY}, Attempt-Id: any)")
-                say(f"oakvale status: {' '.join(machines.mains)}")
+                say(f"oakvale status: {' '.join(machines.transport)}")
                 say("until interrupted")
                 ends.wait()
         finally:
--- a/oakvale/dissemination/feed.py
+++ b/oakvale/dissemination/feed.py
@@ -15,8 +15,8 @@
 from oakvale.base.address import Address, parse_address
 from oakvale.base.loop import Loop
 from oakvale.dissemination.table import FLOOR, NOTHING, Entry, Table, Version, pack, public, unpack
-from oakvale.lifecycle.eventlog import Writer
-from oakvale.transport.links import Answer, Conn, Mains
+from oakvale.lifecycle.eventlog import EventLogger
+from oakvale.transport.links import Answer, Connection, Transport
 
 PULSE = 250_000  # microseconds between two of the primary's pulses
 STALE = 800_000  # without a new one, another source is tried
@@ -29,24 +29,24 @@
 TAKES = 2_000_000  # without a word that it came
 FORGIVEN = 20 * STALE  # a source that failed is asked like the others again
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
-class Outlet:
+class Publisher:
     """Those below, each with its connection. One that has not said that a large message came, or whose connection is
     full, is sent no more until then, and then what the table holds: of a key that changed several times meanwhile, the
     newest alone. Without the word, what is old would wait in the buffers of the connection."""
 
     def __init__(self, table: Table) -> None:
         self._table = table
-        self._below: dict[Conn, Version | None] = {}  # None: all was sent; else what is newer was not
-        self._takes: set[Conn] = set()  # a large message is on its way there
+        self._below: dict[Connection, Version | None] = {}  # None: all was sent; else what is newer was not
+        self._takes: set[Connection] = set()  # a large message is on its way there
         self._pulse = NOTHING
 
     def __len__(self) -> int:
         return len(self._below)
 
-    def subscribe(self, conn: Conn, high: Version, pulse: Version) -> None:
+    def subscribe(self, conn: Connection, high: Version, pulse: Version) -> None:
         if conn not in self._below:
             self._below[conn] = None
             conn.on_close.append(self._gone)
@@ -54,7 +54,7 @@
             return  # all of it is on its way there
         self._send_since(conn, high, pulse)
 
-    def _send_since(self, conn: Conn, high: Version, pulse: Version) -> None:
+    def _send_since(self, conn: Connection, high: Version, pulse: Version) -> None:
         self._below[conn] = None
         if high < self._table.floor or high == NOTHING:
             body: list[Any] = [list(pulse), pack(public(self._table.since(NOTHING))), list(self._table.floor)]
@@ -62,20 +62,20 @@
             body = [list(pulse), pack(public(self._table.since(high))), None]
         self._send(conn, body, len(cbor2.dumps(body)))
 
-    def _send(self, conn: Conn, body: list[Any], size: int) -> None:
+    def _send(self, conn: Connection, body: list[Any], size: int) -> None:
         if size <= LARGE:
             return conn.send("news", 0, body)
         self._takes.add(conn)
         conn.ask("news", body, TAKES, lambda _: self._came(conn))
 
-    def _came(self, conn: Conn) -> None:
+    def _came(self, conn: Connection) -> None:
         self._takes.discard(conn)
         self._room(conn)
 
-    def _gone(self, conn: Conn) -> None:
+    def _gone(self, conn: Connection) -> None:
         self._below.pop(conn, None)
 
-    def leave(self, conn: Conn) -> None:
+    def leave(self, conn: Connection) -> None:
         if conn in self._below:
             del self._below[conn]
             conn.on_close.remove(self._gone)
@@ -94,19 +94,19 @@
             else:
                 self._room(conn)
 
-    def _keep_back(self, conn: Conn, entries: list[Entry]) -> None:
+    def _keep_back(self, conn: Connection, entries: list[Entry]) -> None:
         """A pulse alone is not missed: there will be another."""
         behind = [(view, place - 1) for _, (view, place), _ in entries]
         before = self._below[conn]
         self._below[conn] = min([*behind, before] if before is not None else behind, default=None)
         conn.on_room = self._room
 
-    def _room(self, conn: Conn) -> None:
+    def _room(self, conn: Connection) -> None:
         since = self._below.get(conn)
         if since is not None and conn not in self._takes:
             self._send_since(conn, since, self._pulse)
 
-    def mend(self, conn: Conn, digests: list[bytes], answer: Answer) -> None:
+    def mend(self, conn: Connection, digests: list[bytes], answer: Answer) -> None:
         found = self._table.differing(digests)
         floor = (FLOOR, self._table.version(FLOOR), self._table.get(FLOOR))
         answer(pack([*found, floor] if found and floor[2] is not None else found))
@@ -126,15 +126,15 @@
     def __init__(
         self,
         loop: Loop,
-        mains: Mains,
+        transport: Transport,
         table: Table,
         own: Callable[[], dict[str, Any]],
         sources: Callable[[dict[str, int]], list[str]],
         changed: Callable[[list[str]], None],
     ) -> None:
-        self.loop, self.mains, self.table = loop, mains, table
+        self.loop, self.transport, self.table = loop, transport, table
         self._own, self._sources, self._changed = own, sources, changed
-        self.outlet = Outlet(table)
+        self.outlet = Publisher(table)
         self.pulse: Version = NOTHING
         self.fresh_at = 0  # when the latest new pulse came
         self._source: Address | None = None
@@ -143,11 +143,11 @@
         self._failed: dict[str, int] = {}
         self._noted = 0  # the last pulse of the spell without news that was noted
         self._settled = False
-        mains.handlers["news"] = self._news
-        mains.handlers["subscribe"] = self._subscribe
-        mains.handlers["serves"] = self._served
-        mains.handlers["leave"] = lambda conn, body, answer: self.outlet.leave(conn)
-        mains.handlers["digests"] = lambda conn, body, answer: self.outlet.mend(conn, body, answer)
+        transport.handlers["news"] = self._news
+        transport.handlers["subscribe"] = self._subscribe
+        transport.handlers["serves"] = self._served
+        transport.handlers["leave"] = lambda conn, body, answer: self.outlet.leave(conn)
+        transport.handlers["digests"] = lambda conn, body, answer: self.outlet.mend(conn, body, answer)
         loop.at(loop.now, self._tick)
         loop.at(loop.now + REPAIR, self._repair)
 
@@ -156,7 +156,7 @@
 
     def _coming(self) -> bool:
         """Something long is on its way here: to ask another for it would only make it longer."""
-        return self.loop.now - self.mains.long_at < STALE
+        return self.loop.now - self.transport.long_at < STALE
 
     def source(self) -> Address | None:
         return self._source
@@ -173,11 +173,11 @@
 
     # ---- from above
 
-    def _served(self, conn: Conn, body: Any, _: Answer) -> None:
+    def _served(self, conn: Connection, body: Any, _: Answer) -> None:
         """A primary has begun: who finds it first need not search on."""
         address = parse_address(str(body))
         if address is not None and not self.fresh():
-            self.mains.afresh(address)
+            self.transport.afresh(address)
             self._ask(address)
 
     def _tick(self, _: Any) -> None:
@@ -186,8 +186,8 @@
         if len(failed) < len(self._failed):
             self._failed, self._settled = failed, False
         coming = self._coming()
-        if coming and self.mains.long_hops < HOPS:
-            self.outlet.remind(self.mains.long_hops + 1)
+        if coming and self.transport.long_hops < HOPS:
+            self.outlet.remind(self.transport.long_hops + 1)
         if not self.fresh():
             if now - self._asked_at >= TRY and not coming:
                 self._next(now)
@@ -203,7 +203,7 @@
             self._failed[f"{self._source[0]}:{self._source[1]}"] = now
             if self.fresh_at != self._noted:  # once a spell: the others asked in it have not fallen silent
                 self._noted = self.fresh_at
-                note("news are stale", source=self._source[0], for_ms=(now - self.fresh_at) // 1000)
+                log_event("news are stale", source=self._source[0], for_ms=(now - self.fresh_at) // 1000)
         ways = self._sources(self._failed)
         if ways:
             address = parse_address(ways[0])
@@ -216,10 +216,10 @@
             if self._former is None and self.fresh():
                 self._former = self._source
             elif self._source != self._former:
-                self.mains.tell(self._source, "leave", None)
+                self.transport.tell(self._source, "leave", None)
         self._source, self._asked_at = address, now
         body = self._own() | {"high": list(self.table.high)}
-        self.mains.ask(address, "subscribe", body, TRY, lambda answer: self._subscribed(address, answer))
+        self.transport.ask(address, "subscribe", body, TRY, lambda answer: self._subscribed(address, answer))
         self.loop.at(now + UNHEARD, lambda _: self._unheard(address, now))
 
     def _unheard(self, address: Address, asked_at: int) -> None:
@@ -238,14 +238,14 @@
         if answer == {} or not self.fresh():
             self._former = None
             if former is not None and former != address:
-                self.mains.tell(former, "leave", None)
+                self.transport.tell(former, "leave", None)
         elif former is not None:
             self._failed[f"{address[0]}:{address[1]}"] = self.loop.now
             self._source, self._former = former, None
         if answer != {} and not self.fresh():
             self.loop.at(self.loop.now + AGAIN, lambda _: self._next(self.loop.now) if not self.fresh() else None)
 
-    def _news(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _news(self, conn: Connection, body: Any, answer: Answer) -> None:
         answer(None)
         pulse, entries, floor = (int(body[0][0]), int(body[0][1])), unpack(body[1]), body[2]
         if pulse < self.pulse and pulse[0] < self.pulse[0]:
@@ -266,7 +266,7 @@
     def _repair(self, _: Any) -> None:
         self.loop.at(self.loop.now + REPAIR, self._repair)
         if self._source is not None and self.fresh():
-            self.mains.ask(self._source, "digests", self.table.digests(), STALE, self._mended)
+            self.transport.ask(self._source, "digests", self.table.digests(), STALE, self._mended)
 
     def _mended(self, answer: Any) -> None:
         if answer:
@@ -276,13 +276,13 @@
                 return  # behind this one: it may still hold what was forgotten here
             changed = self.table.put(entries)
             if changed:
-                note("table mended", "warning", entries=len(changed))
+                log_event("table mended", "warning", entries=len(changed))
                 self._changed(changed)
                 self.outlet.publish(self.pulse, [entry for entry in entries if entry[0] in set(changed)])
 
     # ---- from below
 
-    def _subscribe(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _subscribe(self, conn: Connection, body: Any, answer: Answer) -> None:
         if not self.fresh():
             return answer({"stale": True})
         answer({})
--- a/oakvale/driver.py
+++ b/oakvale/driver.py
@@ -20,7 +20,7 @@
 from oakvale.wire.backends import BackendConnection, Dialect
 
 
-class Lane(Owner):
+class Driver(Owner):
     dialect: Dialect
 
     def __init__(self, shared: Shared, settings: i.Settings, seed: int, budget: Budget | None = None) -> None:
--- a/oakvale/election/voting.py
+++ b/oakvale/election/voting.py
@@ -54,7 +54,7 @@
     left: int = 0  # microseconds that the holder still has
 
 
-class Juror:
+class Voter:
     """`kept`: duty -> holder's life and address, as they were on disk."""
 
     def __init__(self, kept: dict[str, tuple[str, str]], now: int) -> None:
@@ -162,12 +162,12 @@
         self._renewals[duty] = [*(one for one in renewals if one.ends() > now), bid]
         return Ask(duty, bid.kind, bid.number)
 
-    def hear(self, word: Word, juror: str, jurors: int, now: int) -> Ask | None:
+    def hear(self, word: Word, voter: str, voters: int, now: int) -> Ask | None:
         """A juror's word; gives the next question where it made a majority."""
         self._round = max(self._round, word.round)
         for renewal in self._renewals.get(word.duty, ()):
             if renewal.number == word.number and word.kind == renewal.kind:
-                self._renewed(word, renewal, juror, jurors)
+                self._renewed(word, renewal, voter, voters)
                 return None
         bid = self._bids.get(word.duty)
         if bid is None or word.number != bid.number or word.kind != bid.kind:
@@ -176,8 +176,8 @@
             del self._bids[word.duty]
             self._not_before[word.duty] = now + RETRY
             return None
-        bid.yes.add(juror)
-        if len(bid.yes) < jurors // 2 + 1:
+        bid.yes.add(voter)
+        if len(bid.yes) < voters // 2 + 1:
             return None
         if bid.kind == "prepare":
             self._bids[word.duty] = Bid(bid.number, "elect", now)
@@ -188,12 +188,12 @@
             self._hold(word.duty, bid)
         return None
 
-    def _renewed(self, word: Word, renewal: Bid, juror: str, jurors: int) -> None:
+    def _renewed(self, word: Word, renewal: Bid, voter: str, voters: int) -> None:
         """However late the word is: a vote binds for a span from when it was asked for, at least."""
         if not word.yes:
             return
-        renewal.yes.add(juror)
-        if len(renewal.yes) > jurors // 2:
+        renewal.yes.add(voter)
+        if len(renewal.yes) > voters // 2:
             self._renewals[word.duty] = [one for one in self._renewals[word.duty] if one.at > renewal.at]
             self._hold(word.duty, renewal)
 
--- a/oakvale/failover/evacuation.py
+++ b/oakvale/failover/evacuation.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Fall:
+class Evacuation:
     flow: Flow = Flow.OPEN
     since: int = 0
     until: int = 0  # out at least until then
--- a/oakvale/failover/failure_detector.py
+++ b/oakvale/failover/failure_detector.py
@@ -30,7 +30,7 @@
     at: int = 0  # when anything was last seen
 
 
-class Sight:
+class FailureDetector:
     """All places of one service."""
 
     def __init__(self) -> None:
--- a/oakvale/failover/spill.py
+++ b/oakvale/failover/spill.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 
 from oakvale.failover.chains import Chains, Load
-from oakvale.failover.evacuation import TRIAL, Fall, Flow
-from oakvale.failover.failure_detector import SILENT, Sight
-from oakvale.failover.spill_limit import SECOND, Weir, patience
+from oakvale.failover.evacuation import TRIAL, Evacuation, Flow
+from oakvale.failover.failure_detector import SILENT, FailureDetector
+from oakvale.failover.spill_limit import SECOND, SpillLimit, patience
 
 TICK = 50_000  # between two looks at the places
 GIVEN_UP = 1.5  # usual times after which an attempt that was called off tells of its place
@@ -67,7 +67,7 @@
     return frozenset()
 
 
-class Crest:
+class SpillController:
     def __init__(
         self,
         service: str,
@@ -80,9 +80,9 @@
         self.service, self._draw, self._missing = service, draw, missing
         self._away, self._cut = away, cut
         self.chains = Chains()
-        self.sight = Sight()
-        self.falls: dict[str, Fall] = {}
-        self._weirs: dict[str, Weir] = {}
+        self.sight = FailureDetector()
+        self.falls: dict[str, Evacuation] = {}
+        self._weirs: dict[str, SpillLimit] = {}
         self._sent: dict[int, Sent] = {}
         self._tried: dict[str, int] = {}  # place -> ticket of the request that tries it
         self._ranks: list[int] = []
@@ -110,12 +110,12 @@
         """Another's word, who sees more."""
         closed = set(closed)
         for zone in closed:
-            fall = self.falls.setdefault(zone, Fall())
+            fall = self.falls.setdefault(zone, Evacuation())
             if fall.flow is not Flow.OUT:
                 fall.failed(now)
         for zone, fall in self.falls.items():
             if zone not in closed and fall.flow is not Flow.OPEN:
-                self.falls[zone] = Fall()
+                self.falls[zone] = Evacuation()
 
     def closed(self, gateway: str) -> frozenset[str]:
         """What is out for a gateway: also a place that is tried, but for the gateway whose request tries it."""
@@ -160,7 +160,7 @@
         self._tick(places, usual, now)
         if not self.moves():
             return Way(None)
-        here = {zone: self.falls.setdefault(zone, Fall()) for zone in places}
+        here = {zone: self.falls.setdefault(zone, Evacuation()) for zone in places}
         for zone, fall in here.items():
             tries = ask.safe or fall.waits(now) and "beats" not in self._missing(zone)
             if fall.flow is Flow.TRIED and tries and zone not in self._tried:
@@ -252,12 +252,12 @@
                 self.falls.pop(zone)  # it has no backend any more: the list says so
                 self._tried.pop(zone, None)
         for zone in places:
-            fall = self.falls.setdefault(zone, Fall(since=now))
+            fall = self.falls.setdefault(zone, Evacuation(since=now))
             fall.tick("beats" not in self._missing(zone), now)
             others = [
                 other
                 for other in places
-                if other != zone and self.falls.setdefault(other, Fall(since=now)).flow is not Flow.OUT
+                if other != zone and self.falls.setdefault(other, Evacuation(since=now)).flow is not Flow.OUT
             ]
             slow = COLD if fall.flow is Flow.FILLING else 1.0
             if (
@@ -278,14 +278,14 @@
         near = [zone for tier in tiers for zone in tier if hierarchy.distance(home, zone) <= 1]
         return ([near] if near else []) + [tier for tier in tiers if hierarchy.distance(home, tier[0]) > 1]
 
-    def _weir(self, zone: str, now: int) -> Weir | None:
+    def _weir(self, zone: str, now: int) -> SpillLimit | None:
         """None: nothing is known of what it holds."""
         limit = self._limit(zone)
         if limit is None:
             return None
         weir = self._weirs.get(zone)
         if weir is None:
-            weir = self._weirs[zone] = Weir(now)
+            weir = self._weirs[zone] = SpillLimit(now)
         fall = self.falls.get(zone)
         weir.fill(now)
         weir.limit = limit * (fall.share() if fall is not None else 1.0)
--- a/oakvale/failover/spill_limit.py
+++ b/oakvale/failover/spill_limit.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Weir:
+class SpillLimit:
     """Begins empty: a keeper before this one may have spent what there was."""
 
     at: int
--- a/oakvale/host.py
+++ b/oakvale/host.py
@@ -8,7 +8,7 @@
 from oakvale.base.address import Address
 from oakvale.base.configuration import Configuration
 from oakvale.base.loop import Loop
-from oakvale.driver import Lane
+from oakvale.driver import Driver
 from oakvale.memory.backend_names import BackendNames
 from oakvale.memory.requests import Answer, InHand
 from oakvale.shared import Shared
@@ -18,7 +18,7 @@
 from oakvale.wire.discovery import Discovery
 
 
-class Host(Lane):
+class Host(Driver):
     def __init__(self, configuration: Configuration, loop: Loop) -> None:
         super().__init__(Shared(loop, configuration.limits), configuration.settings, configuration.seed)
         self.names = configuration.names
--- a/oakvale/lab/modelcheck/breakages.py
+++ b/oakvale/lab/modelcheck/breakages.py
@@ -9,16 +9,16 @@
 
 from oakvale.controlplane import chunks, replication
 from oakvale.controlplane.leases import Leases
-from oakvale.controlplane.replicated_state import Ledger, Then
-from oakvale.controlplane.replication import Copying, Start
+from oakvale.controlplane.replicated_state import ReplicatedState, Then
+from oakvale.controlplane.replication import Replicator, Start
 from oakvale.controlplane.view_change import (
     Ballot,
     Moved,
     Out,
     Say,
     Seat,
-    Succession,
     View,
+    ViewManager,
     founding,
     seat,
     unpack,
@@ -55,20 +55,20 @@
 
 
 def _owed_by_primary_alone(
-    self: Ledger,
+    self: ReplicatedState,
     changes: dict[str, Any],
     owed: set[Seat],
     then: Then,
-    real: Callable[..., list[Entry]] = Ledger.propose,
+    real: Callable[..., list[Entry]] = ReplicatedState.propose,
 ) -> list[Entry]:
     return real(self, changes, {min(owed)}, then)
 
 
-def _append_before_sync(self: Copying, body: Any, ticket: Any) -> None:
+def _append_before_sync(self: Replicator, body: Any, ticket: Any) -> None:
     view, sender, entries = unpack(body[0]), seat(body[1]), unpack_entries(body[4])
-    if not self._in_order(view, sender, body[2]) or self.succession.state.complete != view.number:
+    if not self._in_order(view, sender, body[2]) or self.view_manager.state.complete != view.number:
         return self._out.append(replication.Reply(ticket, False))
-    self.ledger.take(entries)
+    self.replicated_state.take(entries)
     self._write(("rows", replication._rows(entries)), ("gone",))
     self._out.append(replication.Reply(ticket, True))
 
@@ -86,13 +86,13 @@
 
 
 def _votes_anyway(
-    self: Succession, view: View, ballot: Ballot, sender: Seat, real: Callable[..., bool] = Succession._may_vote
+    self: ViewManager, view: View, ballot: Ballot, sender: Seat, real: Callable[..., bool] = ViewManager._may_vote
 ) -> bool:
     return real(self, view, ballot, sender) or self.own not in view.witnesses and ballot >= self.state.promised
 
 
 def _as_its_address(message: Callable[..., None]) -> Callable[..., None]:
-    def take(self: Succession, now: int, sender: Seat, body: list[Any]) -> None:
+    def take(self: ViewManager, now: int, sender: Seat, body: list[Any]) -> None:
         view = self.state.view
         same = [w for w in view.witnesses if w[0] == sender[0]] if view else []
         message(self, now, same[0] if same else sender, body)
@@ -100,44 +100,44 @@
     return take
 
 
-def _forgets_ballots(self: Succession, view: View, ballot: Ballot, sender: Seat) -> bool:
+def _forgets_ballots(self: ViewManager, view: View, ballot: Ballot, sender: Seat) -> bool:
     self._learn(view)
     own = self.state.view
     return own is not None and own.number == view.number and self.own in own.witnesses
 
 
 def _own_value(
-    self: Succession, now: int, sender: Seat, body: list[Any], real: Callable[..., None] = Succession._promise
+    self: ViewManager, now: int, sender: Seat, body: list[Any], real: Callable[..., None] = ViewManager._promise
 ) -> None:
     real(self, now, sender, [body[0], body[1], None])
 
 
 def _promise_before_disk(
-    self: Succession, state: Any, after: list[Out], real: Callable[..., None] = Succession._keep
+    self: ViewManager, state: Any, after: list[Out], real: Callable[..., None] = ViewManager._keep
 ) -> None:
     early = [item for item in after if isinstance(item, Say)]
     real(self, state, [item for item in after if not isinstance(item, Say)])
     self._out += early
 
 
-def _complete_at_once(self: Succession, view: View, real: Callable[..., None] = Succession._learn) -> None:
+def _complete_at_once(self: ViewManager, view: View, real: Callable[..., None] = ViewManager._learn) -> None:
     own = self.state.view
     real(self, view)
     if self.state.view is not own and self.own in view.copies:
         self._keep(replace(self.state, complete=view.number), [Moved(view)])
 
 
-def _no_order(self: Copying, view: View, sender: Seat, order: Any) -> bool:
+def _no_order(self: Replicator, view: View, sender: Seat, order: Any) -> bool:
     return self._follows(view, sender)
 
 
 def _refusal_counts(
-    self: Copying, number: int, answer: Any, real: Callable[..., list[replication.Do]] = Copying.answered
+    self: Replicator, number: int, answer: Any, real: Callable[..., list[replication.Do]] = Replicator.answered
 ) -> list[replication.Do]:
     return real(self, number, True if answer is False else answer)
 
 
-def _voids_nothing(self: Succession, now: int, sender: Seat, body: list[Any]) -> None:
+def _voids_nothing(self: ViewManager, now: int, sender: Seat, body: list[Any]) -> None:
     view = unpack(body[0])
     self._learn(view)
     if self.state.view == view and self.own in view.backups and self.state.complete < view.number:
@@ -157,28 +157,33 @@
 
 
 def _lacks_counts(
-    self: Copying, backup: Seat, view: View, up_to: Any, answer: Any, real: Callable[..., None] = Copying._sync_answered
+    self: Replicator,
+    backup: Seat,
+    view: View,
+    up_to: Any,
+    answer: Any,
+    real: Callable[..., None] = Replicator._sync_answered,
 ) -> None:
     real(self, backup, view, up_to, True if isinstance(answer, tuple) else answer)
 
 
 def _staged_counts(
-    self: Copying, number: int, real: Callable[..., list[replication.Do]] = Copying.written
+    self: Replicator, number: int, real: Callable[..., list[replication.Do]] = Replicator.written
 ) -> list[replication.Do]:
     """A piece on its disk, and it calls itself complete."""
     staged, view = self._writes[number][0] == "piece", self.view()
     out = real(self, number)
-    return [*out, *self.carry(self.succession.synced(view.number))] if staged and view else out
+    return [*out, *self.carry(self.view_manager.synced(view.number))] if staged and view else out
 
 
-def _old_state_leads(self: Copying, view: View) -> None:
+def _old_state_leads(self: Replicator, view: View) -> None:
     """A primary serves with what its disk holds, before its backups have answered in this life."""
     if not self.active and self.view() == view:
         self.active = True
         self._out.append(replication.Turned(True))
 
 
-def _releases_early(self: Copying, now: int, peer: Seat, view: View) -> bool:
+def _releases_early(self: Replicator, now: int, peer: Seat, view: View) -> bool:
     return view.primary == self.own and peer not in view.copies
 
 
@@ -215,7 +220,7 @@
 
 
 def _two_at_once(
-    self: Succession, now: int, view: View, whole: bool, real: Callable[..., View | None] = Succession.wanted
+    self: ViewManager, now: int, view: View, whole: bool, real: Callable[..., View | None] = ViewManager.wanted
 ) -> View | None:
     found = real(self, now, view, whole)
     spare = min((s for s in self._spares if s not in view.witnesses), default=None)
@@ -231,13 +236,13 @@
     Breakage(
         "primary-alone",
         "the primary acknowledges without its backup's sync",
-        ((Ledger, "propose", _owed_by_primary_alone),),
+        ((ReplicatedState, "propose", _owed_by_primary_alone),),
         replace(QUIET, writes=1),
     ),
     Breakage(
         "backup-before-sync",
         "the backup answers before it has synced",
-        ((Copying, "_append", _append_before_sync),),
+        ((Replicator, "_append", _append_before_sync),),
         replace(QUIET, writes=1),
     ),
     Breakage(
@@ -250,56 +255,56 @@
         "stranger-votes",
         "a seat whose disk was wiped votes, and counts as the one before it",
         (
-            (Succession, "_may_vote", _votes_anyway),
-            (Succession, "_promise", _as_its_address(Succession._promise)),
-            (Succession, "_accepted", _as_its_address(Succession._accepted)),
+            (ViewManager, "_may_vote", _votes_anyway),
+            (ViewManager, "_promise", _as_its_address(ViewManager._promise)),
+            (ViewManager, "_accepted", _as_its_address(ViewManager._accepted)),
         ),
         replace(QUIET, wipes=1, wakes=1),
     ),
     Breakage(
         "gap",
         "a backup takes changes that do not follow on what it has",
-        ((Copying, "_follows_on", lambda self, before: True),),
+        ((Replicator, "_follows_on", lambda self, before: True),),
         replace(QUIET, writes=2),
     ),
     Breakage(
         "refusal-counts",
         "a primary that was replaced takes its backup's no for a yes",
-        ((Copying, "answered", _refusal_counts),),
+        ((Replicator, "answered", _refusal_counts),),
         replace(QUIET, writes=1, wakes=1),
     ),
     Breakage(
         "old-life",
         "a backup takes what its primary said in an earlier life, or before something newer",
-        ((Copying, "_in_order", _no_order),),
+        ((Replicator, "_in_order", _no_order),),
         replace(QUIET, writes=1, kills=1),
         "cold",
     ),
     Breakage(
         "ballots-forgotten",
         "a witness forgets what it has promised",
-        ((Succession, "_may_vote", _forgets_ballots),),
+        ((ViewManager, "_may_vote", _forgets_ballots),),
         replace(QUIET, wakes=2),
         heals=4,
     ),
     Breakage(
         "own-value",
         "a proposer puts its own view to the vote though another may be decided",
-        ((Succession, "_promise", _own_value),),
+        ((ViewManager, "_promise", _own_value),),
         replace(QUIET, wakes=2),
         heals=4,
     ),
     Breakage(
         "words-before-disk",
         "a witness answers before what it says is on its disk",
-        ((Succession, "_keep", _promise_before_disk),),
+        ((ViewManager, "_keep", _promise_before_disk),),
         replace(QUIET, wakes=2, kills=1),
         heals=2,
     ),
     Breakage(
         "complete-at-once",
         "a new copy counts as complete before it has the state",
-        ((Succession, "_learn", _complete_at_once),),
+        ((ViewManager, "_learn", _complete_at_once),),
         replace(QUIET, writes=1, wakes=1),
         heals=4,
     ),
@@ -313,51 +318,51 @@
     Breakage(
         "lacks-counts",
         "a primary takes what its backup lacks for a yes",
-        ((Copying, "_sync_answered", _lacks_counts),),
+        ((Replicator, "_sync_answered", _lacks_counts),),
         replace(QUIET, writes=1, wakes=1),
         "laden",
     ),
     Breakage(
         "staged-as-held",
         "a backup calls itself complete once it has a piece",
-        ((Copying, "written", _staged_counts),),
+        ((Replicator, "written", _staged_counts),),
         replace(QUIET, wakes=1),
         "laden",
     ),
     Breakage(
         "old-state-leads",
         "a primary serves with what its disk holds before its backups have answered",
-        ((Copying, "_activate", _old_state_leads),),
+        ((Replicator, "_activate", _old_state_leads),),
         replace(QUIET, writes=1, kills=1),
     ),
     Breakage(
         "leaves-alone",
         "a machine that is told to end goes, also with the only complete copy",
-        ((Copying, "may_go", lambda self, now: True),),
+        ((Replicator, "may_go", lambda self, now: True),),
         replace(QUIET, wakes=1, leaves=1),
     ),
     Breakage(
         "released-early",
         "a primary lets one go whose copy is not whole elsewhere yet",
-        ((Copying, "_releases", _releases_early),),
+        ((Replicator, "_releases", _releases_early),),
         replace(QUIET, wakes=1, leaves=1),
     ),
     Breakage(
         "released-by-the-view-before",
         "a primary lets one go because its view before was whole",
-        ((Copying, "_serves", lambda self, view: self.active and view.primary == self.own),),
+        ((Replicator, "_serves", lambda self, view: self.active and view.primary == self.own),),
         replace(QUIET, wakes=1, leaves=1),
     ),
     Breakage(
         "two-at-once",
         "a view changes its copies and gives a seat to a spare as well",
-        ((Succession, "wanted", _two_at_once),),
+        ((ViewManager, "wanted", _two_at_once),),
         replace(QUIET, wakes=1, spares=1),
     ),
     Breakage(
         "void-unkept",
         "a backup voids a view, and then becomes complete in it",
-        ((Succession, "_void", _voids_nothing),),
+        ((ViewManager, "_void", _voids_nothing),),
         replace(QUIET, wakes=2),
         heals=128,
     ),
--- a/oakvale/lab/modelcheck/machine.py
+++ b/oakvale/lab/modelcheck/machine.py
@@ -16,7 +16,7 @@
 from oakvale.controlplane import replication
 from oakvale.controlplane.failure_domains import Domains
 from oakvale.controlplane.leases import Leases
-from oakvale.controlplane.replication import Again, Ask, Copying, Replaced, Reply, Tell, Told, Turned, Write
+from oakvale.controlplane.replication import Again, Ask, Replaced, Replicator, Reply, Tell, Told, Turned, Write
 from oakvale.controlplane.view_change import Seat, founding, seat, unpack
 from oakvale.dissemination.table import Version
 
@@ -57,7 +57,7 @@
         self.rows: dict[str, bytes] = {}
         self.pieces: dict[bytes, bytes] = {}
         self.queue: list[tuple[int, tuple[str, Any]]] = []  # writes that are not on disk yet
-        self.part: Copying | None = None
+        self.part: Replicator | None = None
         self.leases: Leases | None = None
         self.now = 0  # microseconds, of the event that it is told; kept by none
         self.agains: list[Again] = []
@@ -86,7 +86,7 @@
         began = replication.start(
             self.address, self.facts.get("self"), self.facts.get("state"), first, lambda: str(self.drawn)
         )
-        self.part = Copying(
+        self.part = Replicator(
             began,
             sorted(self.rows.items()),
             self.copies,
@@ -156,7 +156,7 @@
                 return self._heartbeat(sender, *inner)
             if kind == "lease":
                 return self._lease(sender, *inner)
-            self._do(self.part.carry(self.part.succession.message(NOW, seat(sender), kind, inner)))
+            self._do(self.part.carry(self.part.view_manager.message(NOW, seat(sender), kind, inner)))
 
     def _beat(self) -> None:
         """As primary: it asks its backups for a lease."""
@@ -170,7 +170,7 @@
         """As `core` does: it is heard first, and learned from, then answered."""
         assert self.part is not None and self.leases is not None
         self.leases.speaks(seat(sender), view[0])
-        self._do(self.part.carry(self.part.succession.heard(NOW, seat(sender), self._zone(sender[0]), unpack(view))))
+        self._do(self.part.carry(self.part.view_manager.heard(NOW, seat(sender), self._zone(sender[0]), unpack(view))))
         number = self.leases.grant(self.part.view(), seat(sender), self.now)
         if number:
             self.out.append(("say", sender[0], "lease", (self.part.own, (number, sent, life, sender[1]))))
@@ -201,29 +201,29 @@
     def _learn(self, view: Any) -> None:
         """By a heartbeat, or by the word that it is decided."""
         assert self.part is not None
-        self._do(self.part.carry(self.part.succession.learn(unpack(view))))
+        self._do(self.part.carry(self.part.view_manager.learn(unpack(view))))
 
     def _releases(self, leaver: Seat, up: tuple[Seat, ...]) -> None:
         """It hears the word of one that leaves, with these others heard, and does nothing else about it yet."""
         assert self.part is not None
-        succession = self.part.succession
+        view_manager = self.part.view_manager
         for peer in up:
-            self._do(self.part.carry(succession.heard(NOW, peer, self._zone(peer[0]), None, peer == leaver)))
-        succession._next_try = NOW + 1
-        if succession._campaign is not None:
-            succession._campaign.began = succession._campaign.said = NOW
+            self._do(self.part.carry(view_manager.heard(NOW, peer, self._zone(peer[0]), None, peer == leaver)))
+        view_manager._next_try = NOW + 1
+        if view_manager._campaign is not None:
+            view_manager._campaign.began = view_manager._campaign.said = NOW
         self._do(self.part.leaving(NOW, leaver))
 
     def _wake(self, up: tuple[Seat, ...], again: bool, leaving: tuple[Seat, ...] = ()) -> None:
         """A tick, after such a time that it tries anew, or once more, with these peers heard and no others."""
         assert self.part is not None
-        succession = self.part.succession
-        campaign = succession._campaign
+        view_manager = self.part.view_manager
+        campaign = view_manager._campaign
         if campaign is not None and again:
             campaign.began = campaign.said = NOW - SILENCE
-        succession._born, succession._wanted_since = 0, 1
+        view_manager._born, view_manager._wanted_since = 0, 1
         for peer in up:
-            self._do(self.part.carry(succession.heard(NOW, peer, self._zone(peer[0]), None, peer in leaving)))
+            self._do(self.part.carry(view_manager.heard(NOW, peer, self._zone(peer[0]), None, peer in leaving)))
         self._do(self.part.tick(NOW))
 
     # ---- what comes out
@@ -258,15 +258,15 @@
         part = self.part
         if part is None:
             return
-        succession = part.succession
+        view_manager = part.view_manager
         own = self._zone(self.address)
-        succession._heard, succession._spares, succession._zones = {}, {}, {part.own: own} if own else {}
-        succession._leaving = set()
-        succession._born, succession._next_try, succession._wanted_since = None, 0, 0
-        if succession._campaign is not None:
-            succession._campaign.began = succession._campaign.said = 0
-        if not succession._after:
-            succession._numbers = 0  # only their order counts
+        view_manager._heard, view_manager._spares, view_manager._zones = {}, {}, {part.own: own} if own else {}
+        view_manager._leaving = set()
+        view_manager._born, view_manager._next_try, view_manager._wanted_since = None, 0, 0
+        if view_manager._campaign is not None:
+            view_manager._campaign.began = view_manager._campaign.said = 0
+        if not view_manager._after:
+            view_manager._numbers = 0  # only their order counts
         if not part._writes:
             part._numbers = 0
 
@@ -372,21 +372,21 @@
         self.view = frozen(view.pack()) if view else None
         self.gone = machine.gone
         self.released = part._released if part else 0
-        self.leaving = part is not None and part.succession.leaves
+        self.leaving = part is not None and part.view_manager.leaves
         self.may_go = part is not None and self.leaving and part.may_go(NOW)
         self.leases = machine.leases
         self.leads = view if view is not None and part is not None and view.primary == part.own else None
         self.asks = tuple(part._asks) if part else ()
-        self.campaigns = part is not None and part.succession._campaign is not None
+        self.campaigns = part is not None and part.view_manager._campaign is not None
         self.waiting = (
-            frozenset(p.then.number for p in part.ledger._pending if isinstance(p.then, Author))
+            frozenset(p.then.number for p in part.replicated_state._pending if isinstance(p.then, Author))
             if part
             else frozenset()
         )
         self.shown: dict[int, Version] = {}  # writes in the table
         if part is not None:
             self.shown = {
-                value: part.ledger.table.version(key)
-                for key, value in part.ledger.table.items("w")
+                value: part.replicated_state.table.version(key)
+                for key, value in part.replicated_state.table.items("w")
                 for key in ["w" + key]
             }
--- a/oakvale/lab/simulation/disks.py
+++ b/oakvale/lab/simulation/disks.py
@@ -76,7 +76,7 @@
         return int(self.sync * self.slow * (0.6 + min(8.0, self.rng.expovariate(2.5))))
 
 
-class SimulatedCistern:
+class SimulatedStorage:
     """As `cistern.store.Cistern`, its thread played by the world."""
 
     first = True  # nothing here is damaged
--- a/oakvale/lab/simulation/works.py
+++ b/oakvale/lab/simulation/works.py
@@ -21,7 +21,7 @@
 from oakvale.controlplane import process as headworks
 from oakvale.dataplane import process as sluice
 from oakvale.lab.record import Event
-from oakvale.lab.simulation.disks import Disk, SimulatedCistern
+from oakvale.lab.simulation.disks import Disk, SimulatedStorage
 from oakvale.lab.simulation.events import Events
 from oakvale.lab.simulation.machines import FREE, Costs, Process
 from oakvale.lab.simulation.sockets import Stream
@@ -153,8 +153,8 @@
     def _made(self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop, process: Process) -> Any:
         if self.disk is None:
             return sluice.Process(settings, listeners, loop)
-        cistern = SimulatedCistern(process, self.disk)
-        return headworks.Process(settings, listeners, loop, lambda: cast(Any, cistern))
+        storage = SimulatedStorage(process, self.disk)
+        return headworks.Process(settings, listeners, loop, lambda: cast(Any, storage))
 
     def _ended(self, process: Process) -> None:
         if self.process is process:
--- a/oakvale/lab/undone.py
+++ b/oakvale/lab/undone.py
@@ -7,19 +7,19 @@
 from typing import Any
 
 from oakvale.base.address import parse_address
-from oakvale.controlplane.replicated_state import Ledger
+from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.controlplane.resources import UNSURE, Checked, Config, Give, Reply
-from oakvale.controlplane.view_change import LASTS, Campaign, Say, Seat, Succession, View, _packed
-from oakvale.dissemination.feed import Feed, note
+from oakvale.controlplane.view_change import LASTS, Campaign, Say, Seat, View, ViewManager, _packed
+from oakvale.dissemination.feed import Feed, log_event
 from oakvale.policy.limits import Limits
 
 
-def copy_lost(self: Succession, now: int, view: View) -> bool:
+def copy_lost(self: ViewManager, now: int, view: View) -> bool:
     """A copy that came back without its disk was not told from one that is silent: inc-5ca6 and four more."""
     return False
 
 
-def consider(self: Succession, now: int, view: View, whole: bool) -> None:
+def consider(self: ViewManager, now: int, view: View, whole: bool) -> None:
     """As `Succession._consider`, but copies waited for those before them, dead ones too: inc-5ca6 and four more."""
     campaign = self._campaign
     if campaign is not None and now - campaign.began < LASTS * self._silence:
@@ -61,19 +61,19 @@
     if self._source is not None:
         self._failed[f"{self._source[0]}:{self._source[1]}"] = now
         if self.fresh_at:
-            note("news are stale", source=self._source[0], for_ms=(now - self.fresh_at) // 1000)
+            log_event("news are stale", source=self._source[0], for_ms=(now - self.fresh_at) // 1000)
     ways = self._sources(self._failed)
     if ways and (address := parse_address(ways[0])) is not None:
         self._ask(address)
 
 
-def leaving(self: Succession, peer: Seat) -> None:
+def leaving(self: ViewManager, peer: Seat) -> None:
     """A primary that was told to end did not say so, or nobody listened: its backup found out by its end."""
 
 
 def any_below(self: Config, order: Checked, body: bytes, give: Give) -> None:
     """As `Config._judge`, but whatever is not above the number held was confirmed: two contents under one number."""
-    held = self._core.ledger.latest("config")
+    held = self._core.replicated_state.latest("config")
 
     def told(done: bool) -> None:
         give(Reply(200) if done else UNSURE)
@@ -93,7 +93,7 @@
     return {}
 
 
-def latest_items(self: Ledger, prefix: str) -> dict[str, Any]:
+def latest_items(self: ReplicatedState, prefix: str) -> dict[str, Any]:
     """As `Ledger.latest_items`, but what is made once its pieces are with the backups was left out: of two orders under
     one number that came in one another's wake, both were confirmed (drawn day 14003)."""
     found = dict(self.table.items(prefix))
--- a/oakvale/lifecycle/eventlog.py
+++ b/oakvale/lifecycle/eventlog.py
@@ -54,7 +54,7 @@
 BOOK = Book()
 
 
-class Writer:
+class EventLogger:
     """What one module notes: `note("view", primary=...)`."""
 
     def __init__(self, name: str) -> None:
--- a/oakvale/loadbalancing/board_service.py
+++ b/oakvale/loadbalancing/board_service.py
@@ -8,17 +8,17 @@
 
 from oakvale.base.loop import Loop
 from oakvale.failover.chains import Chains
-from oakvale.failover.spill import Ask, Crest, Wait
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.failover.spill import Ask, SpillController, Wait
+from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.loadbalancing.load_board import Board, Offer
-from oakvale.ratelimit.service import Gauge, duty_of
-from oakvale.transport.links import Answer, Conn, Mains
+from oakvale.ratelimit.service import RateLimiter, duty_of
+from oakvale.transport.links import Answer, Connection, Transport
 
 PICK = 40_000  # microseconds for an answer: beyond, the gateway chooses by itself
 DOUBT = 300_000  # after one that did not come
 TOLD = 2_000_000  # for so long a keeper's word on places is good when it is heard no more
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 @dataclass(slots=True, frozen=True)
@@ -73,34 +73,40 @@
     a gateway that reaches no keeper goes by its own part of what the places may take."""
 
     def __init__(
-        self, loop: Loop, mains: Mains, gauge: Gauge, node: str, zone: str, offers: Callable[[str], list[Offer]]
+        self,
+        loop: Loop,
+        transport: Transport,
+        rate_limiter: RateLimiter,
+        node: str,
+        zone: str,
+        offers: Callable[[str], list[Offer]],
     ) -> None:
-        self._loop, self._mains, self._gauge, self._offers = loop, mains, gauge, offers
+        self._loop, self._transport, self._rate_limiter, self._offers = loop, transport, rate_limiter, offers
         self._node, self._zone = node, zone
         self._boards: dict[str, Board] = {}
         self._doubt: dict[str, int] = {}
         self.chains: Chains | None = None
         self.missing: Callable[[str, str], frozenset[str]] = lambda service, zone: frozenset()
         self.on_closed: Callable[[str, frozenset[str]], None] = lambda service, zones: None
-        self._crests: dict[str, Crest] = {}  # of the boards kept here
-        self._alone: dict[str, Crest] = {}
+        self._spills: dict[str, SpillController] = {}  # of the boards kept here
+        self._alone: dict[str, SpillController] = {}
         self._closed: dict[str, tuple[frozenset[str], int]] = {}  # service -> places out, and when a keeper said so
         self._fell: set[tuple[str, str]] = set()  # service and place: out, and not whole again
         self._ticket = 0  # of attempts that were named here without a keeper: below 0
-        mains.handlers["pick"] = self._picked
-        mains.handlers["done"] = self._ended
+        transport.handlers["pick"] = self._picked
+        transport.handlers["done"] = self._ended
 
     def show(self, chains: Chains | None) -> None:
         """None: nothing is moved, and nothing is asked for it."""
         self.chains = chains
         if chains is None:
-            self._crests.clear()
+            self._spills.clear()
             self._alone.clear()
             for service in list(self._closed):
                 self._close(service, frozenset())
             return
-        for crest in [*self._crests.values(), *self._alone.values()]:
-            crest.show(chains)
+        for spill in [*self._spills.values(), *self._alone.values()]:
+            spill.show(chains)
 
     def ask(
         self, service: str, wait: int, then: Named, facts: Facts | None = None, without: frozenset[str] = frozenset()
@@ -108,9 +114,9 @@
         """`wait`: microseconds after which the attempt is over in any case; `facts`: where chains are shown;
         `without`: backends not to be named."""
         duty, now = duty_of(f"service {service}"), self._loop.now
-        if self._gauge.counts(duty):
+        if self._rate_limiter.counts(duty):
             return then(self._take(service, duty, self._pick(service, self._node, self._zone, wait, facts, without)))
-        holder = self._gauge.holder(duty)
+        holder = self._rate_limiter.holder(duty)
         if holder is None or now - self._doubt.get(duty, -DOUBT) < DOUBT:
             return then(self._by_itself(service, wait, facts, without))
 
@@ -125,7 +131,7 @@
             body.append(facts and [facts.route, facts.rank, facts.tenant, facts.safe, facts.aim])
         if without:
             body.append(sorted(without))
-        self._mains.ask(holder, "pick", body, PICK, answered)
+        self._transport.ask(holder, "pick", body, PICK, answered)
 
     def done(self, pick: Pick, route: str, latency: int, outcome: str, dropped: int = 0, kept: int = 0) -> None:
         self._tell(
@@ -148,11 +154,11 @@
         if self.chains is not None and alone is not None:
             self._learn(alone, end, min(end.ticket, 0))
         end = end._replace(ticket=0) if end.ticket < 0 else end
-        if self._gauge.counts(duty):
+        if self._rate_limiter.counts(duty):
             return self._end(end)
-        holder = self._gauge.holder(duty)
+        holder = self._rate_limiter.holder(duty)
         if holder is not None:
-            self._mains.tell(holder, "done", list(end if self.chains is not None else end[:-1]))
+            self._transport.tell(holder, "done", list(end if self.chains is not None else end[:-1]))
 
     def _board(self, service: str) -> Board:
         board = self._boards.get(service)
@@ -160,11 +166,11 @@
             board = self._boards[service] = Board(self._loop.net.rng.random)
         return board
 
-    def _picked(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _picked(self, conn: Connection, body: Any, answer: Answer) -> None:
         service, asker, zone, wait = str(body[0]), str(body[1]), str(body[2]), int(body[3])
-        if not self._gauge.counts(duty_of(f"service {service}")):
+        if not self._rate_limiter.counts(duty_of(f"service {service}")):
             self._boards.pop(service, None)
-            self._crests.pop(service, None)
+            self._spills.pop(service, None)
             return answer(None)
         said = body[4] if len(body) > 4 else None
         facts = None
@@ -173,7 +179,7 @@
         without = frozenset(map(str, body[5])) if len(body) > 5 else frozenset()
         answer(self._pick(service, asker, zone, wait, facts, without))
 
-    def _ended(self, conn: Conn, body: Any, _: Answer) -> None:
+    def _ended(self, conn: Connection, body: Any, _: Answer) -> None:
         if str(body[0]) in self._boards:
             self._end(
                 End(
@@ -201,31 +207,31 @@
         if self.chains is None or facts is None or not offers:
             found = board.pick(offers, asker, zone, now + wait, now, None, without)
             return [*found, board.idling.within(now)] if found else None
-        crest = self._crest(service)
+        spill = self._spill(service)
         ask = Ask(asker, zone, facts.rank, facts.tenant, facts.safe, board.work(facts.route), facts.aim)
-        way = crest.ask(ask, {offer.zone for offer in offers}, board.usual(), lambda: board.held(offers), now)
-        for place, flow, share in crest.news():
+        way = spill.ask(ask, {offer.zone for offer in offers}, board.usual(), lambda: board.held(offers), now)
+        for place, flow, share in spill.news():
             if flow == "open":
                 self._fell.discard((service, place))
             elif flow == "out" and (service, place) not in self._fell:  # later, those that started anew are there
                 self._fell.add((service, place))
                 board.distrust((offer.id for offer in offers if offer.zone == place), now)
-            note("place", service=service, place=place, flow=flow, share=share, refused=crest.turned)
-        if crest.flow_due(now):
-            note("flow", service=service, refused=crest.turned, **crest.flow(now))
+            log_event("place", service=service, place=place, flow=flow, share=share, refused=spill.turned)
+        if spill.flow_due(now):
+            log_event("flow", service=service, refused=spill.turned, **spill.flow(now))
         if isinstance(way, Wait):
-            return ["", way.micros, None, sorted(crest.closed(asker))]
+            return ["", way.micros, None, sorted(spill.closed(asker))]
         found = board.pick(offers, asker, zone, now + wait, now, way.zones, without)
         if found is None:
             return None
-        crest.sent(next(offer.zone for offer in offers if offer.id == found[0]), ask, found[1], now + wait, now)
+        spill.sent(next(offer.zone for offer in offers if offer.id == found[0]), ask, found[1], now + wait, now)
         named = [*found, board.idling.within(now)]
-        return [*named, sorted(crest.closed(asker))] if crest.moves() else named
+        return [*named, sorted(spill.closed(asker))] if spill.moves() else named
 
     def _end(self, end: End) -> None:
-        crest = self._crests.get(end.service)
-        if crest is not None and end.zone:
-            self._learn(crest, end, end.ticket)
+        spill = self._spills.get(end.service)
+        if spill is not None and end.zone:
+            self._learn(spill, end, end.ticket)
         self._board(end.service).done(
             end.backend,
             end.ticket,
@@ -238,11 +244,11 @@
             end.kept,
         )
 
-    def _learn(self, crest: Crest, end: End, ticket: int) -> None:
+    def _learn(self, spill: SpillController, end: End, ticket: int) -> None:
         there = next((offer.zone for offer in self._offers(end.service) if offer.id == end.backend), None)
         if there is not None:
             board = self._board(end.service)
-            crest.ended(
+            spill.ended(
                 ticket,
                 there,
                 Ask(end.gateway, end.zone, cost=board.work(end.route)),
@@ -252,36 +258,36 @@
                 self._loop.now,
             )
 
-    def _crest(self, service: str) -> Crest:
-        crest = self._crests.get(service)
-        if crest is None:
-            crest = self._crests[service] = self._made(service, True)
+    def _spill(self, service: str) -> SpillController:
+        spill = self._spills.get(service)
+        if spill is None:
+            spill = self._spills[service] = self._made(service, True)
             closed, at = self._closed.get(service, (frozenset(), -TOLD))
             if self._loop.now - at < TOLD:
-                crest.follow(closed, self._loop.now)  # as the keeper before said
-        return crest
+                spill.follow(closed, self._loop.now)  # as the keeper before said
+        return spill
 
-    def _made(self, service: str, keeps: bool) -> Crest:
+    def _made(self, service: str, keeps: bool) -> SpillController:
         duty = duty_of(f"service {service}")
-        crest = Crest(
+        spill = SpillController(
             service,
             self._loop.net.rng.random,
             lambda zone: self.missing(service, zone),
-            self._gauge.away if keeps else None,
-            None if keeps else lambda: self._gauge.cut(duty),
+            self._rate_limiter.away if keeps else None,
+            None if keeps else lambda: self._rate_limiter.cut(duty),
         )
         assert self.chains is not None
-        crest.show(self.chains)
-        return crest
+        spill.show(self.chains)
+        return spill
 
     def flows(self) -> list[list[Any]]:
         """Of the services whose boards are kept here: what places hold, and what was asked, in slots."""
         found = []
-        for service, crest in self._crests.items():
-            if self._gauge.counts(duty_of(f"service {service}")):
-                if not crest.moves():
-                    note("flow", service=service, refused=crest.turned, **crest.flow(self._loop.now))
-                loads = [[load.home, load.rank, round(load.work, 3)] for load in crest.report(self._loop.now)]
+        for service, spill in self._spills.items():
+            if self._rate_limiter.counts(duty_of(f"service {service}")):
+                if not spill.moves():
+                    log_event("flow", service=service, refused=spill.turned, **spill.flow(self._loop.now))
+                loads = [[load.home, load.rank, round(load.work, 3)] for load in spill.report(self._loop.now)]
                 held = self._board(service).capacity(self._offers(service))
                 found.append([service, {zone: round(slots, 3) for zone, slots in held.items()}, loads])
         return found
@@ -304,7 +310,7 @@
         if closed:
             self._closed[service] = (closed, self._loop.now)
         if was != closed:
-            note("places out", "warning" if closed else "info", service=service, places=",".join(sorted(closed)))
+            log_event("places out", "warning" if closed else "info", service=service, places=",".join(sorted(closed)))
             self.on_closed(service, closed)
 
     def _by_itself(self, service: str, wait: int, facts: Facts | None, without: frozenset[str]) -> Pick | Turned | None:
@@ -312,31 +318,31 @@
         if self.chains is None or facts is None:
             return None
         now, offers = self._loop.now, [offer for offer in self._offers(service) if offer.id not in without]
-        crest = self._alone.get(service)
-        if crest is None:
-            crest = self._alone[service] = self._made(service, False)
+        spill = self._alone.get(service)
+        if spill is None:
+            spill = self._alone[service] = self._made(service, False)
         closed, at = self._closed.get(service, (frozenset(), -TOLD))
         if now - at < TOLD:
-            crest.follow(closed, now)
+            spill.follow(closed, now)
         board = self._board(service)
         ask = Ask(self._node, self._zone, facts.rank, facts.tenant, facts.safe, board.work(facts.route), facts.aim)
-        way = crest.ask(ask, {offer.zone for offer in offers}, board.usual(), None, now)
+        way = spill.ask(ask, {offer.zone for offer in offers}, board.usual(), None, now)
         may = [offer for offer in offers if not isinstance(way, Wait) and way.zones and offer.zone in way.zones]
         if not may:
-            self._shut(service, crest, at)
+            self._shut(service, spill, at)
             return Turned(way.micros) if isinstance(way, Wait) else None
         # of one's own few attempts nothing better is known, and the lane has its say
         offer = self._loop.net.rng.choice(may)
         self._ticket -= 1
-        crest.sent(offer.zone, ask, self._ticket, now + wait, now)
-        self._shut(service, crest, at)
+        spill.sent(offer.zone, ask, self._ticket, now + wait, now)
+        self._shut(service, spill, at)
         return Pick(service, offer.id, self._ticket, "")
 
-    def _shut(self, service: str, crest: Crest, at: int) -> None:
+    def _shut(self, service: str, spill: SpillController, at: int) -> None:
         """`at`: when a keeper spoke last; while its word is good, it stands."""
-        if self._loop.now - at < TOLD or not crest.moves() and service not in self._closed:
+        if self._loop.now - at < TOLD or not spill.moves() and service not in self._closed:
             return
-        was, closed = self._closed.get(service, (frozenset(), 0))[0], crest.closed(self._node)
+        was, closed = self._closed.get(service, (frozenset(), 0))[0], spill.closed(self._node)
         if was != closed:
             self._close(service, closed)
         if closed:
--- a/oakvale/ratelimit/handover.py
+++ b/oakvale/ratelimit/handover.py
@@ -17,9 +17,9 @@
 from oakvale.base.address import Address, parse_address
 from oakvale.base.loop import Loop
 from oakvale.dissemination.tree import Member
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.ratelimit.counter_state import CounterState
-from oakvale.transport.links import Answer, Conn, Mains
+from oakvale.transport.links import Answer, Connection, Transport
 
 CONSENT_TIMEOUT_US = 150_000  # for one gateway to say whether it takes a duty
 ASK_AGAIN_US = 200_000  # where nobody takes a duty, since all are told to end
@@ -27,7 +27,7 @@
 HELD_BACK_US = 400_000  # for so long nobody else stands for a duty that was handed on
 STATE_KEPT_US = 5_000_000  # a former holder answers for the state of its counter
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 class Handover:
@@ -36,7 +36,7 @@
     def __init__(
         self,
         loop: Loop,
-        mains: Mains,
+        transport: Transport,
         own: str,
         successors: Callable[[str], list[Member]],
         others: Callable[[], list[Address]],
@@ -49,15 +49,15 @@
         one that voters may have promised the former holder; `highest_round`: that any voter is known to have heard
         of; `state`: of the counter of a duty that was held here; `lost`: the holder of a duty gave it up.
         """
-        self._loop, self._mains, self._own = loop, mains, own
+        self._loop, self._transport, self._own = loop, transport, own
         self._successors, self._others = successors, others
         self._stand, self._highest_round, self._state, self._lost = stand, highest_round, state, lost
         self.ending = False
         self._taken_from: dict[str, tuple[Address, int]] = {}  # duty -> its former holder, and when it was handed here
         self._held_back: dict[str, int] = {}  # duty -> until when others leave it to its successor
-        mains.handlers["will you take"] = self._asked_for_consent
-        mains.handlers["handed"] = self._handed
-        mains.handlers["counter state"] = self._asked_for_state
+        transport.handlers["will you take"] = self._asked_for_consent
+        transport.handlers["handed"] = self._handed
+        transport.handlers["counter state"] = self._asked_for_state
 
     def stands_first(self, duty: str) -> bool:
         """Whether the duty was lately handed to this gateway."""
@@ -85,10 +85,10 @@
             try:
                 state = CounterState.decode(answer)
             except (TypeError, ValueError, IndexError, AttributeError):
-                return note("counter state not understood", "warning", duty=duty)
+                return log_event("counter state not understood", "warning", duty=duty)
             then(state, asked)
 
-        self._mains.ask(holder, "counter state", duty, timeout, answered)
+        self._transport.ask(holder, "counter state", duty, timeout, answered)
 
     # ---- as holder
 
@@ -115,11 +115,11 @@
 
     def hand_on(self, duty: str, successor: Address | None) -> None:
         """The duty is not held here any more: all are told who comes next, the successor first."""
-        note("handed on", duty=duty, to=successor[0] if successor else "nobody")
+        log_event("handed on", duty=duty, to=successor[0] if successor else "nobody")
         body = [duty, self._own, None if successor is None else list(successor), self._highest_round()]
         first = [] if successor is None else [successor]
         for address in first + [other for other in self._others() if other != successor]:
-            self._mains.tell(address, "handed", body)
+            self._transport.tell(address, "handed", body)
 
     def next_for(self, duty: str) -> Address | None:
         """Who would be told to take it without being asked."""
@@ -139,18 +139,18 @@
             else:
                 self._ask_next(duty, left[1:], found)
 
-        self._mains.ask(left[0], "will you take", duty, CONSENT_TIMEOUT_US, answered)
+        self._transport.ask(left[0], "will you take", duty, CONSENT_TIMEOUT_US, answered)
 
-    def _asked_for_state(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _asked_for_state(self, conn: Connection, body: Any, answer: Answer) -> None:
         state = self._state(str(body))
         answer(None if state is None else state.encode())
 
     # ---- as successor, and as one who hears of it
 
-    def _asked_for_consent(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _asked_for_consent(self, conn: Connection, body: Any, answer: Answer) -> None:
         answer(not self.ending)
 
-    def _handed(self, conn: Conn, body: Any, _: Answer) -> None:
+    def _handed(self, conn: Connection, body: Any, _: Answer) -> None:
         duty, holder = str(body[0]), parse_address(str(body[1]))
         if holder is None or str(body[1]) == self._own:
             return
--- a/oakvale/ratelimit/presence.py
+++ b/oakvale/ratelimit/presence.py
@@ -13,7 +13,7 @@
 from oakvale.base.address import Address, parse_address
 from oakvale.base.loop import Loop
 from oakvale.dissemination.tree import Member, Members
-from oakvale.transport.links import Mains
+from oakvale.transport.links import Transport
 
 PRESENT = 900_000  # a counter reckons with who has heard from it this lately, as far as it knows
 ABSENT = PRESENT + 100_000  # after so long without hearing from it, a gateway knows that none reckons with it
@@ -24,8 +24,8 @@
 
 
 class Presence:
-    def __init__(self, loop: Loop, mains: Mains, node: str, life: str, members: Callable[[], Members]) -> None:
-        self._loop, self._mains, self._node, self._life, self._members = loop, mains, node, life, members
+    def __init__(self, loop: Loop, transport: Transport, node: str, life: str, members: Callable[[], Members]) -> None:
+        self._loop, self._transport, self._node, self._life, self._members = loop, transport, node, life, members
         self.heard: dict[str, int] = {}  # gateway -> the latest stamp that it told back
         self.lately: dict[str, Member] = {}  # gateways that are on the list, or were lately
         self.ended: dict[str, str] = {}  # gateway -> its life that is proven to have ended
@@ -110,11 +110,11 @@
             address = parse_address(member.address)
             if address and node != self._node and not self.here(node) and self.ended.get(node) != member.life:
                 proven = partial(self.proven, member, address, self._loop.now)
-                self._mains.ask(address, "life", None, PROOF_TIMEOUT, proven)
+                self._transport.ask(address, "life", None, PROOF_TIMEOUT, proven)
 
     def proven(self, member: Member, address: Address, asked: int, answer: Any) -> None:
         """Its answer to any question tells whether the life on the list has ended."""
-        refused = answer is None and self._mains.ended(address, asked)
+        refused = answer is None and self._transport.ended(address, asked)
         if isinstance(answer, str) and answer != member.life or refused:
             self.ended[member.node] = member.life
 
--- a/oakvale/ratelimit/quotas.py
+++ b/oakvale/ratelimit/quotas.py
@@ -54,7 +54,7 @@
     counted_at: int = 0  # by the counter's own clock
 
 
-class Floors:
+class QuotaCounter:
     """The counter of some tenants. What it can't know of a tenant counts as a full burst at its start: a new
     counter may follow on one that let everything pass. That comes back at the quota's rate, so a tenant which
     keeps under it hardly feels it.
--- a/oakvale/ratelimit/service.py
+++ b/oakvale/ratelimit/service.py
@@ -12,14 +12,14 @@
 from oakvale.base.loop import Loop
 from oakvale.dissemination.tree import Member, Members, next_on_ring, place
 from oakvale.election.voting import MARGIN, QUIET, SPAN, Ask, Candidate, Word
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.ratelimit.counter_state import CounterState, Receipt
 from oakvale.ratelimit.handover import STATE_KEPT_US, Handover
 from oakvale.ratelimit.presence import ABSENT, KEPT, Presence
-from oakvale.ratelimit.quotas import SECOND, Alone, Floors, Quota, Read, Terms
+from oakvale.ratelimit.quotas import SECOND, Alone, Quota, QuotaCounter, Read, Terms
 from oakvale.ratelimit.refunds import Returns
 from oakvale.ratelimit.usage_collection import Gathering
-from oakvale.transport.links import Answer, Conn, Mains
+from oakvale.transport.links import Answer, Connection, Transport
 
 DUTIES = 4  # parts that the tenants are counted in
 STAND = 4  # gateways that stand for a duty
@@ -37,7 +37,7 @@
 LONG_GONE = 3_000_000  # and surely knows it then: its last call was under way for a fraction of a second
 FEW = 0.25  # of its even share it uses then: it sees few clients, or is without power
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 Told = Callable[[bool, int, bool], None]  # passes, microseconds until one more would, whether it was counted
 
@@ -46,28 +46,28 @@
     return f"gauge/{place(tenant) % DUTIES}"
 
 
-class Gauge:
+class RateLimiter:
     def __init__(
         self,
         loop: Loop,
-        mains: Mains,
+        transport: Transport,
         terms: Terms,
         node: str,
         life: str,
         own: str,
         members: Callable[[], Members],
-        jurors: Callable[[], list[str]],
+        voters: Callable[[], list[str]],
         quota: Callable[[str], Quota],
     ) -> None:
-        self.loop, self.mains, self._terms = loop, mains, terms
+        self.loop, self.transport, self._terms = loop, transport, terms
         self._node, self._life, self._own = node, life, own
-        self._members, self._jurors, self._quota = members, jurors, quota
+        self._members, self._voters, self._quota = members, voters, quota
         self._duties = [f"gauge/{n}" for n in range(DUTIES)]
         self._candidate = Candidate(life)
-        self._presence = Presence(loop, mains, node, life, members)
-        self._counters: dict[str, Floors] = {}  # of the duties held here
+        self._presence = Presence(loop, transport, node, life, members)
+        self._counters: dict[str, QuotaCounter] = {}  # of the duties held here
         self._gathering: dict[str, Gathering] = {}
-        self._former: dict[str, tuple[Floors, int]] = {}  # counters of duties that were held here, and until when
+        self._former: dict[str, tuple[QuotaCounter, int]] = {}  # counters of duties that were held here, and until when
         self._counts_since = 0  # when a duty was last won
         self._holders: dict[str, Address] = {}
         self._contact: dict[str, int] = {}  # duty -> when its counter last answered
@@ -86,7 +86,7 @@
         self._returns = Returns(node, life)
         self._handover = Handover(
             loop,
-            mains,
+            transport,
             own,
             self._successors,
             self._presence.others,
@@ -95,13 +95,13 @@
             self._state,
             self._gave_up,
         )
-        mains.handlers["count"] = self._count
-        mains.handlers["greet"] = self._greeted
-        mains.handlers["give back"] = self._given_back
-        mains.handlers["gauge"] = self._announced
-        mains.handlers["counts"] = lambda conn, body, answer: answer([self._known(str(body))])
-        mains.handlers["levels"] = self._levels
-        mains.handlers["life"] = lambda conn, body, answer: answer(life)
+        transport.handlers["count"] = self._count
+        transport.handlers["greet"] = self._greeted
+        transport.handlers["give back"] = self._given_back
+        transport.handlers["gauge"] = self._announced
+        transport.handlers["counts"] = lambda conn, body, answer: answer([self._known(str(body))])
+        transport.handlers["levels"] = self._levels
+        transport.handlers["life"] = lambda conn, body, answer: answer(life)
         loop.at(loop.now + TICK, self._tick)
 
     def held(self) -> list[str]:
@@ -155,7 +155,7 @@
             then(passes, wait, True)
 
         self._called[duty] = now
-        self.mains.ask(
+        self.transport.ask(
             holder,
             "count",
             [tenant, quota.rate, quota.burst, self._node, again, self._stamps.get(holder)],
@@ -172,9 +172,9 @@
         if counter == self._life:
             self._take_back(receipt.tenant, receipt.counted_at)
         elif (holder := self._holders.get(duty)) is not None:
-            self.mains.tell(holder, "give back", self._returns.packed(receipt.tenant, counter, receipt.counted_at))
+            self.transport.tell(holder, "give back", self._returns.packed(receipt.tenant, counter, receipt.counted_at))
 
-    def _given_back(self, conn: Conn, body: Any, _: Answer) -> None:
+    def _given_back(self, conn: Connection, body: Any, _: Answer) -> None:
         given = self._returns.taken(body, self._life, self.loop.now)
         if given is not None:
             self._take_back(*given)
@@ -204,7 +204,7 @@
     def _unanswered(self, duty: str, holder: Address) -> None:
         if self._holders.get(duty) == holder:
             self._doubt[duty] = self.loop.now
-            if self.mains.ended(holder):
+            if self.transport.ended(holder):
                 del self._holders[duty]
         self._find(duty, suspects=True)
 
@@ -243,34 +243,34 @@
         if now - self._asked.get(duty, -DOUBT) < DOUBT:
             return
         self._asked[duty] = now
-        for address in self._jury():
-            self.mains.ask(
+        for address in self._voter_service():
+            self.transport.ask(
                 address, "who", [duty, self._own, self._life, suspects], WAIT, partial(self._juror_said, duty, address)
             )
         others = self._presence.others()
         for address in self.loop.net.rng.sample(others, min(2, len(others))):
-            self.mains.ask(address, "counts", duty, WAIT, partial(self._told_by, duty, address))
+            self.transport.ask(address, "counts", duty, WAIT, partial(self._told_by, duty, address))
 
-    def _juror_said(self, duty: str, juror: Address, answer: Any) -> None:
+    def _juror_said(self, duty: str, voter: Address, answer: Any) -> None:
         if isinstance(answer, list):
             self._heard_of(duty, answer[0])
-            self._vacant.setdefault(duty, {})[juror] = self.loop.now if answer[0] is None else -VACANT
+            self._vacant.setdefault(duty, {})[voter] = self.loop.now if answer[0] is None else -VACANT
             if self._is_vacant(duty):
                 self._stand(duty)
 
     def _is_vacant(self, duty: str) -> bool:
         """Most jurors just said that nobody has their vote: a holder's silence need not be waited for."""
         said = sum(1 for at in self._vacant.get(duty, {}).values() if self.loop.now - at < VACANT)
-        return said > len(self._jurors()) // 2
+        return said > len(self._voters()) // 2
 
     def _told_by(self, duty: str, address: Address, answer: Any) -> None:
-        if isinstance(answer, list) or self.mains.ended(address):
+        if isinstance(answer, list) or self.transport.ended(address):
             self._presence.reached(address)
         self._heard_of(duty, answer[0] if isinstance(answer, list) else None)
 
     def _heard_of(self, duty: str, answer: Any) -> None:
         address = parse_address(answer) if answer else None
-        if address is None or answer == self._own or self.mains.ended(address):
+        if address is None or answer == self._own or self.transport.ended(address):
             return
         if self._holders.get(duty) != address:
             self._holders[duty] = address
@@ -290,7 +290,7 @@
     def _counts(self, duty: str) -> bool:
         return duty in self._counters and self._candidate.holds(duty, self.loop.now)
 
-    def _count(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _count(self, conn: Connection, body: Any, answer: Answer) -> None:
         tenant = str(body[0])
         duty = duty_of(tenant)
         if not self._counts(duty):
@@ -316,13 +316,13 @@
                 elif self._holders.get(duty) == address:
                     self._unanswered(duty, address)
 
-        self.mains.ask(address, "greet", [self._node, self._stamps.get(address)], WAIT, answered)
+        self.transport.ask(address, "greet", [self._node, self._stamps.get(address)], WAIT, answered)
 
-    def _greeted(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _greeted(self, conn: Connection, body: Any, answer: Answer) -> None:
         self._presence.hears(str(body[0]), body[1])
         answer([self.held(), self._presence.stamp()])
 
-    def _levels(self, conn: Conn, body: Any, answer: Answer) -> None:
+    def _levels(self, conn: Connection, body: Any, answer: Answer) -> None:
         """What was last read here, and for how long this gateway has lived. Who asks is elected and reckons with
         this gateway from now on."""
         duty = str(body[0])
@@ -340,7 +340,7 @@
         to this gateway; then all are told. It waits for either no longer than `GATHER`.
         """
         now = self.loop.now
-        counter = Floors(self._terms, now)
+        counter = QuotaCounter(self._terms, now)
         gathering = self._gathering[duty] = Gathering(counter, len(self._presence.others()), now - self._born)
         for tenant, known in self._read.aged(self._of(duty), len(self._presence.lately), now).items():
             counter.learn(tenant, *known, now)
@@ -371,7 +371,7 @@
             address = parse_address(member.address)
             if address is not None and member.node != self._node:
                 heard = partial(gathered, member, address)
-                self.mains.ask(address, "levels", [duty, self._presence.stamp()], LATE_ANSWERS, heard)
+                self.transport.ask(address, "levels", [duty, self._presence.stamp()], LATE_ANSWERS, heard)
         self.loop.at(now + GATHER, lambda _: self._begin_counting(duty, gathering))
 
     def _begin_counting(self, duty: str, gathering: Gathering) -> None:
@@ -384,11 +384,11 @@
         self._counts_since = self.loop.now
         self._holders.pop(duty, None)
         self._found(duty)
-        note("counting", duty=duty)
+        log_event("counting", duty=duty)
         for address in self._presence.others():
-            self.mains.tell(address, "gauge", [duty, self._own])
+            self.transport.tell(address, "gauge", [duty, self._own])
 
-    def _announced(self, conn: Conn, body: Any, _: Answer) -> None:
+    def _announced(self, conn: Connection, body: Any, _: Answer) -> None:
         duty, where = str(body[0]), str(body[1])
         address = parse_address(where)
         if address is not None and where != self._own:
@@ -408,8 +408,8 @@
                 if member.node == self._node:
                     self._ranks[duty] = rank
 
-    def _jury(self) -> list[Address]:
-        found = [parse_address(address) for address in self._jurors()]
+    def _voter_service(self) -> list[Address]:
+        found = [parse_address(address) for address in self._voters()]
         return [address for address in found if address is not None]
 
     def _tick(self, _: Any) -> None:
@@ -421,7 +421,7 @@
             self._presence.prove()
         for duty in self._duties:
             if duty in self._counters and not self._counts(duty):
-                note("counts no longer", duty=duty)
+                log_event("counts no longer", duty=duty)
                 self._stop_counting(duty)
                 self._handover.hand_on(duty, self._handover.next_for(duty))
             elif duty in self._counters:
@@ -452,9 +452,9 @@
         """A question to the whole jury."""
         if ask is None:
             return
-        jurors = self._jury()
+        voters = self._voter_service()
 
-        def answered(answer: Any, juror: Address) -> None:
+        def answered(answer: Any, voter: Address) -> None:
             if isinstance(answer, list):
                 kind, number, yes, known, holder, where, left = answer
                 self._hear(
@@ -468,25 +468,25 @@
                         str(where),
                         int(left),
                     ),
-                    spelled(juror),
-                    len(jurors),
+                    spelled(voter),
+                    len(voters),
                 )
 
-        for juror in jurors:
-            self.mains.ask(
-                juror,
+        for voter in voters:
+            self.transport.ask(
+                voter,
                 "ballot",
                 [ask.duty, ask.kind, list(ask.number), self._own],
                 VOTE_TIMEOUT,
-                lambda answer, juror=juror: answered(answer, juror),  # type: ignore[misc]
+                lambda answer, voter=voter: answered(answer, voter),  # type: ignore[misc]
             )
 
-    def _hear(self, word: Word, juror: str, jurors: int) -> None:
+    def _hear(self, word: Word, voter: str, voters: int) -> None:
         now = self.loop.now
         if not word.yes:
             self._heard_of(word.duty, word.where)
         held = self._candidate.holds(word.duty, now)
-        self._put(self._candidate.hear(word, juror, jurors, now))
+        self._put(self._candidate.hear(word, voter, voters, now))
         if not held and self._candidate.holds(word.duty, now) and word.duty not in self._gathering:
             self._begin(word.duty)
 
@@ -504,8 +504,8 @@
             self._stop_counting(duty)
         for duty in self._gathering:
             self._candidate.drop(duty)
-        for juror in self._jury():
-            self.mains.tell(juror, "ended", self._life)
+        for voter in self._voter_service():
+            self.transport.tell(voter, "ended", self._life)
         for duty, successor in successors.items():
             if duty in self._former:  # else its votes ran out meanwhile, and it was handed on for that
                 self._handover.hand_on(duty, successor)
--- a/oakvale/ratelimit/usage_collection.py
+++ b/oakvale/ratelimit/usage_collection.py
@@ -4,13 +4,13 @@
 
 from typing import Any
 
-from oakvale.ratelimit.quotas import Floors
+from oakvale.ratelimit.quotas import QuotaCounter
 
 
 class Gathering:
     """Answers count also after the counter has begun, but not once it is known that it does not count."""
 
-    def __init__(self, counter: Floors, others: int, own_age: int) -> None:
+    def __init__(self, counter: QuotaCounter, others: int, own_age: int) -> None:
         """`others`: gateways that were asked; `own_age`: microseconds that this gateway has lived."""
         self.counter = counter
         self._others, self._ages, self._over = others, [own_age], False
--- a/oakvale/storage/store.py
+++ b/oakvale/storage/store.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from oakvale.base.loop import READ, Coroutine, Loop, Rank
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 
 Row = tuple[str, bytes]
 Piece = tuple[bytes, bytes]  # its name, and what it holds
@@ -40,14 +40,14 @@
 BROKEN = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
 DAMAGED = (*BROKEN, sqlite3.SQLITE_ERROR)  # the last: a table is missing
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
 class Damaged(Exception):
     """The file holds something else than what was written to it, or an older state."""
 
 
-class Cistern:
+class Storage:
     def __init__(self, loop: Loop, folder: str) -> None:
         """A file that is damaged is put aside, and another begun. Raises OSError or sqlite3.Error where the folder
         can't be used."""
@@ -66,13 +66,13 @@
         except (Damaged, sqlite3.DatabaseError) as error:
             if getattr(error, "sqlite_errorcode", sqlite3.SQLITE_CORRUPT) & 0xFF not in DAMAGED:
                 raise  # the disk refuses
-            note("file is damaged", "error", why=str(error), kept=self._aside, begins="without state")
+            log_event("file is damaged", "error", why=str(error), kept=self._aside, begins="without state")
             self.first = False
             self._put_aside()
             self._open()
         else:
             if not self.first and not self._commits:
-                note("no state where there was one", "error", folder=folder, begins="without state")
+                log_event("no state where there was one", "error", folder=folder, begins="without state")
         self._mark_file = os.open(self._mark, os.O_RDWR | os.O_CREAT, 0o644) if self._commits else -1
         self._queue: SimpleQueue[tuple[int, Write] | None] = SimpleQueue()
         self._then: dict[int, Callable[[], None]] = {}
@@ -196,7 +196,7 @@
                     try:
                         then()
                     except Exception:
-                        note.fault("what follows a write failed")
+                        log_event.fault("what follows a write failed")
         finally:
             self._read.close()
 
@@ -223,7 +223,7 @@
             try:
                 self._commit(batch)
             except Damaged as error:
-                note("file breaks", "error", why=str(error))
+                log_event("file breaks", "error", why=str(error))
                 self.broken = True
                 return self._tell()
             self._done = batch[-1][0]
@@ -248,7 +248,7 @@
             except sqlite3.Error as error:
                 if getattr(error, "sqlite_errorcode", 0) & 0xFF in BROKEN:
                     raise Damaged(str(error)) from error
-                note("disk refuses", "warning", why=str(error))
+                log_event("disk refuses", "warning", why=str(error))
                 try:
                     self._db.execute("rollback")
                 except sqlite3.Error:
@@ -317,7 +317,7 @@
                 _sync_folder(self._folder)
             os.pwrite(self._mark_file, _marked(self._id, self._commits), 0)
         except OSError as error:
-            note("disk refuses", "warning", why=str(error))
+            log_event("disk refuses", "warning", why=str(error))
 
 
 def _marked(name: bytes, number: int) -> bytes:
