--- a/oakvale/transport/links.py
+++ b/oakvale/transport/links.py
@@ -19,7 +19,7 @@
 from oakvale.base.address import Address
 from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Loop, Rank, Timer, call_off
 from oakvale.base.net import Sock
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.transport.frames import BadFrame, Frame, decode, encode
 
 TCP_USER_TIMEOUT = 18  # Linux; milliseconds that sent bytes may stay unacknowledged
@@ -38,21 +38,21 @@
 ACCEPTS = 64
 
 Answer = Callable[[Any], None]
-Handler = Callable[["Conn", Any, Answer], None]
+Handler = Callable[["Connection", Any, Answer], None]
 Then = Callable[[Any], None]  # the answer's body, or None where there was none
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 
-class Conn:
+class Connection:
     """One connection, either way. `on_close` hears once that it is gone."""
 
-    def __init__(self, mains: Mains, sock: Sock, address: Address, out: bool) -> None:
-        self.mains, self.sock, self.address, self._out = mains, sock, address, out
+    def __init__(self, transport: Transport, sock: Sock, address: Address, out: bool) -> None:
+        self.transport, self.sock, self.address, self._out = transport, sock, address, out
         self.alive, self.up = True, not out
         self.refused = False  # nobody listens there: whoever did has ended
-        self.on_close: list[Callable[[Conn], None]] = []
-        self.on_room: Callable[[Conn], None] | None = None  # hears once, when nothing waits for the peer any more
+        self.on_close: list[Callable[[Connection], None]] = []
+        self.on_room: Callable[[Connection], None] | None = None  # hears once, when nothing waits for the peer any more
         self.waiting: dict[int, tuple[Then, Timer]] = {}
         self._came, self._going = bytearray(), bytearray()
         self._long: deque[tuple[str, bytes]] = deque()  # kind and frame, what goes in parts and what waits behind it
@@ -61,8 +61,8 @@
         self._flies = False  # a part is on its way
         self._late: Timer | None = None  # set while it counts for all connections
         self._parts = bytearray()  # of a long frame that comes
-        self.used = mains.loop.now
-        self._task = mains.loop.start(self._run(), sock.fileno(), Rank.COUNTER)
+        self.used = transport.loop.now
+        self._task = transport.loop.start(self._run(), sock.fileno(), Rank.COUNTER)
 
     def send(self, kind: str, number: int, body: Any, of: str = "") -> None:
         """`of`: the kind of the question that an answer is given to."""
@@ -72,17 +72,17 @@
         if len(data) > LONG or kind and any(kind == waits for waits, _ in self._long):
             return self._send_long(kind or of, data)
         if len(self._going) + len(data) > BACKLOG:
-            note("peer does not read", "warning", peer=self.address[0])
+            log_event("peer does not read", "warning", peer=self.address[0])
             return self.end()
-        self.mains.sent[kind or of] += len(data)
+        self.transport.sent[kind or of] += len(data)
         self._send(data)
 
     def ask(self, kind: str, body: Any, timeout: int, then: Then) -> None:
         """As `Mains.ask_on`."""
-        self.mains.ask_on(self, kind, body, timeout, then)
+        self.transport.ask_on(self, kind, body, timeout, then)
 
     def _send(self, data: bytes) -> None:
-        self.used = self.mains.loop.now
+        self.used = self.transport.loop.now
         if self.up and not self._going:
             try:
                 sent = self.sock.send(data)
@@ -94,7 +94,7 @@
                 return
             data = data[sent:]
         self._going += data
-        self.mains.loop.wake(self._task)
+        self.transport.loop.wake(self._task)
 
     # ---- what is long
 
@@ -113,20 +113,20 @@
 
     def _send_long(self, kind: str, data: bytes) -> None:
         if self._behind + len(data) > BACKLOG and self._long:
-            note("peer does not read", "warning", peer=self.address[0])
+            log_event("peer does not read", "warning", peer=self.address[0])
             return self.end()
-        self.mains.sent[kind] += len(data)
+        self.transport.sent[kind] += len(data)
         self._behind += len(data) if self._long else 0
         self._long.append((kind, data))
         if len(self._long) == 1:
             self._remind(None)
-            self.mains.hungry.append(self)
-            self.mains.feed()
+            self.transport.hungry.append(self)
+            self.transport.feed()
 
     def _remind(self, _: Any) -> None:
         if self.alive and self._long:
             self.remind(0)
-            self.mains.loop.at(self.mains.loop.now + REMIND, self._remind)
+            self.transport.loop.at(self.transport.loop.now + REMIND, self._remind)
 
     def remind(self, hops: int) -> None:
         """That something long is on its way there; `hops` from whoever has it."""
@@ -142,24 +142,24 @@
             self._at = 0
             self._behind -= len(self._long[0][1]) if self._long else 0
         self._flies = True
-        self.mains.flying += 1
-        self._late = self.mains.loop.at(self.mains.loop.now + LATE, self._counts_no_more)
+        self.transport.flying += 1
+        self._late = self.transport.loop.at(self.transport.loop.now + LATE, self._counts_no_more)
         self._send(encode("part", 1, [part, last, 0]))
 
     def _counts_no_more(self, _: Any) -> None:
         if self._late is not None:
             call_off(self._late)
             self._late = None
-            self.mains.flying -= 1
-            self.mains.feed()
+            self.transport.flying -= 1
+            self.transport.feed()
 
     def _part_came(self) -> None:
         if self._flies:
             self._flies = False
             if self._long:
-                self.mains.hungry.append(self)
+                self.transport.hungry.append(self)
             self._counts_no_more(None)
-            self.mains.feed()
+            self.transport.feed()
             self._has_room()
 
     def forget_long(self) -> None:
@@ -167,9 +167,9 @@
         self._counts_no_more(None)
 
     def _take_part(self, number: int, part: bytes, last: bool, hops: int) -> None:
-        now = self.mains.loop.now
-        if hops <= self.mains.long_hops or now - self.mains.long_at >= 2 * REMIND:
-            self.mains.long_at, self.mains.long_hops = now, hops
+        now = self.transport.loop.now
+        if hops <= self.transport.long_hops or now - self.transport.long_at >= 2 * REMIND:
+            self.transport.long_at, self.transport.long_hops = now, hops
         if not number:
             return
         self._parts += part
@@ -183,7 +183,7 @@
         """Later in this turn: whoever speaks need not reckon with its own connection gone under it."""
         if self.alive:
             self.alive = False
-            self.mains.loop.wake(self._task)
+            self.transport.loop.wake(self._task)
 
     def _run(self) -> Coroutine:
         try:
@@ -197,11 +197,11 @@
                     return
         except (OSError, BadFrame) as error:
             if isinstance(error, BadFrame):
-                note("bad frame", "warning", peer=self.address[0], why=str(error)[:100])
+                log_event("bad frame", "warning", peer=self.address[0], why=str(error)[:100])
         finally:
             self.alive = False
             self.sock.close()
-            self.mains.gone(self)
+            self.transport.gone(self)
 
     def _connect(self) -> Coroutine | Any:
         """As wire.tcp's, but it also ends when the link is ended meanwhile."""
@@ -211,7 +211,7 @@
         if code != errno.EINPROGRESS:
             self.refused = code == errno.ECONNREFUSED
             return False
-        due = self.mains.loop.now + CONNECT
+        due = self.transport.loop.now + CONNECT
         while True:
             signal = yield WRITE, due
             if signal == TIMED_OUT or not self.alive:
@@ -238,7 +238,7 @@
         if not data:
             return False
         self._came += data
-        self.used = self.mains.loop.now
+        self.used = self.transport.loop.now
         for frame in decode(self._came):
             self._take(frame)
         return True
@@ -255,14 +255,14 @@
                 call_off(waited[1])
                 _hear(waited[0], body)
             return
-        handler = self.mains.handlers.get(kind)
+        handler = self.transport.handlers.get(kind)
         if handler is None:
             return
         try:
             handler(self, body, (lambda answer: self.send("", number, answer, kind)) if number else _nobody)
         except Exception:
             # one peer's odd message never ends the process, nor the connection that others' news come on
-            note.fault("message failed", kind=kind, peer=self.address[0])
+            log_event.fault("message failed", kind=kind, peer=self.address[0])
 
 
 def _nobody(_: Any) -> None:
@@ -274,22 +274,22 @@
     try:
         then(answer)
     except Exception:
-        note.fault("answer failed")
+        log_event.fault("answer failed")
 
 
-class Mains:
+class Transport:
     """All links of a process."""
 
     def __init__(self, loop: Loop, own: Address) -> None:
         self.loop, self.own = loop, own
         self.handlers: dict[str, Handler] = {}
         self.sent: Counter[str] = Counter()  # bytes by kind, answers with their questions
-        self._out: dict[Address, Conn] = {}
+        self._out: dict[Address, Connection] = {}
         self._failed: dict[Address, int] = {}
         self._refused: dict[Address, int] = {}
-        self._in: set[Conn] = set()
+        self._in: set[Connection] = set()
         self._number = 0
-        self.hungry: deque[Conn] = deque()  # connections with something long, and no part of it on its way
+        self.hungry: deque[Connection] = deque()  # connections with something long, and no part of it on its way
         self.flying = 0  # parts on their way
         self.long_at = -SILENT_MS * 1000  # when the latest word came of something long that is on its way here
         self.long_hops = 0  # and how far it has yet to go
@@ -309,7 +309,7 @@
                     except OSError:
                         break
                     self._tune(sock)
-                    self._in.add(Conn(self, sock, address, out=False))
+                    self._in.add(Connection(self, sock, address, out=False))
         finally:
             listener.close()
 
@@ -328,7 +328,7 @@
             if conn.alive and conn.busy():
                 conn.send_part()
 
-    def gone(self, conn: Conn) -> None:
+    def gone(self, conn: Connection) -> None:
         conn.forget_long()
         self._in.discard(conn)
         if self._out.get(conn.address) is conn:
@@ -344,7 +344,7 @@
         for call in conn.on_close:
             call(conn)
 
-    def link(self, address: Address) -> Conn | None:
+    def link(self, address: Address) -> Connection | None:
         """The connection to a peer, made if need be; None shortly after one failed."""
         conn = self._out.get(address)
         if conn is not None and conn.alive:
@@ -357,7 +357,7 @@
         except OSError:
             return None
         self._tune(sock)
-        conn = Conn(self, sock, address, out=True)
+        conn = Connection(self, sock, address, out=True)
         if conn.alive:
             self._out[address] = conn
             return conn
@@ -385,7 +385,7 @@
         else:
             self.ask_on(conn, kind, body, timeout, then)
 
-    def ask_on(self, conn: Conn, kind: str, body: Any, timeout: int, then: Then) -> None:
+    def ask_on(self, conn: Connection, kind: str, body: Any, timeout: int, then: Then) -> None:
         """As `ask`, of the very process at the other end of a connection, whoever made it."""
         self._number += 1
         number = self._number
--- a/oakvale/transport/status_service.py
+++ b/oakvale/transport/status_service.py
@@ -11,15 +11,15 @@
 from typing import Any
 
 from oakvale.base.address import Address
-from oakvale.lifecycle.eventlog import Writer
+from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.transport.frames import BadFrame, decode, encode
-from oakvale.transport.links import Mains
+from oakvale.transport.links import Transport
 
 EACH = 30_000_000  # microseconds between two notes
 KIND = "status"
 MS = 1_000
 
-note = Writer(__name__)
+log_event = EventLogger(__name__)
 
 Fields = dict[str, Any]
 
@@ -28,31 +28,31 @@
     """Who was asked did not answer; one line."""
 
 
-def offer(mains: Mains, role: str, node: str, tell: Callable[[], Fields]) -> None:
+def offer(transport: Transport, role: str, node: str, tell: Callable[[], Fields]) -> None:
     """Answers whoever asks, and notes the same at intervals."""
-    loop, began = mains.loop, mains.loop.now
+    loop, began = transport.loop, transport.loop.now
 
     def standing() -> Fields:
-        (cpu, memory), (out, come) = loop.net.used(), mains.links()
+        (cpu, memory), (out, come) = loop.net.used(), transport.links()
         return (
             {"role": role, "node": node, "up_ms": (loop.now - began) // MS}
             | tell()
             | {
                 "links_out": out,
                 "links_in": come,
-                "sent_bytes": mains.sent.total(),
+                "sent_bytes": transport.sent.total(),
                 "turns": loop.turns,
                 "cpu_ms": round(cpu * 1000),
                 "memory_mb": memory,
             }
-            | {f"sent.{kind}": count for kind, count in sorted(mains.sent.items())}
+            | {f"sent.{kind}": count for kind, count in sorted(transport.sent.items())}
         )
 
     def again(_: Any) -> None:
         loop.at(loop.now + EACH, again)
-        note("standing", **standing())
+        log_event("standing", **standing())
 
-    mains.handlers[KIND] = lambda conn, body, answer: answer(standing())
+    transport.handlers[KIND] = lambda conn, body, answer: answer(standing())
     loop.at(loop.now + EACH, again)
 
 
--- a/tests/control_plane_simulation.py
+++ b/tests/control_plane_simulation.py
@@ -53,7 +53,7 @@
                 self.life.machine.run(self.life, lambda then=then: then(None))  # type: ignore[misc]
 
 
-class Mains:
+class Transport:
     def __init__(self, world: World, life: Life) -> None:
         self.own = life.machine.address
         self.handlers: dict[str, Any] = {}
@@ -80,7 +80,7 @@
         self._world.at(self._world.now + timeout, lambda: self._life.machine.run(self._life, late))
 
 
-class Cistern:
+class Storage:
     first = True
 
     def __init__(self, world: World, life: Life) -> None:
@@ -150,9 +150,9 @@
         settings = self.world.settings(self, bootstrap)
         self.core = Core(
             cast(Any, Loop(self.world, self.life)),
-            cast(Any, Mains(self.world, self.life)),
+            cast(Any, Transport(self.world, self.life)),
             settings,
-            cast(Any, Cistern(self.world, self.life)),
+            cast(Any, Storage(self.world, self.life)),
         )
         self.core.on_change.append(lambda serves: self.world.turned(self, serves))
         if self.world.equips is not None:
@@ -265,7 +265,7 @@
                 self._ship(link, False, lambda: self._answered(link, asked[0], cbor2.loads(packed)))
 
         def arrive() -> None:
-            handler = there.core.mains.handlers.get(kind) if there.core else None
+            handler = there.core.transport.handlers.get(kind) if there.core else None
             if handler is not None:
                 handler(cast(Any, link), cbor2.loads(data), answer)
 
@@ -343,10 +343,10 @@
         def then(done: bool) -> None:
             if done:
                 self.acknowledged += 1
-                version = core.ledger.table.version(key)
+                version = core.replicated_state.table.version(key)
                 assert version > floor
                 self.floor[key] = max(version, self.floor.get(key, NOTHING))
-                self.content(key, version, core.ledger.table.get(key))
+                self.content(key, version, core.replicated_state.table.get(key))
 
         core.change({key: value} | ({f"left/b{value}": 1} if self.prunes else {}), then)
 
@@ -362,10 +362,10 @@
             self.reads += 1
             for n in range(KEYS):
                 key = f"k{n}"
-                version = core.ledger.table.version(key)
+                version = core.replicated_state.table.version(key)
                 assert version >= floor.get(key, NOTHING), f"{key} is back at {version}, was {floor[key]}"
                 if version != NOTHING:
-                    self.content(key, version, core.ledger.table.get(key))
+                    self.content(key, version, core.replicated_state.table.get(key))
                 self.floor[key] = max(self.floor.get(key, NOTHING), version)
 
         core.confirm(then)
@@ -405,7 +405,7 @@
             and all(
                 peer in cores
                 and cores[peer].view() == view
-                and (peer not in view.copies or cores[peer].succession.state.complete == view.number)
+                and (peer not in view.copies or cores[peer].view_manager.state.complete == view.number)
                 for peer in view.witnesses
             )
         )
@@ -535,7 +535,9 @@
         self.run(SECOND)
         assert (self.acknowledged, self.reads) == (acknowledged + 1, reads + 1), "serves, but keeps nothing"
         assert found.core is not None
-        assert self.gateway.since(NOTHING) == found.core.ledger.table.since(NOTHING), "the news are not the state"
+        assert self.gateway.since(NOTHING) == found.core.replicated_state.table.since(NOTHING), (
+            "the news are not the state"
+        )
 
 
 class Wire:
--- a/tests/data_plane.py
+++ b/tests/data_plane.py
@@ -9,7 +9,7 @@
 
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
-from oakvale.dataplane.request_router import Plant
+from oakvale.dataplane.request_router import RequestRouter
 from oakvale.dataplane.routes import Backend, Picture, configured
 from oakvale.lifecycle.acceptor import Acceptor, listening
 from oakvale.ratelimit.counter_state import Receipt
@@ -75,10 +75,10 @@
         self.limits = replace(limits, timer_slack=0, wake_slack=0)
         self.loop = Loop(self.clock, self.limits)
         self.first, self.second, self.other = Party(), Party(), Party()
-        self.gauge, self.peers = FakeGauge(), []
-        self.plant = Plant(
+        self.rate_limiter, self.peers = FakeGauge(), []
+        self.router = RequestRouter(
             Shared(self.loop, self.limits),
-            self.gauge,  # type: ignore[arg-type]
+            self.rate_limiter,  # type: ignore[arg-type]
             FakeMains(),  # type: ignore[arg-type]
             "g",
             ["z"],
@@ -87,7 +87,7 @@
         )  # plenty: what it earns is tested apart
         listener = listening(("127.0.0.1", 0), 64)
         self.address = listener.getsockname()
-        self.acceptor = Acceptor(self.plant, listener, self.loop)
+        self.acceptor = Acceptor(self.router, listener, self.loop)
         self.show()
 
     def show(self, gone: tuple[str, ...] = (), drain: tuple[str, ...] = (), **changes: Any) -> None:
@@ -98,7 +98,7 @@
             if name not in gone
         }
         parts = configured(json.dumps(CONFIG | changes).encode())
-        self.plant.show(replace(Picture(**parts), backends=backends))
+        self.router.show(replace(Picture(**parts), backends=backends))
 
     def say(
         self,
@@ -134,7 +134,7 @@
         return int(self.reads(client).split()[1])
 
     def close(self) -> None:
-        self.plant.ended = True
+        self.router.ended = True
         self.loop.close()
         for party in (self.first, self.second, self.other):
             party.close()
--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -17,7 +17,7 @@
 
 from oakvale.base.loop import Loop
 from oakvale.config.bounds import bounds
-from oakvale.dataplane.request_router import Plant
+from oakvale.dataplane.request_router import RequestRouter
 from oakvale.dataplane.routes import Backend, Picture, configured
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.shutdown import Shutdown
@@ -320,17 +320,17 @@
         self.loop = Loop(lambda: self.now, given, cast(Any, self.net))
         self.word: tuple[bool, int, bool] | None = (True, 0, True)  # of the counter; None: later
         self.owed: list[Callable[[bool, int, bool], None]] = []
-        gauge = SimpleNamespace(
+        rate_limiter = SimpleNamespace(
             ask=self._count,
             counts=lambda duty: False,
             holder=lambda duty: None,
             give_back=lambda receipt: None,
         )
-        mains = SimpleNamespace(handlers={})
-        self.plant = Plant(
+        transport = SimpleNamespace(handlers={})
+        self.router = RequestRouter(
             Shared(self.loop, given),
-            cast(Any, gauge),
-            cast(Any, mains),
+            cast(Any, rate_limiter),
+            cast(Any, transport),
             "g",
             ["z"],
             "z",
@@ -338,12 +338,12 @@
         )
         listener = self.net.listen(("10.0.0.1", 80), 64)
         self.listener = listener
-        self.acceptor = Acceptor(cast(Any, self.plant), listener, self.loop)
+        self.acceptor = Acceptor(cast(Any, self.router), listener, self.loop)
         self.shutdown = Shutdown(
             cast(
                 Any,
                 SimpleNamespace(
-                    host=self.plant, loop=self.loop, accepting=self.acceptor.task, accept_one=self.acceptor.accept_one
+                    host=self.router, loop=self.loop, accepting=self.acceptor.task, accept_one=self.acceptor.accept_one
                 ),
             )
         )
@@ -376,8 +376,8 @@
             for name, (service, (ip, port)) in PLACES.items()
         }
         avoid = {"t2": frozenset({"i-1"})} if self.avoid else {}
-        was = self.plant.picture
-        self.plant.show(replace(Picture(**parts(self.idle)), backends=found, avoid=avoid, gen=was.gen + 1))
+        was = self.router.picture
+        self.router.show(replace(Picture(**parts(self.idle)), backends=found, avoid=avoid, gen=was.gen + 1))
 
     def holds(self, so: bool, what: str) -> None:
         """What the program calls keeps its findings for the judge: the loop would catch them."""
@@ -537,20 +537,20 @@
         for _ in range(3):
             self.pass_time(3_200 * MS)
         for _ in range(len(self.asked) + 2):
-            if not len(self.plant.requests):
+            if not len(self.router.requests):
                 self.pass_time(60 * MS)  # one that was read late may wait for whether its client is there
-            if not len(self.plant.requests):
+            if not len(self.router.requests):
                 break
             self.pass_time(9_500 * MS)
         self.judge()
         self.over = True
         self.pass_time(40 * SECOND)
-        self.plant.shared.idle.sweep(self.now)
+        self.router.shared.idle.sweep(self.now)
         self.turn()
         assert not self.faults, self.faults[0]
-        assert not len(self.plant.requests) and not self.plant.bodies.taken and not self.plant.buffers.taken
-        assert not self.plant.shared.backend_connections and not self.plant.idle.count
-        assert not self.plant.clients.all, "clients are held for ever"
+        assert not len(self.router.requests) and not self.router.bodies.taken and not self.router.buffers.taken
+        assert not self.router.shared.backend_connections and not self.router.idle.count
+        assert not self.router.clients.all, "clients are held for ever"
         self.loop.close()
 
     # ---- the judge
--- a/tests/failover_simulation.py
+++ b/tests/failover_simulation.py
@@ -15,7 +15,7 @@
 from oakvale.failover.chains import Chains, Load, plan
 from oakvale.failover.evacuation import Flow
 from oakvale.failover.places import hierarchy
-from oakvale.failover.spill import Ask, Crest, Wait
+from oakvale.failover.spill import Ask, SpillController, Wait
 
 MS, SECOND = 1_000, 1_000_000
 WORK = 200 * MS
@@ -59,7 +59,7 @@
 class Gateway:
     name: str
     zone: str
-    crest: Crest
+    spill: SpillController
     chains: Chains
     contact: int
     closed: frozenset[str] = frozenset()
@@ -92,9 +92,9 @@
         self.chains = self.planned(2)
         self.versions.append((self.now, self.chains))
         for gateway in self.gateways:
-            gateway.crest.show(self.chains)
+            gateway.spill.show(self.chains)
             gateway.chains = self.chains
-        self.keeper: Crest | None = None
+        self.keeper: SpillController | None = None
         self.keeper_zone = next(iter(zones))
         self.heard: dict[str, int] = {}
         self.elect()
@@ -124,18 +124,18 @@
         if self.keeper is not None:
             self.keeper.show(made)
         for gateway in self.gateways:
-            self.at(self.now + self.rng.randrange(within), lambda g=gateway: g.crest.show(made))  # type: ignore[misc]
+            self.at(self.now + self.rng.randrange(within), lambda g=gateway: g.spill.show(made))  # type: ignore[misc]
 
     def _gateway(self, name: str, zone: str) -> Gateway:
         gateway = Gateway(name, zone, None, self.chains, self.now)  # type: ignore[arg-type]
-        gateway.crest = Crest(
+        gateway.spill = SpillController(
             "s",
             self.rng.random,
             cut=lambda: 0.0
             if self.now - gateway.contact < CUT
             else (1.0 if self.now - gateway.contact < LONG else FEW),
         )
-        gateway.crest.show(self.chains)
+        gateway.spill.show(self.chains)
         return gateway
 
     # ---- the keeper
@@ -145,7 +145,7 @@
         self.keeper_zone = zone or self.keeper_zone
         self.heard, begun = {}, self.now
         self.turns: dict[str, list[tuple[int, Flow]]] = {name: [] for name in self.places}  # as this one sees them
-        self.keeper = Crest(
+        self.keeper = SpillController(
             "s",
             self.rng.random,
             lambda place: frozenset(self.missed.get(place, set())),
@@ -179,8 +179,8 @@
 
     def look(self) -> None:
         self.at(self.now + 100 * MS, self.look)
-        crests = [g.crest for g in self.gateways] + ([self.keeper] if self.keeper is not None else [])
-        if any(crest.moves() for crest in crests):
+        spills = [g.spill for g in self.gateways] + ([self.keeper] if self.keeper is not None else [])
+        if any(spill.moves() for spill in spills):
             if self.moved and self.moved[-1][1] >= self.now - 100 * MS:
                 self.moved[-1] = (self.moved[-1][0], self.now)
             else:
@@ -216,9 +216,9 @@
             self.send(request, way, self.keeper)
             return self.told(gateway, self.keeper.closed(gateway.name))
         if self.now - gateway.told_at < TOLD:
-            gateway.crest.follow(gateway.closed, self.now)
-        way = gateway.crest.ask(ask, self.places, WORK, None, self.now)
-        self.send(request, way, gateway.crest)
+            gateway.spill.follow(gateway.closed, self.now)
+        way = gateway.spill.ask(ask, self.places, WORK, None, self.now)
+        self.send(request, way, gateway.spill)
 
     def asks(self, request: Request) -> Ask:
         return Ask(
@@ -238,12 +238,12 @@
             else:
                 self.end(request, "502")
 
-    def send(self, request: Request, way: object, crest: Crest) -> None:
+    def send(self, request: Request, way: object, spill: SpillController) -> None:
         if isinstance(way, Wait):
             assert way.micros > 0
             return self.end(request, "refused")
         zones = getattr(way, "zones", None)
-        moves = crest.moves()
+        moves = spill.moves()
         up = [
             p
             for p in self.places.values()
@@ -252,9 +252,9 @@
         best = min(up, key=lambda p: (p.busy + len(p.queue)) / p.slots + (p.name != request.gateway.zone) * 0.5)
         self._ticket += 1
         request.ticket = self._ticket
-        crest.sent(best.name, self.asks(request), request.ticket, self.now + DEADLINE, self.now)
-        if moves and crest.falls[best.name].flow is not Flow.TRIED:
-            best.let.append((self.now, WORK / SECOND, "keeper" if crest is self.keeper else request.gateway.name))
+        spill.sent(best.name, self.asks(request), request.ticket, self.now + DEADLINE, self.now)
+        if moves and spill.falls[best.name].flow is not Flow.TRIED:
+            best.let.append((self.now, WORK / SECOND, "keeper" if spill is self.keeper else request.gateway.name))
         self.carry(request, best)
 
     def again(self, request: Request) -> None:
@@ -314,9 +314,9 @@
     def learn(self, request: Request, outcome: str) -> None:
         gateway, latency = request.gateway, self.now - request.sent
         ask = self.asks(request)
-        for crest in (self.keeper if self.reaches(gateway.zone, self.keeper_zone) else None, gateway.crest):
-            if crest is not None:
-                crest.ended(request.ticket, request.at, ask, latency, outcome, WORK, self.now)
+        for spill in (self.keeper if self.reaches(gateway.zone, self.keeper_zone) else None, gateway.spill):
+            if spill is not None:
+                spill.ended(request.ticket, request.at, ask, latency, outcome, WORK, self.now)
 
     def end(self, request: Request, how: str) -> None:
         if not request.ends:
--- a/tests/link_model.py
+++ b/tests/link_model.py
@@ -8,7 +8,7 @@
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
 from oakvale.transport.frames import decode, encode
-from oakvale.transport.links import Conn, Mains
+from oakvale.transport.links import Connection, Transport
 from tests.memory_connections import PLENTY, Line, Lines
 
 MS, SECOND = 1_000, 1_000_000
@@ -50,17 +50,17 @@
         self.now, self.log = 1_000 * SECOND, list[str]()
         self.net = Lines()
         self.loop = Loop(lambda: self.now, Limits(timer_slack=0, wake_slack=0), cast(Any, self.net))
-        self.mains = Mains(self.loop, ("10.0.0.1", 7))
-        self.mains.handlers["x"] = self._asked
+        self.transport = Transport(self.loop, ("10.0.0.1", 7))
+        self.transport.handlers["x"] = self._asked
         self.listener = self.net.listen(("10.0.0.1", 7), 9)
         self.net.listen = lambda address, backlog: self.listener  # type: ignore[method-assign]
-        self.mains.listen()
+        self.transport.listen()
         self.mode, self.room, self.life = 0, PLENTY, 0
         self.peers: list[Peer] = []
         self.heard: list[list[Any]] = []  # by question
         self.faults: list[str] = []
         self.later: list[Callable[[], None]] = []
-        self.conns: list[Conn] = []
+        self.conns: list[Connection] = []
         for address in PEERS:
             self.net.places[address] = self._connects
 
@@ -72,7 +72,7 @@
         line.up, line.refused, line.room = self.mode == 0, self.mode == 1, self.room
         self.peers.append(Peer(self, line))
 
-    def _asked(self, conn: Conn, body: Any, answer: Callable[[Any], None]) -> None:
+    def _asked(self, conn: Connection, body: Any, answer: Callable[[Any], None]) -> None:
         self.conns.append(conn)
         if body[0] % 3:
             answer(body)
@@ -96,10 +96,12 @@
         number = len(self.heard)
         kind = what % 16
         if kind < 5:
-            self.mains.ask(PEERS[which % 2], "q", number, (20, 300, 900, 5_000)[which >> 1 & 3] * MS, self.then(number))
+            self.transport.ask(
+                PEERS[which % 2], "q", number, (20, 300, 900, 5_000)[which >> 1 & 3] * MS, self.then(number)
+            )
             return f"question {number}"
         if kind == 5 and self.conns:
-            self.mains.ask_on(self.conns[which % len(self.conns)], "q", number, 300 * MS, self.then(number))
+            self.transport.ask_on(self.conns[which % len(self.conns)], "q", number, 300 * MS, self.then(number))
             return f"question {number}, back"
         if kind in (6, 7, 8) and peer is not None and peer.asked:
             ticket, about = peer.asked[which % len(peer.asked)]
@@ -136,11 +138,11 @@
                 each.line.reset()
             return "the peers start again"
         if kind == 14:
-            self.mains.afresh(PEERS[which >> 1 & 1])
+            self.transport.afresh(PEERS[which >> 1 & 1])
             return "it is up"
         for each in self.peers:
             each.line.room = PLENTY
-        self.mains.sweep()
+        self.transport.sweep()
         return "links are swept"
 
     def turn(self) -> None:
@@ -161,7 +163,7 @@
         self.pass_time(12 * SECOND)
         silent = [n for n, heard in enumerate(self.heard) if len(heard) != 1]
         self.holds(not silent, f"questions {silent} heard {[self.heard[n] for n in silent]}")
-        left = [*self.mains._out.values(), *self.mains._in]
+        left = [*self.transport._out.values(), *self.transport._in]
         self.holds(not any(conn.waiting for conn in left), "answers are waited for")
         self.loop.close()
         assert not self.faults, "\n".join([self.faults[0], *self.log])
--- a/tests/ratelimit_simulation.py
+++ b/tests/ratelimit_simulation.py
@@ -16,10 +16,10 @@
 import cbor2
 
 from oakvale.base.address import Address, spelled
-from oakvale.controlplane.voter import Jury
+from oakvale.controlplane.voter import VoterService
 from oakvale.dissemination.tree import Member, Members
 from oakvale.ratelimit.quotas import Quota, Terms
-from oakvale.ratelimit.service import DUTIES, Gauge
+from oakvale.ratelimit.service import DUTIES, RateLimiter
 from oakvale.transport.links import CONNECT
 from tests import simulated_processes
 from tests.simulated_processes import MS, SECOND, Loop, Time
@@ -41,7 +41,7 @@
         self.handlers: dict[str, Any] = {}
 
 
-class Mains:
+class Transport:
     def __init__(self, life: Life) -> None:
         self._life, self.handlers, self._number = life, life.handlers, 0
 
@@ -100,7 +100,7 @@
         return self._life.machine.fleet.now - at < 120 * MS and at >= since
 
 
-class Cistern:
+class Storage:
     """Writes last some milliseconds, one after the other."""
 
     def __init__(self, life: Life) -> None:
@@ -127,12 +127,12 @@
 
 
 class Machine(simulated_processes.Machine):
-    def __init__(self, fleet: Fleet, name: str, juror: bool) -> None:
+    def __init__(self, fleet: Fleet, name: str, voter: bool) -> None:
         super().__init__()
-        self.fleet, self.name, self.juror = fleet, name, juror
+        self.fleet, self.name, self.voter = fleet, name, voter
         self.address: Address = (name, 7000)
         self.life: Life | None = None
-        self.gauge: Gauge | None = None
+        self.rate_limiter: RateLimiter | None = None
         self.disk: dict[str, bytes] = {}
         self.first_start = True  # of the whole system: an empty disk has lost nothing
         self.is_witness = True
@@ -149,33 +149,33 @@
         self.off = False
         self.fleet.lives += 1
         life = self.life = Life(self, self.fleet.lives)
-        loop, mains = cast(Any, Loop(self.fleet, life)), cast(Any, Mains(life))
-        if self.juror:
-            Jury(loop, mains, cast(Any, Cistern(life)), self.first_start, lambda: self.is_witness)
+        loop, transport = cast(Any, Loop(self.fleet, life)), cast(Any, Transport(life))
+        if self.voter:
+            VoterService(loop, transport, cast(Any, Storage(life)), self.first_start, lambda: self.is_witness)
             self.first_start = False
             return
         self.members = Members()
-        self.gauge = Gauge(
+        self.rate_limiter = RateLimiter(
             loop,
-            mains,
+            transport,
             TERMS,
             self.name,
             life.name,
             spelled(self.address),
             lambda: self.members,
-            lambda: self.fleet.jurors if self.members else [],
+            lambda: self.fleet.voters if self.members else [],
             self.fleet.quota,
         )
         self.fleet.later(100, 400, lambda: self.fleet.join(self, life))
 
     def stop(self, grace: int) -> None:
         """Told to end, and killed after `grace`."""
-        if self.gauge is not None:
-            self.gauge.release()
+        if self.rate_limiter is not None:
+            self.rate_limiter.release()
         self.fleet.at(self.fleet.now + grace, self.kill)
 
     def kill(self, off: bool = False) -> None:
-        life, self.life, self.gauge = self.life, None, None
+        life, self.life, self.rate_limiter = self.life, None, None
         self.off = off
         self.forget()
         self.silent_since = self.fleet.now
@@ -233,15 +233,15 @@
 
 
 class Fleet(Time):
-    def __init__(self, seed: int, gateways: int, jurors: int = 3) -> None:
+    def __init__(self, seed: int, gateways: int, voters: int = 3) -> None:
         super().__init__(seed)
         self.net.rng = random.Random(seed)  # the gauge draws by lot
         self.lives = 0
         self.cuts: set[tuple[str, str]] = set()
-        self.core = [Machine(self, f"core{n}", True) for n in range(jurors)]
+        self.core = [Machine(self, f"core{n}", True) for n in range(voters)]
         self.gates = [Machine(self, f"gate{n}", False) for n in range(gateways)]
         self.machines = {m.address: m for m in [*self.core, *self.gates]}
-        self.jurors = [spelled(m.address) for m in self.core]
+        self.voters = [spelled(m.address) for m in self.core]
         self.listed: dict[str, Member] = {}
         self.tenants = self.draw()
         self.troubled = self.kills = self.now  # until then; when one was last killed
@@ -322,8 +322,8 @@
         if not self.core_up(machine):
             return self.later(100, 300, lambda: self.tell(machine))
         machine.members = Members(self.listed.values())
-        if machine.gauge is not None:
-            machine.gauge.members_changed()
+        if machine.rate_limiter is not None:
+            machine.rate_limiter.members_changed()
 
     def look(self) -> None:
         """Watchers, and how long duties are vacant."""
@@ -340,7 +340,7 @@
                     self.news()
         holders: dict[str, int] = {}
         for machine in up:
-            for duty in machine.gauge.held() if machine.gauge else ():
+            for duty in machine.rate_limiter.held() if machine.rate_limiter else ():
                 holders[duty] = holders.get(duty, 0) + 1
         able = (
             self.core_up()
@@ -359,7 +359,7 @@
     def request(self, tenant: Tenant) -> None:
         mean = tenant.quota.rate * tenant.load / tenant.batch
         self.at(self.now + 1 + int(self.rng.expovariate(mean) * SECOND), lambda: self.request(tenant))
-        up = [m for m in self.gates if m.gauge is not None and not m.paused]
+        up = [m for m in self.gates if m.rate_limiter is not None and not m.paused]
         for _ in range(tenant.batch):
             if not up:
                 return
@@ -369,7 +369,7 @@
             when = "kill" if self.now - self.kills < CALM else "trouble" if self.now < self.troubled + CALM else "calm"
             owed = tenant.load < 1 and tenant.owed(self.now)
             self.asked[when] += owed
-            machine.gauge.ask(  # type: ignore[union-attr]
+            machine.rate_limiter.ask(  # type: ignore[union-attr]
                 tenant.name,
                 self.rng.random() < 0.1,
                 lambda passes, wait, counted, owed=owed, when=when:  # type: ignore[misc]
@@ -402,7 +402,7 @@
         self.at(self.now + span, lambda: self.cuts.difference_update(pairs))
 
     def holder(self) -> Machine:
-        held = [m for m in self.gates if m.gauge is not None and m.gauge.held()]
+        held = [m for m in self.gates if m.rate_limiter is not None and m.rate_limiter.held()]
         return self.rng.choice(held or self.gates)
 
     def fault(self) -> None:
@@ -445,8 +445,8 @@
         elif kind == "juror":
             self.down(rng.choice(self.core), span)
         elif kind == "jurors":
-            for juror in rng.sample(self.core, 2):
-                self.down(juror, span)
+            for voter in rng.sample(self.core, 2):
+                self.down(voter, span)
         elif kind == "all":
             for m in self.machines.values():
                 self.down(m, rng.randrange(50, 1_500) * MS)
@@ -468,9 +468,9 @@
             for n in range(4):
                 self.at(self.now + n * span // 4, lambda: self.down(machine, span // 9))
         elif kind == "disk":
-            juror = rng.choice(self.core)
-            juror.sync_ms = 900
-            self.at(self.now + span, lambda: setattr(juror, "sync_ms", 8))
+            voter = rng.choice(self.core)
+            voter.sync_ms = 900
+            self.at(self.now + span, lambda: setattr(voter, "sync_ms", 8))
 
     def day(self, faults: int) -> None:
         self.run(8 * SECOND)
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -59,8 +59,8 @@
         gate.turns()
     client.close(reset)
     gate.until_ended(backend)
-    assert gate.plant.tally.abandoned_attempts["cancelled"] == 1
-    assert not len(gate.plant.requests) and gate.first.take() is None and gate.second.take() is None
+    assert gate.router.tally.abandoned_attempts["cancelled"] == 1
+    assert not len(gate.router.requests) and gate.first.take() is None and gate.second.take() is None
 
 
 @pytest.mark.parametrize("path", ["/r/x", "/b/x"])
@@ -72,10 +72,10 @@
     backend = unread_connection(gate)
     gate.turns(20)
     client.close(reset=True)
-    gate.until(lambda: gate.plant.tally.abandoned["at_backend"] == 1)
+    gate.until(lambda: gate.router.tally.abandoned["at_backend"] == 1)
     gate.turns()
     gate.until_ended(backend)
-    assert len(backend.came) < len(LARGE) and not len(gate.plant.requests)
+    assert len(backend.came) < len(LARGE) and not len(gate.router.requests)
 
 
 @pytest.mark.parametrize("leaves", [True, False], ids=["its client leaves", "its time is over"])
@@ -85,12 +85,12 @@
     client = gate.say(method="POST", Content_Length=str(len(LARGE)))
     sends(gate, client, LARGE)
     backend = unread_connection(gate)
-    gate.until(lambda: any(out.written for request in gate.plant.requests.all() for out in request.out.values()))
+    gate.until(lambda: any(out.written for request in gate.router.requests.all() for out in request.out.values()))
     if leaves:
         client.close()
     else:
         gate.pass_time(5_100 * MS)
-    gate.until(lambda: not gate.plant.shared.backend_connections)
+    gate.until(lambda: not gate.router.shared.backend_connections)
     with pytest.raises(ConnectionResetError):
         while backend.sock.recv(65536):
             pass
@@ -102,14 +102,14 @@
         client = gate.say("/b/x", rid=rid, method="POST", body=b"order")
         _, backend, _ = gate.at_backend()
         client.close()
-        gate.until(lambda: not gate.plant.clients.all)
+        gate.until(lambda: not gate.router.clients.all)
         gate.turns(10)
         assert (backend.read(), backend.ended)[1] is False
         if reply:
             backend.send(reply)
         else:
             backend.close(reset=True)
-        gate.until(lambda: not len(gate.plant.requests))
+        gate.until(lambda: not len(gate.router.requests))
     gate.turns(10)
     assert gate.first.take() is None and gate.second.take() is None
 
@@ -118,10 +118,10 @@
     client = gate.say()
     _, backend, _ = gate.at_backend()
     client.close()
-    gate.until(lambda: gate.plant.tally.abandoned["at_backend"] == 1)
+    gate.until(lambda: gate.router.tally.abandoned["at_backend"] == 1)
     backend.close(reset=True)
     gate.turns(10)
-    assert not len(gate.plant.requests) and gate.first.take() is None and gate.second.take() is None
+    assert not len(gate.router.requests) and gate.first.take() is None and gate.second.take() is None
 
 
 def test_clients_that_leave_are_not_held_against_the_backend(gate: Gate) -> None:
@@ -132,7 +132,7 @@
         _, backend, _ = gate.at_backend()
         client.close()
         gate.until_ended(backend)
-        gate.until(lambda: not len(gate.plant.requests))
+        gate.until(lambda: not len(gate.router.requests))
     client = gate.say(rid="b")
     _, backend, _ = gate.at_backend()
     backend.send(sealed("b"))
@@ -144,20 +144,20 @@
     client = gate.say("/b/x", method="POST", body=b"order")
     _, backend, _ = gate.at_backend()
     client.close()
-    gate.until(lambda: gate.plant.tally.abandoned["at_backend"] == 1)
+    gate.until(lambda: gate.router.tally.abandoned["at_backend"] == 1)
     backend.send(sealed())
-    gate.until(lambda: gate.plant.tally.abandoned_attempts["served"] == 1)
-    assert gate.plant.tally.fields()["abandoned_at_backend"] == 1
-    assert not len(gate.plant.requests)
+    gate.until(lambda: gate.router.tally.abandoned_attempts["served"] == 1)
+    assert gate.router.tally.fields()["abandoned_at_backend"] == 1
+    assert not len(gate.router.requests)
 
 
 def test_a_client_that_leaves_before_its_request_was_counted_is_counted_apart(gate: Gate) -> None:
-    gate.gauge.ask = lambda tenant, again, then, patience, receipt: None  # type: ignore[method-assign]
+    gate.rate_limiter.ask = lambda tenant, again, then, patience, receipt: None  # type: ignore[method-assign]
     client = gate.say()
-    gate.until(lambda: len(gate.plant.requests))
+    gate.until(lambda: len(gate.router.requests))
     client.close()
-    gate.until(lambda: gate.plant.tally.abandoned["waiting"] == 1)
-    assert not len(gate.plant.requests) and gate.first.take() is None and gate.second.take() is None
+    gate.until(lambda: gate.router.tally.abandoned["waiting"] == 1)
+    assert not len(gate.router.requests) and gate.first.take() is None and gate.second.take() is None
 
 
 def test_a_request_whose_connection_does_not_come_up_is_not_sent_when_its_client_has_left() -> None:
@@ -167,11 +167,11 @@
     caller = world.client()
     caller.ask(world.request(1, 0), 0)
     world.turn()
-    assert world.plant.shared.backend_connections == 1
+    assert world.router.shared.backend_connections == 1
     caller.left = True
     caller.line.reset()
     world.turn()
-    assert world.plant.shared.backend_connections == 0 and not len(world.plant.requests)
+    assert world.router.shared.backend_connections == 0 and not len(world.router.requests)
     world.finish()
 
 
@@ -200,7 +200,7 @@
     )
     while_it_stands_still(gate, client, ends)
     assert gate.first.take() is None and gate.second.take() is None
-    assert not gate.gauge.asked, "nor counted"
+    assert not gate.rate_limiter.asked, "nor counted"
 
 
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
@@ -221,4 +221,4 @@
     client = gate.say()
     client.sock.shutdown(socket.SHUT_WR)
     gate.turns(3)
-    assert gate.gauge.asked
+    assert gate.rate_limiter.asked
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -349,7 +349,7 @@
     world.finish()
     world = World()
     asked(world, 7)
-    connection = next(iter(world.plant.requests.all()[0].out.values())).connection
+    connection = next(iter(world.router.requests.all()[0].out.values())).connection
     monkeypatch.setattr(cast(Any, connection)._http, "next_event", lambda: h11.PAUSED)
     world.ears[0].line.say(b"x")
     world.turn()
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -102,7 +102,7 @@
         for n in range(large):
             primary.change({f"big{n}": self.rng.randbytes(700)}, lambda done: None)
         self.world.run(6 * SECOND)
-        assert not self.serving().ledger.waits() and not self.serving().ledger.planned
+        assert not self.serving().replicated_state.waits() and not self.serving().replicated_state.planned
         self.watch()
 
     def serving(self) -> Core:
@@ -123,7 +123,7 @@
 
     def listen(self, machine: Machine) -> None:
         assert machine.core is not None
-        handlers = machine.core.mains.handlers
+        handlers = machine.core.transport.handlers
         real = handlers["piece"]
 
         def piece(conn: Any, body: Any, answer: Any) -> None:
@@ -155,9 +155,9 @@
         """The plain model: after all has settled, each copy holds what the primary does, in memory and on disk."""
         self.world.run(6 * SECOND)
         core, copy = self.serving(), self.copy()
-        held = core.ledger.table.since(NOTHING)
-        assert copy.core is not None and not core.ledger.waits()
-        assert copy.core.ledger.table.since(NOTHING) == held
+        held = core.replicated_state.table.since(NOTHING)
+        assert copy.core is not None and not core.replicated_state.waits()
+        assert copy.core.replicated_state.table.since(NOTHING) == held
         assert set(copy.disk.rows) == {key for key, _, _ in held} and not copy.disk.pieces
         assert copy.disk.rows == self.machine(core).disk.rows
 
@@ -194,7 +194,10 @@
         world.run(10 * MS)
     view = max(world.views.values(), key=lambda v: v.number)
     ends = [next(m for m in world.machines if m.address[0] == seat[0].partition(":")[0]) for seat in view.copies]
-    whole, before = len(cut(cast(Core, ends[0].core).ledger.everything()).pieces), sum(watched.arrived.values())
+    whole, before = (
+        len(cut(cast(Core, ends[0].core).replicated_state.everything()).pieces),
+        sum(watched.arrived.values()),
+    )
     world.down(ends[1], 100 * MS)
     kept = len(ends[1].disk.pieces)
     world.run(300 * MS)
@@ -213,7 +216,7 @@
     core.change({"big": text}, lambda done: told.append(f"big {done}"))
     core.change({"small": 1}, lambda done: told.append(f"small {done}"))
     core.change({"big": b"other"}, lambda done: told.append(f"other {done}"))
-    assert core.ledger.latest("big") == b"other" and core.ledger.table.get("big") is None
+    assert core.replicated_state.latest("big") == b"other" and core.replicated_state.table.get("big") is None
     world.run(3 * SECOND)
     assert told == ["small True", "big True", "other True"]
     count = len(cut([("big", (1, 1), text)]).pieces)
@@ -332,7 +335,7 @@
         for station in self.works.cores:
             core = self.core(station)
             assert core is not None
-            handlers = core.mains.handlers
+            handlers = core.transport.handlers
 
             def heard(
                 conn: Any, body: Any, answer: Any, name: str = station.name, real: Any = handlers["core"]
@@ -394,8 +397,14 @@
         thin.run(250 * MS)
     thin.run(SECOND)
     other = thin.core(backup)
-    assert other is not None and other.ledger.table.since(NOTHING) == core.ledger.table.since(NOTHING)
-    assert core.ledger.table.get("config")["gen"] == 2 and set(thin.views) <= {view.number} and thin.serving() is core
+    assert other is not None and other.replicated_state.table.since(NOTHING) == core.replicated_state.table.since(
+        NOTHING
+    )
+    assert (
+        core.replicated_state.table.get("config")["gen"] == 2
+        and set(thin.views) <= {view.number}
+        and thin.serving() is core
+    )
     late = max(at + span for at, span, done in thin.told if done) - thin.began
     print("all in force after", late / SECOND, "longest gaps", dict(thin.gaps))
     heard = [gap for pair, gap in thin.gaps.items() if not pair.startswith(backup.machine.ip)]  # but for its start
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -64,8 +64,8 @@
         self.now, self.net = START, Lines()
         given = replace(bounds_of(cast(Any, SETTINGS)), timer_slack=0, wake_slack=0)
         self.loop = Loop(lambda: self.now, given, cast(Any, self.net))
-        ledger = SimpleNamespace(table=SimpleNamespace(items=lambda prefix: []))
-        core = SimpleNamespace(on_change=[], serving=lambda: True, ledger=ledger)
+        replicated_state = SimpleNamespace(table=SimpleNamespace(items=lambda prefix: []))
+        core = SimpleNamespace(on_change=[], serving=lambda: True, replicated_state=replicated_state)
         bound = SimpleNamespace(bind={"ctl": ADDRESS}, beat=SECOND)
         self.ctl = Ctl(Shared(self.loop, given), cast(Any, core), cast(Any, bound))
         self.taken: list[str] = []
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -12,7 +12,7 @@
 
 from oakvale.base.address import parse_address
 from oakvale.dataplane.routes import members as shown_members
-from oakvale.dissemination.feed import FORGIVEN, PULSE, STALE, TRY, UNHEARD, Feed, Outlet
+from oakvale.dissemination.feed import FORGIVEN, PULSE, STALE, TRY, UNHEARD, Feed, Publisher
 from oakvale.dissemination.table import FLOOR, GRAVES, NOTHING, Entry, Table, Version, unpack
 from oakvale.dissemination.tree import FAN_OUT, Member, Members, next_on_ring, ring, sources, watched, watchers
 
@@ -50,7 +50,7 @@
     assert table.next_floor() == floor
     sent: list[Any] = []
     conn: Any = type("Below", (), {"on_close": [], "ask": lambda self, kind, body, timeout, then: sent.append(body)})()
-    Outlet(table).subscribe(conn, behind.high, (2, 1))
+    Publisher(table).subscribe(conn, behind.high, (2, 1))
     [(_, entries, floor)] = sent
     behind.whole([(key, (view, place), value) for key, view, place, value in entries], tuple(floor))
     assert behind.since(NOTHING) == table.since(NOTHING)
@@ -75,11 +75,11 @@
     table.put([("a", (1, 3), None), ("b", (1, 2), 1), (FLOOR, (1, 4), [1, 3])])
     nothing: Any = type("Nothing", (), {"now": 0, "handlers": {}, "at": lambda *_: None})()
     feed = Feed(nothing, nothing, table, dict, lambda failed: [], lambda keys: None)
-    Outlet(behind).mend(nothing, table.digests(), answers.append)
+    Publisher(behind).mend(nothing, table.digests(), answers.append)
     assert answers[0]
     feed._mended(answers[0])
     assert table.version("a") == NOTHING and table.get("b") == 1
-    Outlet(table).mend(nothing, behind.digests(), answers.append)
+    Publisher(table).mend(nothing, behind.digests(), answers.append)
     assert any(key == FLOOR for key, *_ in answers[1])
 
 
@@ -273,7 +273,7 @@
     """What gateways see of a core machine."""
 
     def __init__(self, net: Net, address: str, table: Table) -> None:
-        self.port, self.address, self.table, self.outlet = Port(net, address), address, table, Outlet(table)
+        self.port, self.address, self.table, self.outlet = Port(net, address), address, table, Publisher(table)
         self.view, self.tick, self.primary = 1, 0, ""
         self.port.handlers.update(
             subscribe=self.subscribe,
@@ -342,7 +342,7 @@
         )
 
     def kill(self, node: str) -> None:
-        port = cast(Port, self.feeds[node].mains)
+        port = cast(Port, self.feeds[node].transport)
         port.alive = False
         for other in self.net.ports.values():  # a process that ends resets its connections
             for end in list(other._out.values()):
@@ -422,13 +422,13 @@
     fleet = Fleet(1, 2)
     fleet.net.run(SECOND)
     was = fleet.feeds["n0"].source()
-    fleet.feeds["n0"].mains.handlers["serves"](cast(Any, None), fleet.cores[2].address, print)
+    fleet.feeds["n0"].transport.handlers["serves"](cast(Any, None), fleet.cores[2].address, print)
     assert fleet.feeds["n0"].source() == was
     for core in fleet.cores:
         core.primary = ""
     fleet.net.run(2 * SECOND)
     fleet.elect(2)
-    fleet.feeds["n0"].mains.handlers["serves"](cast(Any, None), fleet.cores[2].address, print)
+    fleet.feeds["n0"].transport.handlers["serves"](cast(Any, None), fleet.cores[2].address, print)
     fleet.net.run(10 * MS)
     assert fleet.feeds["n0"].fresh()
 
@@ -436,7 +436,7 @@
 def test_a_spell_without_news_is_noted_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each source asked in it was said to have fallen silent, 15 lines a second: those that did not were hid."""
     noted: list[Any] = []
-    monkeypatch.setattr("oakvale.dissemination.feed.note", lambda event, **fields: noted.append(fields["source"]))
+    monkeypatch.setattr("oakvale.dissemination.feed.log_event", lambda event, **fields: noted.append(fields["source"]))
     fleet = Fleet(1, 1)
     fleet.net.run(2 * SECOND)
     for core in fleet.cores:
@@ -456,7 +456,7 @@
     fleet = Fleet(1, 1)
     fleet.net.run(SECOND)
     feed = fleet.feeds["n0"]
-    feed.mains.handlers["news"](cast(Any, None), [[feed.pulse[0] - 1, 1 << 40], [["a", 1, 99, "x"]], None], print)
+    feed.transport.handlers["news"](cast(Any, None), [[feed.pulse[0] - 1, 1 << 40], [["a", 1, 99, "x"]], None], print)
     assert feed.table.get("a") is None
 
 
@@ -537,7 +537,7 @@
         def full(self) -> bool:
             return full
 
-    slow, outlet = Slow(), Outlet(table)
+    slow, outlet = Slow(), Publisher(table)
     conn = cast(Any, slow)
 
     def put(place: int, key: str) -> None:
--- a/tests/test_drain_agent.py
+++ b/tests/test_drain_agent.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from oakvale.dataplane.drain_agent import TELL, Tow
+from oakvale.dataplane.drain_agent import TELL, DrainAgent
 from oakvale.lifecycle.shutdown import Shutdown
 from tests.data_plane import Gate, sealed
 from tests.node import MS, answer
@@ -34,20 +34,20 @@
     def __init__(self) -> None:
         super().__init__()
         self.told: list[Any] = []
-        self.tow = Tow(self.loop, self, self.plant, "edge", "life", lambda: ("core", 1), lambda: 0)  # type: ignore[arg-type]
+        self.drain_agent = DrainAgent(self.loop, self, self.router, "edge", "life", lambda: ("core", 1), lambda: 0)  # type: ignore[arg-type]
         self.show()
 
     def tell(self, address: Any, kind: str, body: Any) -> None:
         self.told.append(body[2])
 
     def show(self, gone: tuple[str, ...] = (), drain: tuple[str, ...] = (), **changes: Any) -> None:
-        avoid = self.plant.picture.avoid
+        avoid = self.router.picture.avoid
         super().show(gone, drain, **{"tenants": TENANTS} | changes)
-        self.plant.show(replace(self.plant.picture, avoid=avoid))
+        self.router.show(replace(self.router.picture, avoid=avoid))
 
     def moves(self, *entries: tuple[str, dict[str, Any]], born: bool = False) -> None:
-        avoid = self.tow.take(list(entries), born)
-        self.plant.show(replace(self.plant.picture, avoid=avoid))
+        avoid = self.drain_agent.take(list(entries), born)
+        self.router.show(replace(self.router.picture, avoid=avoid))
 
     def word(self, key: str = "o/i-1/t1") -> list[Any]:
         """The latest that the primary was told of a move."""
@@ -123,12 +123,12 @@
     gate.moves(move())
     gate.show(drain=("i-1",))
     assert gate.served("a1", "k1") == "i-2"
-    gate.pass_time(gate.plant.limits.backend_settle + MS)
+    gate.pass_time(gate.router.limits.backend_settle + MS)
     client = gate.say(rid="b1", key=OTHER)
     backend = gate.peers[1]  # of the first request
     gate.until(lambda: b"b1" in backend.read())
     backend.send(sealed("b1"))
-    assert gate.status(client) == 200 and len(gate.plant.requests) == 0
+    assert gate.status(client) == 200 and len(gate.router.requests) == 0
 
 
 def test_where_no_other_backend_is_ready_a_moved_tenant_is_served_where_it_was(gate: Moving) -> None:
@@ -143,17 +143,17 @@
 def test_both_lanes_of_a_service_spend_one_budget(gate: Moving) -> None:
     """Two would let a service have twice the further tries that it may."""
     gate.moves(move())
-    assert gate.plant._lane_of("one", "t1") is not gate.plant._lane("one")
-    assert gate.plant._lane_of("one", "t1").budget is gate.plant._lane("one").budget
-    assert gate.plant._lane_of("two", "t1") is gate.plant._lane("two")  # it has none of them
-    lane = gate.plant._lane_of("one", "t1")
+    assert gate.router._lane_of("one", "t1") is not gate.router._driver("one")
+    assert gate.router._lane_of("one", "t1").budget is gate.router._driver("one").budget
+    assert gate.router._lane_of("two", "t1") is gate.router._driver("two")  # it has none of them
+    driver = gate.router._lane_of("one", "t1")
     gate.moves(move(way="back"))
     gate.pass_time(300 * MS)  # its last tick
     wakes: list[Any] = []
-    lane._wake = wakes.append  # type: ignore[assignment]
+    driver._wake = wakes.append  # type: ignore[assignment]
     for _ in range(5):
         gate.pass_time(300 * MS)
-    assert not wakes and gate.plant._lane_of("one", "t1") is gate.plant._lane("one")
+    assert not wakes and gate.router._lane_of("one", "t1") is gate.router._driver("one")
 
 
 def test_a_gateway_that_is_left_says_so_and_serves_who_still_comes(gate: Moving) -> None:
@@ -161,25 +161,25 @@
     gate.moves(move(kind="gateway", node="edge"))
     client = gate.say(key="k1")
     gate.at_backend()[1].send(sealed())
-    assert b"connection: close" in gate.reads(client, b"ok").lower() and gate.plant.stopping
+    assert b"connection: close" in gate.reads(client, b"ok").lower() and gate.router.stopping
     assert gate.word("o/edge/t1")[2] >= 1  # the platform may pass more on
     client.close()
-    gate.pass_time(gate.plant.limits.stop_accepting)
+    gate.pass_time(gate.router.limits.stop_accepting)
     assert gate.word("o/edge/t1") == [True, 0, 0, {}]
-    gate.host = gate.plant  # type: ignore[assignment]
+    gate.host = gate.router  # type: ignore[assignment]
     Shutdown(gate).begin()  # type: ignore[arg-type]
-    assert gate.plant.shared.stopping
+    assert gate.router.shared.stopping
     gate.moves(move(kind="gateway", node="edge", way="back"))
-    assert not gate.plant.leaving
+    assert not gate.router.leaving
 
 
 def test_a_life_that_begins_after_a_move_follows_it_whatever_the_hour(gate: Moving) -> None:
     """It had sent nothing there. One that was there and heard too late stays, and says so."""
     gate.moves(move(until=-5), born=True)
-    assert gate.plant.picture.avoid == {"t1": frozenset({"i-1"})}
+    assert gate.router.picture.avoid == {"t1": frozenset({"i-1"})}
     late = Moving()
     try:
         late.moves(move(until=-5))
-        assert not late.plant.picture.avoid and late.word() == [False, 0, 0, {}]
+        assert not late.router.picture.avoid and late.word() == [False, 0, 0, {}]
     finally:
         late.close()
--- a/tests/test_drains_core.py
+++ b/tests/test_drains_core.py
@@ -69,7 +69,7 @@
         core, ip = machine.core, machine.address[0]
         assert core is not None
         self.drains[ip] = Drains(
-            core, cast(Any, loop), core.mains, str(self.path), PACE, lambda: DAY0 + self.now + self.steps.get(ip, 0)
+            core, cast(Any, loop), core.transport, str(self.path), PACE, lambda: DAY0 + self.now + self.steps.get(ip, 0)
         )
         settings = self.settings(machine, False)
         self.backends[ip] = Backends(core, cast(Any, loop), settings)
@@ -109,13 +109,13 @@
         found = self.serving()
         if found is None or found.core is None:
             return
-        entries = found.core.ledger.table.items("move/")
+        entries = found.core.replicated_state.table.items("move/")
         for node, moves in self.gates.items():
             for key in moves.take(entries, self.wall):
                 self.followed.setdefault((node, key), self.wall)
             words = [[key, key in moves.away, 1, 0, {"served": 1}] for key in moves.owed()]
             if words:
-                found.core.mains.handlers["towed"](cast(Any, None), [node, f"life-{node}", words], cast(Any, None))
+                found.core.transport.handlers["towed"](cast(Any, None), [node, f"life-{node}", words], cast(Any, None))
 
 
 def test_an_order_is_kept_like_a_configuration(tmp_path: Path) -> None:
@@ -166,7 +166,11 @@
     while cores.wall < OPENS + MARGIN + 5 * SECOND:
         cores.run(MS)
         found = cores.serving()
-        if found is not None and found.core is not None and found.core.ledger.latest("move/o1/b0/ana") is not None:
+        if (
+            found is not None
+            and found.core is not None
+            and found.core.replicated_state.latest("move/o1/b0/ana") is not None
+        ):
             break
     assert found is not None
     cores.run(after * MS)
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -47,10 +47,10 @@
 
 
 def test_a_note_is_one_line_of_pairs_with_its_own_fields(lines: Lines) -> None:
-    note = eventlog.Writer("oakvale.transport.links")
-    note("view", view=3, primary="10.0.0.1:7340")
-    note("bad frame", "warning", why='two "words"\n')
-    note("nothing", "debug")
+    log_event = eventlog.EventLogger("oakvale.transport.links")
+    log_event("view", view=3, primary="10.0.0.1:7340")
+    log_event("bad frame", "warning", why='two "words"\n')
+    log_event("nothing", "debug")
     assert lines() == [
         "level=info part=transport.links event=view view=3 primary=10.0.0.1:7340",
         'level=warning part=transport.links event="bad frame" why="two \\"words\\"\\n"',
@@ -61,7 +61,7 @@
     try:
         raise ValueError("odd")
     except ValueError:
-        eventlog.Writer("oakvale.transport.links").fault("message failed", kind="news")
+        eventlog.EventLogger("oakvale.transport.links").fault("message failed", kind="news")
         logging.getLogger("oakvale.base.loop").exception("timer failed", extra={"party": "client"})
     logging.getLogger("oakvale.host").debug("unheard")
     own, taken = lines()
@@ -73,13 +73,13 @@
 def test_lines_of_one_event_are_bounded_and_counted(lines: Lines, monkeypatch: pytest.MonkeyPatch) -> None:
     now = 1000.0
     monkeypatch.setattr("oakvale.lifecycle.eventlog.time.time", lambda: now)
-    note = eventlog.Writer("oakvale.ratelimit.service")
+    log_event = eventlog.EventLogger("oakvale.ratelimit.service")
     for _ in range(10):
-        note("counting")
-    note("counts no longer")
+        log_event("counting")
+    log_event("counts no longer")
     assert len(lines()) == 4
     now += 1
-    note("counting")
+    log_event("counting")
     assert lines() == ["level=info part=ratelimit.service event=counting held_back=7"]
 
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -16,14 +16,14 @@
 from oakvale.config.settings import decode
 from oakvale.config.toml_table import BadFile
 from oakvale.controlplane.failover_planning import Planning
-from oakvale.controlplane.replicated_state import Ledger
+from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.failover import report
 from oakvale.failover.chains import Chains, Load, pack, plan, unpack
-from oakvale.failover.evacuation import HOLD, Fall, Flow
-from oakvale.failover.failure_detector import Sight
+from oakvale.failover.evacuation import HOLD, Evacuation, Flow
+from oakvale.failover.failure_detector import FailureDetector
 from oakvale.failover.places import hierarchy
-from oakvale.failover.spill import Ask, Crest, Wait, Way
-from oakvale.failover.spill_limit import Weir
+from oakvale.failover.spill import Ask, SpillController, Wait, Way
+from oakvale.failover.spill_limit import SpillLimit
 from oakvale.transport import status_service
 from tests.failover_simulation import AIM, DEADLINE, MS, SECOND, WORK, Basin, Request
 
@@ -134,7 +134,7 @@
 
 
 def test_a_place_that_one_gateway_cannot_see_has_not_failed_and_one_cut_off_says_nothing() -> None:
-    sight, usual = Sight(), 100 * MS
+    sight, usual = FailureDetector(), 100 * MS
     for at in range(0, 3_000, 50):
         now = SECOND + at * MS
         sight.sent("p", "far", "b", now)  # never answered, though q answers it
@@ -154,7 +154,7 @@
 
 
 def test_one_observer_of_another_kind_speaks_for_a_second() -> None:
-    sight = Sight()
+    sight = FailureDetector()
     for at in range(3):
         sight.sent("p", "g", "a", SECOND + at)
         sight.served("q", "g", "a", SECOND + at + 1)
@@ -238,7 +238,7 @@
 
 
 def test_a_fall_never_opens_without_answers_and_forgives_in_time() -> None:
-    fall, flows = Fall(), []
+    fall, flows = Evacuation(), []
     fall.failed(0)
     for now, ends in ((HOLD - 1, None), (HOLD, None), (100 * SECOND, None), (100 * SECOND, False)):
         fall.tick(True, now)
@@ -265,11 +265,11 @@
         world.renew()
         world.run(0.5)
     world.judge()
-    crest = world.keeper
-    assert crest is not None
+    spill = world.keeper
+    assert spill is not None
     older = world.versions[0][1]
-    crest.show(older)
-    assert crest.chains.version > older.version  # a late, older one changes nothing
+    spill.show(older)
+    assert spill.chains.version > older.version  # a late, older one changes nothing
 
 
 def test_the_busiest_tenant_alone_is_more_than_the_parents_hold() -> None:
@@ -330,7 +330,7 @@
     world.cut("a")
     world.keeper_zone = "b"
     world.run(5).judge()
-    assert len({g.crest.chains.version for g in world.gateways}) > 1
+    assert len({g.spill.chains.version for g in world.gateways}) > 1
 
 
 # ---- the weir
@@ -339,7 +339,7 @@
 def test_a_weir_lets_no_more_than_its_limit_and_its_queue_in_any_span() -> None:
     for seed in range(50):
         rng, now = random.Random(seed), 0
-        weir = Weir(0, limit=rng.uniform(0.5, 20))
+        weir = SpillLimit(0, limit=rng.uniform(0.5, 20))
         let: list[tuple[int, float]] = []
         for _ in range(400):
             now += int(rng.expovariate(40) * SECOND)
@@ -359,24 +359,27 @@
 def test_a_place_that_fills_gets_its_step_though_others_would_be_chosen_before_it() -> None:
     """Its backends are cold and distrusted: named next to warm ones they got nothing, and it never came back."""
     chains = plan(1, hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, [], ["g"])
-    crest, ask = Crest("s", random.Random(1).random, away=lambda may: 0), Ask("g", "a", safe=True, cost=0.2, aim=AIM)
-    crest.show(chains)
-    crest.falls["b"] = Fall(Flow.FILLING, since=SECOND)
-    ways = Counter(crest.ask(ask, ZONES, WORK, None, SECOND + at * 20 * MS) for at in range(100))
+    spill, ask = (
+        SpillController("s", random.Random(1).random, away=lambda may: 0),
+        Ask("g", "a", safe=True, cost=0.2, aim=AIM),
+    )
+    spill.show(chains)
+    spill.falls["b"] = Evacuation(Flow.FILLING, since=SECOND)
+    ways = Counter(spill.ask(ask, ZONES, WORK, None, SECOND + at * 20 * MS) for at in range(100))
     assert ways[Way(frozenset("b"))] == 100  # nothing was sent there: its step waits
-    crest.sent("b", ask, 1, 9 * SECOND, 3 * SECOND)
-    crest.sent("b", ask, 2, 9 * SECOND, 3 * SECOND)
-    assert crest.ask(ask, ZONES, WORK, None, 3 * SECOND + 100 * MS) == Way(frozenset("ac"))
+    spill.sent("b", ask, 1, 9 * SECOND, 3 * SECOND)
+    spill.sent("b", ask, 2, 9 * SECOND, 3 * SECOND)
+    assert spill.ask(ask, ZONES, WORK, None, 3 * SECOND + 100 * MS) == Way(frozenset("ac"))
 
 
 def test_a_crest_says_nothing_while_all_is_well_and_never_closes_the_last_place() -> None:
-    crest = Crest("s", random.Random(1).random)
+    spill = SpillController("s", random.Random(1).random)
     ask = Ask("g", "a", cost=0.1, aim=AIM)
-    assert crest.ask(ask, ["a"], WORK, None, SECOND) == Way(None)
+    assert spill.ask(ask, ["a"], WORK, None, SECOND) == Way(None)
     for at in range(40):
-        crest.sent("a", ask, at + 1, 90 * SECOND, SECOND + at * 50 * MS)
-        assert not isinstance(crest.ask(ask, ["a"], WORK, None, SECOND + at * 50 * MS), Wait)
-    assert not crest.closed("") and crest.chains == Chains()
+        spill.sent("a", ask, at + 1, 90 * SECOND, SECOND + at * 50 * MS)
+        assert not isinstance(spill.ask(ask, ["a"], WORK, None, SECOND + at * 50 * MS), Wait)
+    assert not spill.closed("") and spill.chains == Chains()
 
 
 # ---- drawn schedules
@@ -440,7 +443,7 @@
     """A core that is primary, whose changes are in force at once; loop and mains of its own."""
 
     def __init__(self) -> None:
-        self.now, self.ledger, self.handlers, self.loop = 0, Ledger(), dict[str, Any](), self
+        self.now, self.replicated_state, self.handlers, self.loop = 0, ReplicatedState(), dict[str, Any](), self
         self.on_change: list[Any] = []
         self.due: list[tuple[int, Any]] = []
         self.changes: list[dict[str, Any]] = []
@@ -453,9 +456,9 @@
 
     def change(self, changes: dict[str, Any], then: Any) -> None:
         self.changes.append(changes)
-        self.ledger.start(1)
-        self.ledger.propose(changes, set(), then)
-        self.ledger.synced(("x", "y"), (9, 9))
+        self.replicated_state.start(1)
+        self.replicated_state.propose(changes, set(), then)
+        self.replicated_state.synced(("x", "y"), (9, 9))
 
     def run(self, seconds: int) -> None:
         for _ in range(seconds):
@@ -482,36 +485,36 @@
 def test_the_plan_follows_what_is_measured_in_versions_but_not_every_wave() -> None:
     core, beats = planning(Given())
     core.run(6)
-    first = core.ledger.table.get("chains")
+    first = core.replicated_state.table.get("chains")
     assert first["version"] == 1 and first["limits"]["s"] == {zone: 4.0 for zone in "abc"}
     for _ in range(10):
         core.handlers["flows"](None, ["s", {"a": 4.2, "b": 2.0, "c": 4.0}, [["a", 0, 1.5], ["b", 2, 1.2]]], None)
         core.run(2)
-    second = core.ledger.table.get("chains")
+    second = core.replicated_state.table.get("chains")
     assert second["version"] == 2 and second["limits"]["s"]["b"] == 2.0
     core.handlers["flows"](None, ["s", {"a": 4.6, "b": 2.0, "c": 4.0}, [["a", 0, 1.9], ["b", 2, 1.0]]], None)
     core.run(10)
-    assert core.ledger.table.get("chains")["version"] == 2
+    assert core.replicated_state.table.get("chains")["version"] == 2
 
 
 def test_places_whose_beats_are_all_missed_are_told_unless_it_is_most_of_them() -> None:
     core, beats = planning(Given())
     beats.quiet = ["b0"]
     core.run(2)
-    assert core.ledger.table.get("quiet") is None
+    assert core.replicated_state.table.get("quiet") is None
     beats.quiet = ["b0", "b1"]
     core.run(1)
-    assert core.ledger.table.get("quiet") == [["s", "b"]]
+    assert core.replicated_state.table.get("quiet") == [["s", "b"]]
     beats.quiet = [f"{zone}{n}" for zone in "abc" for n in range(2)]
     core.run(1)
-    assert core.ledger.table.get("quiet") == []
+    assert core.replicated_state.table.get("quiet") == []
 
 
 def test_without_the_file_what_an_earlier_setting_left_is_taken_away_and_nothing_else_is_done() -> None:
     core, _ = planning(None)
     core.run(9)
     assert len(core.changes) == 1 and "flows" not in core.handlers
-    core.ledger.take([("chains", (2, 1), {"version": 4})])
+    core.replicated_state.take([("chains", (2, 1), {"version": 4})])
     core.on_change[0](True)
     assert core.changes[1:] == [{"chains": None}]
 
--- a/tests/test_failure_domains.py
+++ b/tests/test_failure_domains.py
@@ -83,7 +83,7 @@
 def test_nothing_else_moves_while_a_new_copy_is_not_whole() -> None:
     """With the seat of the one other holder of all went its vote, and the lead could not go back to it."""
     world = World(5, 5, 1, 3, places=("a", "a", "b", "c", "c"), tolerate_zones=1)
-    handlers = core(world.machines[2]).mains.handlers  # the only witness elsewhere: it is to hold the copy
+    handlers = core(world.machines[2]).transport.handlers  # the only witness elsewhere: it is to hold the copy
     takes, handlers["sync"] = handlers["sync"], lambda conn, body, answer: None
     busy(world, 5 * SECOND)
     assert set(world.views) == {1, 2}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 import cbor2
 import pytest
 
-from oakvale.controlplane.voter import Jury
+from oakvale.controlplane.voter import VoterService
 from oakvale.ratelimit.service import DUTIES
 from tests.ratelimit_simulation import Fleet
 from tests.simulated_processes import MS, SECOND
@@ -64,7 +64,7 @@
         fleet.down(machine, fleet.rng.randrange(1_200, 1_700) * MS, off=True)
     fleet.run(1_700 * MS)
     began = fleet.now
-    while len({duty for gate in fleet.gates if gate.gauge for duty in gate.gauge.held()}) < DUTIES:
+    while len({duty for gate in fleet.gates if gate.rate_limiter for duty in gate.rate_limiter.held()}) < DUTIES:
         fleet.run(10 * MS)
         assert fleet.now - began <= AGAIN_COUNTED
     fleet.run(2 * SECOND)
@@ -77,8 +77,8 @@
     for tenant in fleet.tenants.values():
         tenant.sticky = False  # or it has but one gateway's share
     fleet.run(5 * SECOND)
-    for juror in fleet.core:
-        fleet.down(juror, 60 * SECOND)
+    for voter in fleet.core:
+        fleet.down(voter, 60 * SECOND)
     fleet.run(14 * SECOND)
     asked, refused = fleet.asked["trouble"], fleet.refused["trouble"]
     fleet.run(8 * SECOND)
@@ -124,7 +124,7 @@
     """The same gateway asked once more while the write of its vote waited, and was answered at once: after a start
     the juror knew nothing of it and voted for another."""
     world, disk, answers = Nothing(), Held(), list[Any]()
-    Jury(cast(Any, world), cast(Any, world), cast(Any, disk))
+    VoterService(cast(Any, world), cast(Any, world), cast(Any, disk))
     for round_ in (1, 2):
         world.handlers["ballot"](None, ["d", "elect", [round_, "a"], "1.1.1.1:1"], answers.append)
     assert not answers and [kept for kept, _ in disk.writes] == [{"d": ["a", "1.1.1.1:1"]}] * 2
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -7,7 +7,7 @@
 from oakvale.election.voting import LONGEST_ROUND, MARGIN, RENEW, ROUND, SPAN, Candidate, Word
 from oakvale.ratelimit.counter_state import CounterState
 from oakvale.ratelimit.handover import Handover
-from oakvale.ratelimit.quotas import SECOND, Floors, Quota, Terms
+from oakvale.ratelimit.quotas import SECOND, Quota, QuotaCounter, Terms
 from tests.ratelimit_simulation import Fleet
 from tests.simulated_processes import MS
 
@@ -23,7 +23,9 @@
 
 
 def holders(fleet: Fleet) -> dict[str, str]:
-    return {duty: gate.name for gate in fleet.gates if gate.gauge is not None for duty in gate.gauge.held()}
+    return {
+        duty: gate.name for gate in fleet.gates if gate.rate_limiter is not None for duty in gate.rate_limiter.held()
+    }
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -33,7 +35,7 @@
     leaving = fleet.holder()
     leaving.stop(GRACE)
     fleet.run(GRACE - 1)
-    assert leaving.gauge is not None and not leaving.gauge.held()
+    assert leaving.rate_limiter is not None and not leaving.rate_limiter.held()
     assert len(holders(fleet)) == 4 and fleet.longest <= HANDED_WITHIN
     assert sum(fleet.refused.values()) - refused <= 0.02 * (sum(fleet.asked.values()) - asked)
     fleet.judge()
@@ -70,7 +72,7 @@
     for other in [gate for gate in fleet.gates if gate is not leaving][:4]:
         fleet.down(other, SECOND)
         fleet.run(3 * SECOND)
-        assert leaving.gauge is not None and not leaving.gauge.held()
+        assert leaving.rate_limiter is not None and not leaving.rate_limiter.held()
 
 
 def test_all_are_told_to_end_at_once() -> None:
@@ -105,8 +107,8 @@
     """Answers later than 150 ms were thrown away: a holder lost its duty 1.8 s after it had won it, again and again."""
     fleet = started()
     before = holders(fleet)
-    for juror in fleet.core:
-        juror.slow = delay * MS
+    for voter in fleet.core:
+        voter.slow = delay * MS
     fleet.run(20 * SECOND)
     assert holders(fleet) == before
 
@@ -114,8 +116,8 @@
 @pytest.mark.parametrize("delay", [100, 200])
 def test_a_vacant_duty_is_won_over_links_on_which_answers_take_long(delay: int) -> None:
     fleet = started()
-    for juror in fleet.core:
-        juror.slow = delay * MS
+    for voter in fleet.core:
+        voter.slow = delay * MS
     fleet.down(fleet.holder(), 30 * SECOND)
     fleet.run(10 * SECOND)
     assert len(holders(fleet)) == 4
@@ -140,8 +142,8 @@
     ask = candidate.stand("d", now)
     for kind in ("prepare", "elect"):
         assert ask is not None
-        for juror in "xy":
-            ask = candidate.hear(Word("d", kind, ask.number, True), juror, 3, now) or ask
+        for voter in "xy":
+            ask = candidate.hear(Word("d", kind, ask.number, True), voter, 3, now) or ask
     assert candidate.until["d"] == now + SPAN - MARGIN
     return candidate
 
@@ -153,8 +155,8 @@
     first, second = candidate.tick("d", 0, 0, asked), candidate.tick("d", 0, 0, asked + ROUND)
     assert first is not None and second is not None
     late = now + SPAN - MARGIN - 1
-    for juror in "xy":
-        candidate.hear(Word("d", "elect", first.number, True), juror, 3, late)
+    for voter in "xy":
+        candidate.hear(Word("d", "elect", first.number, True), voter, 3, late)
     assert candidate.until["d"] == asked + SPAN - MARGIN
     candidate.hear(Word("d", "elect", second.number, True), "x", 3, late)
     assert candidate.until["d"] == asked + SPAN - MARGIN, "votes of two questions are not added up"
@@ -167,11 +169,11 @@
     prepare = candidate.stand("d", now)
     assert prepare is not None
     elect = None
-    for juror in "xy":
-        elect = candidate.hear(Word("d", "prepare", prepare.number, True), juror, 3, now) or elect
+    for voter in "xy":
+        elect = candidate.hear(Word("d", "prepare", prepare.number, True), voter, 3, now) or elect
     assert elect is not None
-    for juror in "xy":
-        candidate.hear(Word("d", "elect", elect.number, True), juror, 3, now + SPAN - MARGIN)
+    for voter in "xy":
+        candidate.hear(Word("d", "elect", elect.number, True), voter, 3, now + SPAN - MARGIN)
     assert not candidate.holds("d", now + SPAN - MARGIN)
 
 
@@ -181,12 +183,12 @@
 
 @pytest.mark.parametrize("wait", [0, 700 * MS])
 def test_the_state_of_a_counter_means_the_same_by_another_clock(wait: int) -> None:
-    before = Floors(TERMS, 0)
+    before = QuotaCounter(TERMS, 0)
     for n in range(300):
         before.add("t", QUOTA, False, n * 30 * MS)
     now, elsewhere = 300 * 30 * MS, 77_000_000 * SECOND
     handed = CounterState.decode(before.state(lambda _: QUOTA, {"g": 5}, now).encode())
-    after = Floors(TERMS, elsewhere)
+    after = QuotaCounter(TERMS, elsewhere)
     after.take_over(handed, elsewhere)
     assert after.level("t", QUOTA, elsewhere + wait) == pytest.approx(before.level("t", QUOTA, now + wait))
     assert after.level("never seen", QUOTA, elsewhere + wait) <= before.level("never seen", QUOTA, now + wait) + 1e-6
@@ -202,9 +204,9 @@
     """It does not know the question, so it never answers; the next one that stands is asked."""
     fleet = started()
     leaving = fleet.holder()
-    assert leaving.gauge is not None and leaving.life is not None
-    duty = leaving.gauge.held()[0]
-    first = leaving.gauge._successors(duty)[0]
+    assert leaving.rate_limiter is not None and leaving.life is not None
+    duty = leaving.rate_limiter.held()[0]
+    first = leaving.rate_limiter._successors(duty)[0]
     old = next(gate for gate in fleet.gates if gate.name == first.node)
     assert old.life is not None
     for kind in ("will you take", "handed", "counter state"):
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -194,7 +194,7 @@
 def test_a_primary_that_was_frozen_believes_nothing_that_waited(backup_too: bool) -> None:
     """Its clock jumps, and all that came meanwhile lies ready: heartbeats, answers, orders, words of watchers."""
     play = Play(4)
-    began, gates = play.works.events.now, len(play._core(play.leader).ledger.table.items("gate/"))
+    began, gates = play.works.events.now, len(play._core(play.leader).replicated_state.table.items("gate/"))
     play.leader.freeze(CUT)
     if backup_too:  # nobody can take over: it is primary still
         play.backup.freeze(CUT)
@@ -207,7 +207,7 @@
     between = 2 * play.works.layout.between  # a yes takes a question sent after the thaw, and its answer
     assert all(said[4] >= thawed + between for said in early if said[2] == 200)
     if backup_too:
-        assert len(play._core(play.leader).ledger.table.items("gate/")) == gates
+        assert len(play._core(play.leader).replicated_state.table.items("gate/")) == gates
     assert not [said for said in play.said if said[3] < began + CUT and said[2] not in (0, 200, 307, 503)]
     play.works.run_for(3 * SECOND)
     ends_well(play)
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -15,14 +15,14 @@
 from oakvale.controlplane.resources import UNSURE, Backends, Config, Give, Reply
 from oakvale.dataplane import routes
 from oakvale.dataplane.backend_protocol import SystemDialect
-from oakvale.dataplane.gateway import Readyz, Sluice
-from oakvale.dataplane.request_router import Plant, ServiceLane, later
+from oakvale.dataplane.gateway import EdgeGateway, Readyz
+from oakvale.dataplane.request_router import RequestRouter, ServiceDriver, later
 from oakvale.dissemination.table import Table
 from oakvale.lab import undone
 from oakvale.lab.days import Day, decode
 from oakvale.lab.judge.verdict import judge
 from oakvale.lab.play import Variant, play
-from oakvale.ratelimit.service import Gauge
+from oakvale.ratelimit.service import RateLimiter
 from oakvale.wire.clients import plain
 
 MS, SECOND = 1_000, 1_000_000
@@ -78,11 +78,11 @@
 # ---- what stands in for the real code
 
 
-def may_have_run_is_refused(lane: ServiceLane, request: Any, action: Any) -> Any:
+def may_have_run_is_refused(driver: ServiceDriver, request: Any, action: Any) -> Any:
     return later(503, SECOND // 2, b"try again\n")
 
 
-def all_pass(gauge: Gauge, tenant: str, again: bool, then: Callable[..., None], *_: Any) -> None:
+def all_pass(rate_limiter: RateLimiter, tenant: str, again: bool, then: Callable[..., None], *_: Any) -> None:
     then(True, 0, True)
 
 
@@ -93,36 +93,38 @@
     }
 
 
-def first_configuration_stays(sluice: Sluice, keys: list[str], real: Any = Sluice._changed) -> None:
-    held = sluice.plant.picture.gen >= 0 and "edge-a" in sluice.settings.node
+def first_configuration_stays(sluice: EdgeGateway, keys: list[str], real: Any = EdgeGateway._changed) -> None:
+    held = sluice.router.picture.gen >= 0 and "edge-a" in sluice.settings.node
     real(sluice, [key for key in keys if key != "config"] if held else keys)
 
 
-def older_picture_comes_back(plant: Plant, picture: Any, real: Any = Plant.show) -> None:
-    was = plant.picture
-    real(plant, picture)
+def older_picture_comes_back(router: RequestRouter, picture: Any, real: Any = RequestRouter.show) -> None:
+    was = router.picture
+    real(router, picture)
     if picture.gen != was.gen >= 0:
-        plant.loop.at(plant.loop.now + 400 * MS, lambda _: real(plant, was))
-        plant.loop.at(plant.loop.now + 1_400 * MS, lambda _: real(plant, picture))
+        router.loop.at(router.loop.now + 400 * MS, lambda _: real(router, was))
+        router.loop.at(router.loop.now + 1_400 * MS, lambda _: real(router, picture))
 
 
 def another_tenant(dialect: SystemDialect, attempt: Any, left: int, real: Any = SystemDialect.headers) -> Any:
     return [(name, b"somebody" if name == b"tenant" else value) for name, value in real(dialect, attempt, left)]
 
 
-def now_and_then_404(plant: Plant, client: Any, incoming: Any, came: int, real: Any = Plant.open) -> Any:
-    return plain(404, "none") if plant.loop.net.rng.random() < 0.08 else real(plant, client, incoming, came)
+def now_and_then_404(
+    router: RequestRouter, client: Any, incoming: Any, came: int, real: Any = RequestRouter.open
+) -> Any:
+    return plain(404, "none") if router.loop.net.rng.random() < 0.08 else real(router, client, incoming, came)
 
 
-def one_lane_for_all(plant: Plant, service: str, real: Any = Plant._lane) -> ServiceLane:
-    lanes = plant._lanes
-    return lanes[min(lanes)] if lanes and plant.loop.net.rng.random() < 0.05 else real(plant, service)
+def one_lane_for_all(router: RequestRouter, service: str, real: Any = RequestRouter._driver) -> ServiceDriver:
+    drivers = router._drivers
+    return drivers[min(drivers)] if drivers and router.loop.net.rng.random() < 0.05 else real(router, service)
 
 
 def acknowledged_before_it_is_kept(
     core: Core, changes: Any, then: Callable[[bool], None], behind: bool = False, real: Any = Core.change
 ) -> None:
-    if "config" not in changes or core.ledger.table.get("config") is None:
+    if "config" not in changes or core.replicated_state.table.get("config") is None:
         real(core, changes, then, behind)
     else:
         then(True)
@@ -133,21 +135,21 @@
     config: Config, order: Any, body: bytes, give: Give, real: Any = Config._judge
 ) -> None:
     """Any number that is not above the one held gets a yes, whatever content it comes with."""
-    held = config._core.ledger.latest("config")
+    held = config._core.replicated_state.latest("config")
     if held is not None and order.gen <= held["gen"]:
         return config._core.confirm(lambda done: give(Reply(200) if done else UNSURE))
     real(config, order, body, give)
 
 
 def sent_again_is_refused(config: Config, rest: str, body: bytes, give: Give, real: Any = Config.replace) -> None:
-    held = config._core.ledger.latest("config")
+    held = config._core.replicated_state.latest("config")
     if held is not None and model.parse(body).gen <= held["gen"]:
         return give(Reply(409))
     real(config, rest, body, give)
 
 
 def read_unconfirmed(config: Config, rest: str, body: bytes, give: Give) -> None:
-    held = config._core.ledger.table.get("config")
+    held = config._core.replicated_state.table.get("config")
     give(Reply(200, bytes(held["text"])) if held is not None else UNSURE)
 
 
@@ -160,8 +162,10 @@
         real(backends, name, body, give)
 
 
-def unsafe_ones_are_turned_away(plant: Plant, client: Any, incoming: Any, came: int, real: Any = Plant.open) -> Any:
-    return plain(503, "no") if incoming.method == b"POST" else real(plant, client, incoming, came)
+def unsafe_ones_are_turned_away(
+    router: RequestRouter, client: Any, incoming: Any, came: int, real: Any = RequestRouter.open
+) -> Any:
+    return plain(503, "no") if incoming.method == b"POST" else real(router, client, incoming, came)
 
 
 def never_ready(owner: Readyz, client: Any, incoming: Any, came: int) -> Any:
@@ -193,7 +197,7 @@
         {"oakvale.controlplane.resources.Backends.heartbeat": leaving_is_not_heard},
     ),
     "a kind is starved": Break(
-        "STARVED", day(), {"oakvale.dataplane.request_router.Plant.open": unsafe_ones_are_turned_away}
+        "STARVED", day(), {"oakvale.dataplane.request_router.RequestRouter.open": unsafe_ones_are_turned_away}
     ),
     "gateways are never ready": Break("DUTY", day(), {"oakvale.dataplane.gateway.Readyz.open": never_ready}),
     "what may have run is sent again": Break(
@@ -202,10 +206,10 @@
     "what may have run is refused": Break(
         "REFUSED",
         day(LOST_BY_RESET),
-        {"oakvale.dataplane.request_router.ServiceLane.answer_of": may_have_run_is_refused},
+        {"oakvale.dataplane.request_router.ServiceDriver.answer_of": may_have_run_is_refused},
     ),
     "nothing is counted": Break(
-        "QUOTA", day(("hot_tenant", 1.0, {"for_s": 6, "x": 4})), {"oakvale.ratelimit.service.Gauge.ask": all_pass}
+        "QUOTA", day(("hot_tenant", 1.0, {"for_s": 6, "x": 4})), {"oakvale.ratelimit.service.RateLimiter.ask": all_pass}
     ),
     "further attempts are free": Break(
         "BUDGET",
@@ -221,10 +225,10 @@
         {"oakvale.dataplane.gateway.backends": all_ready},
     ),
     "a configuration does not come": Break(
-        "CONFIG", day(MOVES), {"oakvale.dataplane.gateway.Sluice._changed": first_configuration_stays}
+        "CONFIG", day(MOVES), {"oakvale.dataplane.gateway.EdgeGateway._changed": first_configuration_stays}
     ),
     "a configuration goes back": Break(
-        "CONFIG", day(MOVES), {"oakvale.dataplane.request_router.Plant.show": older_picture_comes_back}
+        "CONFIG", day(MOVES), {"oakvale.dataplane.request_router.RequestRouter.show": older_picture_comes_back}
     ),
     "an invalid one is taken": Break(
         "CONFIG",
@@ -240,9 +244,11 @@
         "UNASKED", day(), {"oakvale.dataplane.backend_protocol.SystemDialect.headers": another_tenant}
     ),
     "known routes are denied": Break(
-        "DENIED", day(), {"oakvale.dataplane.request_router.Plant.open": now_and_then_404}
+        "DENIED", day(), {"oakvale.dataplane.request_router.RequestRouter.open": now_and_then_404}
+    ),
+    "services are confused": Break(
+        "ROUTE", day(), {"oakvale.dataplane.request_router.RequestRouter._driver": one_lane_for_all}
     ),
-    "services are confused": Break("ROUTE", day(), {"oakvale.dataplane.request_router.Plant._lane": one_lane_for_all}),
     "work goes on for clients that left": Break(
         "GONE",
         day(
@@ -269,7 +275,7 @@
                 for route in SITE["routes"]
             ],
         ),
-        {"oakvale.dataplane.gateway.Sluice.ready": lambda sluice: sluice.plant.picture.gen >= 0},
+        {"oakvale.dataplane.gateway.EdgeGateway.ready": lambda sluice: sluice.router.picture.gen >= 0},
     ),
     "acknowledged before it is kept": Break(
         "CONFIG",
--- a/tests/test_lab_failures.py
+++ b/tests/test_lab_failures.py
@@ -16,7 +16,7 @@
 from oakvale.lab.record import Event, Record
 
 FOLDER = Path(__file__).parent.parent / "lab" / "days"
-SUCCESSION, UNDONE = "oakvale.controlplane.view_change.Succession", "oakvale.lab.undone"
+SUCCESSION, UNDONE = "oakvale.controlplane.view_change.ViewManager", "oakvale.lab.undone"
 
 
 def away(record: Record, kind: Event, since: int) -> int:
@@ -110,7 +110,7 @@
             "config-14003-small",
             Spec(
                 name="unplanned",
-                swap={"oakvale.controlplane.replicated_state.Ledger.latest_items": "oakvale.lab.undone.latest_items"},
+                swap={"oakvale.controlplane.replicated_state.ReplicatedState.latest_items": f"{UNDONE}.latest_items"},
             ),
             "CONFIG",
         ),
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -9,7 +9,7 @@
 from oakvale.controlplane.leases import MARGIN, Leases, Waiting
 from oakvale.controlplane.replication import Replaced
 from oakvale.controlplane.view_change import FOUNDER, Seat, View, founding
-from oakvale.controlplane.voter import Jury
+from oakvale.controlplane.voter import VoterService
 from oakvale.election.voting import SPAN
 from tests.simulated_processes import MS
 from tests.test_view_change import roles, settled
@@ -123,26 +123,26 @@
     world = settled()
     answers: list[Any] = []
     for core in roles(world)[1:]:
-        core.mains.handlers["digests"](cast(Any, None), [b""] * 16, answers.append)
+        core.transport.handlers["digests"](cast(Any, None), [b""] * 16, answers.append)
     assert answers[0] is not None and answers[1] is None
 
 
 def test_words_of_an_earlier_life_end_nothing_and_renew_nothing() -> None:
     world = settled()
     machine, core, backup = roles(world)
-    before = core.copying.life
+    before = core.replicator.life
     world.down(machine, 100 * MS)
     world.run(2 * SECOND)
     core = roles(world)[1]
-    assert core.copying.life > before
+    assert core.replicator.life > before
     backup._gone(cast(Any, None), [*core.own, before], print)
-    assert backup.succession.alive(core.own, world.now) and not backup._leases.free(world.now)
+    assert backup.view_manager.alive(core.own, world.now) and not backup._leases.free(world.now)
     answers: list[int] = []
     body = [list(core.own), "z0", core.view().pack(), [], before]  # type: ignore[union-attr]
     backup._heard(cast(Any, None), body, answers.append)
     assert answers == []
-    backup._gone(cast(Any, None), [*core.own, core.copying.life], print)
-    assert not backup.succession.alive(core.own, world.now) and backup._leases.free(world.now)
+    backup._gone(cast(Any, None), [*core.own, core.replicator.life], print)
+    assert not backup.view_manager.alive(core.own, world.now) and backup._leases.free(world.now)
 
 
 def test_a_vote_binds_from_when_it_is_given() -> None:
@@ -150,13 +150,13 @@
     time = [T]
     loop = SimpleNamespace(now=T - 20 * SECOND, clock=lambda: time[0], at=lambda *_: [])
     disk = SimpleNamespace(fact=lambda name: None, write=lambda what, then: then())
-    mains = SimpleNamespace(handlers={}, ask=lambda *_: None)
-    Jury(cast(Any, loop), cast(Any, mains), cast(Any, disk))
+    transport = SimpleNamespace(handlers={}, ask=lambda *_: None)
+    VoterService(cast(Any, loop), cast(Any, transport), cast(Any, disk))
     said: list[list[Any]] = []
     for at, life in ((T, "one"), (T + SPAN - 1, "other"), (T + SPAN, "other")):
         time[0] = at
         loop.now = at if life == "other" else loop.now
-        mains.handlers["ballot"](None, ["counter", "elect", [1, life], "h:1"], said.append)
+        transport.handlers["ballot"](None, ["counter", "elect", [1, life], "h:1"], said.append)
     assert [word[2] for word in said] == [True, False, True]
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -13,8 +13,8 @@
 from oakvale.dissemination.tree import Member, Members
 from oakvale.lifecycle.eventlog import BOOK
 from oakvale.ratelimit.quotas import Quota, Terms
-from oakvale.ratelimit.service import Gauge
-from oakvale.transport.links import Conn, Mains
+from oakvale.ratelimit.service import RateLimiter
+from oakvale.transport.links import Connection, Transport
 from tests import schedules
 from tests.link_model import PEERS, World
 
@@ -22,7 +22,7 @@
 def test_a_connection_that_is_being_made_is_not_waited_for_once_its_peer_is_known_to_be_up() -> None:
     """Its first packet had met a dark machine; the peer had called meanwhile, and was asked 0.3 s later."""
     loop = Loop(Clock(), Limits.fill(256, 192 << 20, 250_000, 30_000_000, 80_000, 100))
-    peer = Mains(loop, ("127.0.0.1", 0))
+    peer = Transport(loop, ("127.0.0.1", 0))
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     address: tuple[str, int] = listener.getsockname()
     held = [socket.create_connection(address)]  # the queue is full: further first packets fall
@@ -63,7 +63,7 @@
     search(1_000)
 
 
-def kept(conn: Conn, frame: Any) -> None:
+def kept(conn: Connection, frame: Any) -> None:
     """An answer leaves its question waiting."""
     waited = conn.waiting.get(frame[1])
     TAKE(conn, frame)
@@ -71,20 +71,24 @@
         conn.waiting[frame[1]] = waited
 
 
-def alike(mains: Mains, conn: Conn, *rest: Any) -> None:
+def alike(transport: Transport, conn: Connection, *rest: Any) -> None:
     """All questions bear one number."""
-    mains._number = 0
-    ASK_ON(mains, conn, *rest)
+    transport._number = 0
+    ASK_ON(transport, conn, *rest)
 
 
-def unheard(mains: Mains, conn: Conn) -> None:
+def unheard(transport: Transport, conn: Connection) -> None:
     """What is asked on a connection that ends hears nothing."""
     conn.waiting = {}
-    GONE(mains, conn)
+    GONE(transport, conn)
 
 
-TAKE, ASK_ON, GONE = Conn._take, Mains.ask_on, Mains.gone
-BREAKAGES = {"kept": (Conn, "_take", kept), "alike": (Mains, "ask_on", alike), "unheard": (Mains, "gone", unheard)}
+TAKE, ASK_ON, GONE = Connection._take, Transport.ask_on, Transport.gone
+BREAKAGES = {
+    "kept": (Connection, "_take", kept),
+    "alike": (Transport, "ask_on", alike),
+    "unheard": (Transport, "gone", unheard),
+}
 
 
 @pytest.mark.usefixtures("quiet")
@@ -100,15 +104,15 @@
     the quota, which it passes when it is cut off, was left with the counter (QUOTA)."""
     world, heard = World(), list[Any]()
     world.mode = 1
-    world.mains.ask(PEERS[0], "life", None, 150_000, heard.append)
+    world.transport.ask(PEERS[0], "life", None, 150_000, heard.append)
     world.turn()
-    assert heard == [None] and world.mains.ended(PEERS[0])
+    assert heard == [None] and world.transport.ended(PEERS[0])
     world.now += 30_000
     world.turn()
     members = Members([Member("g2", "10.0.0.2:7", "z", "new")])
-    gauge = Gauge(
+    rate_limiter = RateLimiter(
         world.loop,
-        world.mains,
+        world.transport,
         Terms(5_000_000, 0.1, 20),
         "g1",
         "l1",
@@ -117,12 +121,12 @@
         lambda: [],
         lambda tenant: Quota(10, 10),
     )
-    gauge.members_changed()
-    gauge._presence.prove()
+    rate_limiter.members_changed()
+    rate_limiter._presence.prove()
     world.turn()
-    assert world.mains.ended(PEERS[0]) and not gauge._presence.ended
+    assert world.transport.ended(PEERS[0]) and not rate_limiter._presence.ended
     world.now += 100_000
     world.turn()
-    gauge._presence.prove()
+    rate_limiter._presence.prove()
     world.turn()
-    assert gauge._presence.ended == {"g2": "new"}  # refused since: nobody listens there now
+    assert rate_limiter._presence.ended == {"g2": "new"}  # refused since: nobody listens there now
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -9,8 +9,8 @@
 from oakvale.config.settings import Bounds
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.peers import KEPT, NAMED, Peers
-from oakvale.controlplane.replication import Copying
-from oakvale.controlplane.view_change import Succession
+from oakvale.controlplane.replication import Replicator
+from oakvale.controlplane.view_change import ViewManager
 from tests.control_plane_simulation import Machine, World
 from tests.simulated_processes import MS, SECOND
 
@@ -134,9 +134,9 @@
     for machine in world.machines:
         part = core(machine)
         known = {parsed[0] + f":{parsed[1]}" for parsed in part._others()} | {part.own[0]}
-        succession = part.succession
-        assert known == there and {peer[0] for peer in succession._heard} <= there
-        assert not succession._spares and not succession._leaving and len(part.peers._heard) <= 3
+        view_manager = part.view_manager
+        assert known == there and {peer[0] for peer in view_manager._heard} <= there
+        assert not view_manager._spares and not view_manager._leaving and len(part.peers._heard) <= 3
     assert world.acknowledged > 3_000 and world.reads > 3_000
 
 
@@ -152,7 +152,7 @@
     world.run(2_500 * MS)
     assert primary.life is not None
     world.run(3 * SECOND)
-    assert primary.life is None and core(witness).succession.state.complete == core(witness).view().number
+    assert primary.life is None and core(witness).view_manager.state.complete == core(witness).view().number
     backup.start()
     busy(world, 2 * SECOND)
     assert world.serving() is witness
@@ -171,10 +171,10 @@
     world.run(10 * MS)
     found = world.serving()
     assert world.now - began < most * MS and found is not None
-    assert not any(core(m).succession.alive(own, world.now) for m in world.machines if m.life)
+    assert not any(core(m).view_manager.alive(own, world.now) for m in world.machines if m.life)
     now = core(found).view()
     assert now is not None and view is not None and now.witnesses == view.witnesses
-    assert all(core(m).succession.state.complete == now.number for m in world.machines if m.life)
+    assert all(core(m).view_manager.state.complete == now.number for m in world.machines if m.life)
     machine.start()
     busy(world, SYNC_TIME)
     assert world.well()
@@ -261,7 +261,7 @@
     primary, backup = of(world, "primary"), of(world, "backup")
     primary.stop()
     world.run(500 * MS)
-    assert primary.life is None and core(backup).succession.state.complete == 1
+    assert primary.life is None and core(backup).view_manager.state.complete == 1
     primary.start()
     world.run(3 * SECOND)
     assert world.serving() is not None
@@ -286,11 +286,11 @@
 def test_without_each_part_losses_in_a_row_are_found_out(patch: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """What the tests above hold is due to the parts that are named here."""
     if patch == "_released":
-        monkeypatch.setattr(Copying, "may_go", lambda self, now: True)
+        monkeypatch.setattr(Replicator, "may_go", lambda self, now: True)
         with pytest.raises(AssertionError):
             test_a_primary_whose_backup_is_not_whole_does_not_go()
     elif patch == "whole":
-        monkeypatch.setattr(Succession, "leaving", lambda self, peer: None)
+        monkeypatch.setattr(ViewManager, "leaving", lambda self, peer: None)
         with pytest.raises(AssertionError):
             test_who_leaves_goes_as_soon_as_it_is_not_missed("backup", 800)
     else:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,7 +18,7 @@
         self.on_change: list[Any] = []
         self.handlers: dict[str, Any] = {}
         self.asked: list[Callable[[Any], None]] = []
-        self.ledger = self
+        self.replicated_state = self
         whole = cast(Any, self)
         Gates(whole, cast(Any, type("Votes", (), {"ended": lambda _, life: self.ended.append(life)})()), whole, whole)
 
--- a/tests/test_message_parts.py
+++ b/tests/test_message_parts.py
@@ -11,14 +11,14 @@
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Clock, Loop
 from oakvale.transport import links
-from oakvale.transport.links import BACKLOG, LONG, Mains
+from oakvale.transport.links import BACKLOG, LONG, Transport
 
 
 @pytest.fixture(autouse=True)
 def notes(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """What is noted; no log is open here."""
     noted: list[str] = []
-    monkeypatch.setattr(links, "note", lambda event, level="info", **fields: noted.append(event))
+    monkeypatch.setattr(links, "log_event", lambda event, level="info", **fields: noted.append(event))
     return noted
 
 
@@ -27,13 +27,13 @@
 
     def __init__(self, others: int = 1) -> None:
         self.loop = Loop(Clock(), Limits.fill(256, 192 << 20, 250_000, 30_000_000, 80_000, 100))
-        self.mains = Mains(self.loop, ("127.0.0.1", 0))
+        self.transport = Transport(self.loop, ("127.0.0.1", 0))
         self.others: list[tuple[tuple[str, int], list[Any]]] = []
         for _ in range(others):
             sock = socket.create_server(("127.0.0.1", 0))
             address: tuple[str, int] = sock.getsockname()
             sock.close()
-            other, came = Mains(self.loop, address), list[Any]()
+            other, came = Transport(self.loop, address), list[Any]()
             other.listen()
             for kind in ("a", "b", "long"):
                 other.handlers[kind] = lambda conn, body, answer, kind=kind, came=came: came.append(  # type: ignore[misc]
@@ -54,15 +54,15 @@
     two = Two()
     [(address, came)], answers = two.others, list[Any]()
     text = bytes(range(256)) * (2 * BACKLOG // 256) + b"end"
-    two.mains.tell(address, "a", text)
+    two.transport.tell(address, "a", text)
     for n in range(3):
-        two.mains.tell(address, "a", n)
-        two.mains.tell(address, "b", n)
-    two.mains.ask(address, "long", text[: 2 * LONG], 60_000_000, answers.append)
+        two.transport.tell(address, "a", n)
+        two.transport.tell(address, "b", n)
+    two.transport.ask(address, "long", text[: 2 * LONG], 60_000_000, answers.append)
     two.until(lambda: len(came) == 8 and bool(answers))
     assert [kind for kind, _ in came] == ["b", "b", "b", "a", "a", "a", "a", "long"]
     assert [body for kind, body in came if kind == "a"] == [text, 0, 1, 2] and answers == [text[: 2 * LONG]]
-    assert not two.mains.flying and not two.mains.hungry and two.mains.long_at > 0
+    assert not two.transport.flying and not two.transport.hungry and two.transport.long_at > 0
     two.loop.close()
 
 
@@ -73,14 +73,14 @@
     [(address, came)] = two.others
     silent = [socket.create_server(("127.0.0.1", 0)) for _ in range(4)]
     for sock in silent:
-        two.mains.tell(sock.getsockname(), "a", bytes(10 * LONG))
-    two.until(lambda: two.mains.flying == 2)
-    two.mains.tell(address, "a", bytes(3 * LONG))
+        two.transport.tell(sock.getsockname(), "a", bytes(10 * LONG))
+    two.until(lambda: two.transport.flying == 2)
+    two.transport.tell(address, "a", bytes(3 * LONG))
     two.until(lambda: len(came) == 1)
-    ends = [conn for sock in silent if (conn := two.mains.link(sock.getsockname())) is not None]
+    ends = [conn for sock in silent if (conn := two.transport.link(sock.getsockname())) is not None]
     for conn in ends:
         conn.end()
-    two.until(lambda: not two.mains.flying and not any(conn.busy() for conn in ends))
+    two.until(lambda: not two.transport.flying and not any(conn.busy() for conn in ends))
     two.loop.close()
     for sock in silent:
         sock.close()
@@ -90,10 +90,10 @@
     two = Two(0)
     silent = socket.create_server(("127.0.0.1", 0))
     for _ in range(2):
-        two.mains.tell(silent.getsockname(), "a", bytes(BACKLOG // 2 + 10))
-    conn = two.mains.link(silent.getsockname())
+        two.transport.tell(silent.getsockname(), "a", bytes(BACKLOG // 2 + 10))
+    conn = two.transport.link(silent.getsockname())
     assert conn is not None and conn.alive and conn.busy()
-    two.mains.tell(silent.getsockname(), "a", bytes(BACKLOG // 2))
+    two.transport.tell(silent.getsockname(), "a", bytes(BACKLOG // 2))
     assert not conn.alive and notes == ["peer does not read"]
     two.loop.close()
     silent.close()
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from oakvale.controlplane.replication import Copying
-from oakvale.controlplane.view_change import Succession
+from oakvale.controlplane.replication import Replicator
+from oakvale.controlplane.view_change import ViewManager
 from oakvale.lab.modelcheck.breakages import BREAKAGES, QUIET, Breakage
 from oakvale.lab.modelcheck.check import BadFaults, arguments, check, find, read_faults, searches
 from oakvale.lab.modelcheck.machine import Machine
@@ -91,12 +91,12 @@
 
     @contextmanager
     def deaf() -> Iterator[None]:
-        real = Succession._voided
+        real = ViewManager._voided
         try:
-            Succession._voided = lambda self, now, sender, body: None  # type: ignore[method-assign]
+            ViewManager._voided = lambda self, now, sender, body: None  # type: ignore[method-assign]
             yield
         finally:
-            Succession._voided = real  # type: ignore[method-assign]
+            ViewManager._voided = real  # type: ignore[method-assign]
 
     with deaf():
         found = Search(replace(QUIET, wipes=1, wakes=1), every=16).run()
@@ -131,7 +131,7 @@
     number = model.settled().seats[0]
     one, other = model.machine(number), model.machine(number)
     assert one is not other and one.key() == other.key()
-    assert isinstance(one.part, Copying)
+    assert isinstance(one.part, Replicator)
     one.part._newest = (1, 1, 9)
     assert one.key() != other.key()
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -15,7 +15,7 @@
 
 from oakvale.config import model
 from oakvale.controlplane import chunks, resources
-from oakvale.controlplane.replicated_state import Ledger
+from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.controlplane.resources import TAKEN, Config, Reply
 from oakvale.dissemination.table import NOTHING
 from oakvale.lab import undone
@@ -138,7 +138,7 @@
     def held(self) -> Any:
         machine = self.world.serving()
         assert machine is not None and machine.core is not None
-        return machine.core.ledger.table.get("config")
+        return machine.core.replicated_state.table.get("config")
 
 
 @pytest.mark.parametrize("part", range(4))
@@ -164,7 +164,7 @@
     assert [operators.now(gen, gen % 3) for gen in range(2, 402, 2)] == [200] * 200
     machine = operators.world.serving()
     assert machine is not None and machine.core is not None
-    table, gateway = machine.core.ledger.table, operators.world.gateway
+    table, gateway = machine.core.replicated_state.table, operators.world.gateway
     for held in (machine.disk.rows, {key for key, _, _ in table.since(NOTHING)}):
         assert len([key for key in held if key.startswith(TAKEN)]) == 21
     assert not gateway.items(TAKEN) and gateway.get("config") == table.get("config")
@@ -216,7 +216,7 @@
 # ---- the same, broken on purpose
 
 
-def in_force_alone(self: Ledger, prefix: str) -> dict[str, Any]:
+def in_force_alone(self: ReplicatedState, prefix: str) -> dict[str, Any]:
     return dict(self.table.items(prefix))
 
 
@@ -235,7 +235,7 @@
         (Config, "_taken", undone.taken_in_memory),
         (resources, "_remember", undone.remember_in_memory),
     ),
-    "what-waits-unseen": ((Ledger, "latest_items", in_force_alone),),
+    "what-waits-unseen": ((ReplicatedState, "latest_items", in_force_alone),),
     "refused-at-once": ((Config, "_judge", refused_at_once),),
 }
 
--- a/tests/test_ratelimit.py
+++ b/tests/test_ratelimit.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from oakvale.election.voting import MARGIN, ROUND, SPAN, TURN, Ask, Candidate, Juror, Word
-from oakvale.ratelimit.quotas import ALONE, AT_START, Alone, Floors, Quota, Read, Terms
+from oakvale.election.voting import MARGIN, ROUND, SPAN, TURN, Ask, Candidate, Voter, Word
+from oakvale.ratelimit.quotas import ALONE, AT_START, Alone, Quota, QuotaCounter, Read, Terms
 
 MS, SECOND = 1_000, 1_000_000
 TERMS = Terms(5 * SECOND, 0.1, 20)
@@ -31,7 +31,7 @@
 
 def test_the_floor_is_the_whole_quota() -> None:
     """What is refused below the limit is worth lost: a tenant at its rate with its burst on top is served whole."""
-    floors, now = Floors(TERMS, 0), 100 * SECOND
+    floors, now = QuotaCounter(TERMS, 0), 100 * SECOND
     assert all(floors.add("t", QUOTA, False, now).passes for _ in range(63))
     for _ in range(1_000):
         now += SECOND // 63
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("rate", [20, 63])
 def test_every_window_of_a_counter_holds(rate: int) -> None:
     rng, quota, now, passed = random.Random(rate), Quota(rate, rate), 100 * SECOND, list[int]()
-    floors = Floors(TERMS, 0)
+    floors = QuotaCounter(TERMS, 0)
     while now < 130 * SECOND:
         now += rng.choice([1, 5, 900]) * MS if rng.random() < 0.9 else 4 * SECOND
         for _ in range(rng.choice([1, 4, 90])):
@@ -56,7 +56,7 @@
 
 def test_each_that_is_turned_away_is_told_a_time_of_its_own() -> None:
     """Six in ten were told the same few milliseconds, came back together and were turned away for good."""
-    floors, now = Floors(TERMS, 0), 100 * SECOND
+    floors, now = QuotaCounter(TERMS, 0), 100 * SECOND
     turned = [v.wait for v in (floors.add("t", QUOTA, False, now) for _ in range(110)) if not v.passes]
     assert 30 < len(turned) < 60 and turned == sorted(turned) and turned[-1] < SECOND
     assert all(floors.add("t", QUOTA, True, now + wait).passes for wait in turned)
@@ -64,21 +64,21 @@
 
 
 def test_what_none_knows_is_used_and_comes_back() -> None:
-    floors = Floors(TERMS, 10 * SECOND)
+    floors = QuotaCounter(TERMS, 10 * SECOND)
     most = sum(floors.add("t", QUOTA, False, 10 * SECOND).passes for _ in range(100))
     assert most <= (0.15 + AT_START) * TERMS.spare(QUOTA)
     assert sum(floors.add("u", QUOTA, False, 11 * SECOND).passes for _ in range(100)) >= 63
 
 
 def test_what_none_has_known_for_long_is_not_used() -> None:
-    floors = Floors(TERMS, 10 * SECOND)
+    floors = QuotaCounter(TERMS, 10 * SECOND)
     floors.nothing_before(9 * SECOND)
     assert sum(floors.add("t", QUOTA, False, 10 * SECOND).passes for _ in range(100)) >= 63
 
 
 def test_a_counter_leaves_those_out_of_reach_their_share() -> None:
     """Half of the gateways pass alone: what comes back here is half the quota, and half the burst is theirs."""
-    floors, now = Floors(TERMS, 0), 10 * SECOND
+    floors, now = QuotaCounter(TERMS, 0), 10 * SECOND
     floors.reach(0.5, now)
     assert sum(floors.add("t", QUOTA, False, now).passes for _ in range(100)) <= 32 + 0.15 * TERMS.spare(QUOTA)
     passed = sum(floors.add("t", QUOTA, False, now + n * 5 * MS).passes for n in range(1, 1_001))
@@ -86,7 +86,7 @@
 
 
 def test_what_those_out_of_reach_may_have_passed_comes_back() -> None:
-    floors, now = Floors(TERMS, 0), 10 * SECOND
+    floors, now = QuotaCounter(TERMS, 0), 10 * SECOND
     floors.reach(0.5, now)
     floors.reach(1.0, now + SECOND)
     assert floors.level("t", QUOTA, now + SECOND) == pytest.approx(31.5)
@@ -96,7 +96,7 @@
 
 def test_use_leaks_away_by_the_share_that_was_present() -> None:
     """And not by the one that is now: a tenant that came seldom got the whole rate for all the time between."""
-    floors = Floors(TERMS, 0)
+    floors = QuotaCounter(TERMS, 0)
     floors.learn("t", 60.0, 0.0, 10 * SECOND)
     floors.reach(0.1, 10 * SECOND)
     floors.reach(1.0, 10 * SECOND + 500 * MS)
@@ -104,19 +104,19 @@
 
 
 def test_one_that_comes_back_leaves_room_for_first_tries() -> None:
-    floors = Floors(TERMS, 0)
+    floors = QuotaCounter(TERMS, 0)
     while floors.add("t", QUOTA, True, 10 * SECOND).passes:
         pass
     assert [floors.add("t", QUOTA, False, 10 * SECOND).passes for _ in range(3)] == [True, True, False]
 
 
 def test_no_rate_is_no_quota() -> None:
-    assert Floors(TERMS, 0).add("t", Quota(), False, 0).passes
+    assert QuotaCounter(TERMS, 0).add("t", Quota(), False, 0).passes
     assert Alone(TERMS, lambda: 1.0, 0).passes("t", Quota(), 0, 0, 0)
 
 
 def test_the_highest_of_several_readings_holds() -> None:
-    floors = Floors(TERMS, 0)
+    floors = QuotaCounter(TERMS, 0)
     for level in (5.0, 40.0, 9.0):
         floors.learn("t", level, 0.0, SECOND)
     assert floors.level("t", QUOTA, SECOND) == 40.0
@@ -125,7 +125,7 @@
 
 def test_what_passed_uncounted_adds_up() -> None:
     """Each gateway knows its own alone: the highest of them was far below what had passed."""
-    floors = Floors(TERMS, 0)
+    floors = QuotaCounter(TERMS, 0)
     for uncounted in (5.0, 4.0, 9.0):
         floors.learn("t", 20.0, uncounted, 2 * SECOND)
     assert floors.level("t", QUOTA, 2 * SECOND) == 38.0
@@ -135,7 +135,7 @@
 
 def test_low_readings_do_not_vouch_for_a_gateway_that_did_not_answer() -> None:
     """The one with the freshest reading may be the one that died."""
-    floors = Floors(TERMS, 10 * SECOND)
+    floors = QuotaCounter(TERMS, 10 * SECOND)
     floors.learn("t", 2.0, 0.0, 10 * SECOND)
     assert floors.level("t", QUOTA, 10 * SECOND) == 63 - AT_START * TERMS.spare(QUOTA)
     floors.nothing_before(8 * SECOND)
@@ -199,7 +199,7 @@
 # ---- ballots
 
 
-class Jury:
+class VoterService:
     """Jurors and gateways that stand for one duty, in simulated time: words come late, out of order or not at all,
     and jurors that start again know only whom they voted for."""
 
@@ -207,7 +207,7 @@
         self.rng = random.Random(seed)
         self.now = 1_000 * SECOND
         self.size, self.lives = size, 0
-        self.jurors = [Juror({}, self.now) for _ in range(size)]
+        self.voters = [Voter({}, self.now) for _ in range(size)]
         self.names = [""] * size
         self.candidates = [Candidate("") for _ in range(size)]
         self.frozen: dict[int, int] = {}
@@ -221,14 +221,14 @@
         """Another life. In half of the cases the jurors hear that the one before has ended."""
         known = self.rng.random() < 0.5
         if known:
-            for juror in self.jurors:
-                juror.ended(self.names[at], self.now)
+            for voter in self.voters:
+                voter.ended(self.names[at], self.now)
         self.lives += 1
         self.names[at] = f"life{self.lives}"
         self.candidates[at] = Candidate(self.names[at])
 
     def start_juror(self, at: int) -> None:
-        self.jurors[at] = Juror(self.jurors[at].kept(), self.now)
+        self.voters[at] = Voter(self.voters[at].kept(), self.now)
 
     def send(self, source: int, target: int, name: str, what: Ask | Word) -> None:
         wait = self.rng.choice([0, 1, 5, 40]) * MS if self.rng.random() < 0.95 else self.rng.randrange(SECOND)
@@ -236,9 +236,9 @@
             self.mail.append((self.now + wait, source, target, name, what))
 
     def ask(self, at: int, ask: Ask | None) -> None:
-        for juror in range(self.size) if ask is not None else ():
+        for voter in range(self.size) if ask is not None else ():
             assert ask is not None
-            self.send(at, juror, self.names[at], ask)
+            self.send(at, voter, self.names[at], ask)
 
     def step(self) -> None:
         self.now += 10 * MS
@@ -246,7 +246,7 @@
         self.mail = [m for m in self.mail if m not in due]
         for _, source, target, name, what in due:
             if isinstance(what, Ask):
-                self.send(target, source, name, self.jurors[target].hear(what, f"at {name}", self.now))
+                self.send(target, source, name, self.voters[target].hear(what, f"at {name}", self.now))
             elif name == self.names[target]:
                 self.ask(target, self.candidates[target].hear(what, str(source), self.size, self.now))
         for at in range(self.size):
@@ -259,42 +259,42 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_a_duty_has_one_holder_at_a_time(seed: int) -> None:
-    jury = Jury(seed, 3 if seed % 2 else 5)
+    voter_service = VoterService(seed, 3 if seed % 2 else 5)
     held = 0
     for _ in range(3_000):
-        jury.step()
-        at = jury.rng.randrange(jury.size)
-        if jury.rng.random() < 0.01:
-            jury.start(at)
-        if jury.rng.random() < 0.01:
-            jury.start_juror(at)
-        if jury.rng.random() < 0.005:
-            jury.frozen[at] = jury.now + jury.rng.randrange(3_000) * MS
-        if jury.rng.random() < 0.005:
-            jury.cut = jury.cut ^ {at} if len(jury.cut) < jury.size // 2 else set()
-        held += not jury.vacant
+        voter_service.step()
+        at = voter_service.rng.randrange(voter_service.size)
+        if voter_service.rng.random() < 0.01:
+            voter_service.start(at)
+        if voter_service.rng.random() < 0.01:
+            voter_service.start_juror(at)
+        if voter_service.rng.random() < 0.005:
+            voter_service.frozen[at] = voter_service.now + voter_service.rng.randrange(3_000) * MS
+        if voter_service.rng.random() < 0.005:
+            voter_service.cut = voter_service.cut ^ {at} if len(voter_service.cut) < voter_service.size // 2 else set()
+        held += not voter_service.vacant
     assert held > 300
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_a_vacant_duty_is_filled(seed: int) -> None:
     """Once the span of its holder is over: two of five are down, and words are lost now and then."""
-    jury = Jury(seed)
+    voter_service = VoterService(seed)
     for _ in range(4):
-        for at in jury.rng.sample(range(5), 2):
-            jury.start(at)
-            jury.cut = {at}
+        for at in voter_service.rng.sample(range(5), 2):
+            voter_service.start(at)
+            voter_service.cut = {at}
         for _ in range(500):
-            jury.step()
-            assert jury.vacant < 2 * SPAN + 3 * ROUND + 5 * TURN, "vacant for too long"
+            voter_service.step()
+            assert voter_service.vacant < 2 * SPAN + 3 * ROUND + 5 * TURN, "vacant for too long"
 
 
 def won(candidate: Candidate, now: int) -> None:
     ask = candidate.tick("d", 0, 0, now)
     for kind in ("prepare", "elect"):
         assert ask is not None and ask.kind == kind
-        for juror in "xy":
-            ask = candidate.hear(Word("d", kind, ask.number, True), juror, 3, now) or ask
+        for voter in "xy":
+            ask = candidate.hear(Word("d", kind, ask.number, True), voter, 3, now) or ask
     assert candidate.holds("d", now)
 
 
@@ -307,8 +307,8 @@
     now += ROUND
     second = candidate.tick("d", 0, 0, now)
     assert first is not None and second is not None
-    for juror in "xy":
-        candidate.hear(Word("d", "elect", first.number, True), juror, 3, now)
+    for voter in "xy":
+        candidate.hear(Word("d", "elect", first.number, True), voter, 3, now)
     assert candidate.until["d"] <= now - ROUND + SPAN - MARGIN
 
 
@@ -322,26 +322,26 @@
 
 
 def test_a_juror_that_starts_votes_for_no_other_than_before_for_a_span() -> None:
-    before = Juror({}, 0)
+    before = Voter({}, 0)
     assert before.hear(Ask("d", "elect", (1, "a")), "here", 0).yes
     assert before.kept() == {"d": ("a", "here")}
-    juror = Juror(before.kept(), SECOND)
-    refused = juror.hear(Ask("d", "elect", (2, "b")), "there", SECOND + SPAN - 1)
+    voter = Voter(before.kept(), SECOND)
+    refused = voter.hear(Ask("d", "elect", (2, "b")), "there", SECOND + SPAN - 1)
     assert not refused.yes and (refused.holder, refused.where, refused.left) == ("a", "here", 1)
-    assert juror.holder("d", SECOND) == ("a", "here")
-    assert juror.hear(Ask("d", "elect", (3, "a")), "here", SECOND).yes
-    assert juror.hear(Ask("e", "elect", (1, "b")), "there", SECOND).yes
+    assert voter.holder("d", SECOND) == ("a", "here")
+    assert voter.hear(Ask("d", "elect", (3, "a")), "here", SECOND).yes
+    assert voter.hear(Ask("e", "elect", (1, "b")), "there", SECOND).yes
 
 
 def test_a_holder_that_ended_frees_its_votes() -> None:
-    juror = Juror({}, 0)
-    juror.hear(Ask("d", "elect", (1, "a")), "here", 0)
-    juror.ended("b", 1)
-    assert not juror.hear(Ask("d", "prepare", (2, "b")), "there", 1).yes
-    juror.ended("a", 2)
-    assert juror.holder("d", 2) is None
-    assert juror.hear(Ask("d", "prepare", (2, "b")), "there", 2).yes
-    assert not juror.hear(Ask("d", "prepare", (1, "c")), "over there", 2).yes  # one that is overtaken
+    voter = Voter({}, 0)
+    voter.hear(Ask("d", "elect", (1, "a")), "here", 0)
+    voter.ended("b", 1)
+    assert not voter.hear(Ask("d", "prepare", (2, "b")), "there", 1).yes
+    voter.ended("a", 2)
+    assert voter.holder("d", 2) is None
+    assert voter.hear(Ask("d", "prepare", (2, "b")), "there", 2).yes
+    assert not voter.hear(Ask("d", "prepare", (1, "c")), "over there", 2).yes  # one that is overtaken
 
 
 def test_those_who_stand_wait_their_turn() -> None:
--- a/tests/test_refunds.py
+++ b/tests/test_refunds.py
@@ -7,7 +7,7 @@
 import pytest
 
 from oakvale.ratelimit.counter_state import Receipt
-from oakvale.ratelimit.quotas import SECOND, Floors, Quota, Terms
+from oakvale.ratelimit.quotas import SECOND, Quota, QuotaCounter, Terms
 from oakvale.ratelimit.refunds import REMEMBERED_US, Returns
 from tests.data_plane import Gate
 from tests.ratelimit_simulation import Fleet, Tenant
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_no_more_is_given_back_than_if_it_had_never_been_counted(seed: int) -> None:
     rng, now = random.Random(seed), 100 * SECOND
-    floors, plain = Floors(TERMS, now), Plain()
+    floors, plain = QuotaCounter(TERMS, now), Plain()
     floors.nothing_before(now - 100 * SECOND)
     held: list[tuple[int, int]] = []
     whole = 0
@@ -53,7 +53,7 @@
 
 
 def test_at_the_edge_of_its_quota_a_tenant_has_all_of_it_back() -> None:
-    floors, now = Floors(TERMS, 0), 200 * SECOND
+    floors, now = QuotaCounter(TERMS, 0), 200 * SECOND
     while (verdict := floors.add("t", QUOTA, False, now)).passes:
         counted_at = verdict.counted_at
     assert floors.give_back("t", QUOTA, counted_at, now) == 1
@@ -76,20 +76,20 @@
     fleet = Fleet(1, 6)
     fleet.run(6 * SECOND)
     for machine in fleet.gates:
-        gauge = machine.gauge
-        assert gauge is not None
+        rate_limiter = machine.rate_limiter
+        assert rate_limiter is not None
         for tenant in ("a", "b", "c"):
             fleet.tenants.setdefault(tenant, idle_tenant(tenant, fleet.now))
             receipt = Receipt()
-            gauge.ask(tenant, False, lambda *_: None, 0, receipt)
+            rate_limiter.ask(tenant, False, lambda *_: None, 0, receipt)
             fleet.run(20 * MS)
             before = level(fleet, tenant)
             assert receipt.counter and before > 0
-            gauge.give_back(receipt)
+            rate_limiter.give_back(receipt)
             fleet.run(5 * MS)
             after = level(fleet, tenant)
             assert after < before - 0.3
-            gauge.give_back(receipt)
+            rate_limiter.give_back(receipt)
             fleet.run(5 * MS)
             assert level(fleet, tenant) >= after - 5 * MS * 21 / SECOND
             fleet.run(500 * MS)
@@ -100,7 +100,7 @@
 
 
 def level(fleet: Fleet, tenant: str) -> float:
-    counters = [m.gauge._counters for m in fleet.gates if m.gauge is not None]
+    counters = [m.rate_limiter._counters for m in fleet.gates if m.rate_limiter is not None]
     found = [floors for held in counters for floors in held.values() if tenant in floors._levels]
     assert len(found) == 1
     return found[0].level(tenant, QUOTA, fleet.now)
@@ -109,26 +109,26 @@
 def test_a_refusal_before_any_attempt_gives_the_count_back(gate: Gate) -> None:
     gate.show(gone=("i-1", "i-2"))
     assert gate.status(gate.say()) == 503
-    assert gate.gauge.given_back == ["t1"]
+    assert gate.rate_limiter.given_back == ["t1"]
 
 
 def test_a_client_that_leaves_before_any_attempt_gives_the_count_back_once(gate: Gate) -> None:
     named = []
-    gate.plant.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): named.append(then)  # type: ignore[method-assign]
+    gate.router.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): named.append(then)  # type: ignore[method-assign]
     client = gate.say()
     gate.until(lambda: named)
     client.close(reset=True)
-    gate.until(lambda: gate.gauge.given_back)
+    gate.until(lambda: gate.rate_limiter.given_back)
     named[0](None)
     gate.turns()
-    assert gate.gauge.given_back == ["t1"]
+    assert gate.rate_limiter.given_back == ["t1"]
 
 
 def test_what_was_offered_to_a_backend_stays_counted(gate: Gate) -> None:
     client = gate.say()
     _, backend, _ = gate.at_backend()
     client.close(reset=True)
-    gate.until(lambda: not len(gate.plant.requests))
+    gate.until(lambda: not len(gate.router.requests))
     backend.close(reset=True)
     gate.turns()
-    assert not gate.gauge.given_back
+    assert not gate.rate_limiter.given_back
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -48,7 +48,7 @@
 
 
 def test_nothing_is_denied_before_there_is_a_configuration(gate: Gate) -> None:
-    gate.plant.picture = Picture()
+    gate.router.picture = Picture()
     client = gate.say("/none/", key="wrong")
     assert gate.status(client) == 503 and b"retry-after" in client.came
 
@@ -66,12 +66,12 @@
     assert gate.status(slow) == 408 and (idle.read(), idle.ended)[1] is False
     gate.pass_time(3_000 * MS)
     gate.until_ended(idle)
-    assert gate.plant.limits.body == 8 and gate.plant.shared.limits.body > 8  # answers are bounded as before
+    assert gate.router.limits.body == 8 and gate.router.shared.limits.body > 8  # answers are bounded as before
 
 
 def test_a_key_that_may_have_been_taken_away_unheard_is_not_honoured(gate: Gate) -> None:
     """With strict-revoke. A public route and an unknown key are answered as ever."""
-    gate.plant.sure = lambda: False
+    gate.router.sure = lambda: False
     client = gate.say()
     assert gate.status(client) == 503 and b"retry-after" in client.came
     assert gate.status(gate.say(rid="a2", key="wrong")) == 401
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("word, status", [((False, 250_000, True), 429), ((False, 200_000, False), 503)])
 def test_over_the_quota_or_not_counted_is_refused_at_once_with_a_time(gate: Gate, word: Any, status: int) -> None:
-    gate.gauge.word = word
+    gate.rate_limiter.word = word
     client = gate.say()
     assert gate.status(client) == status and b"retry-after: 0.2" in client.came
     assert gate.first.take() is None and gate.second.take() is None
@@ -90,8 +90,8 @@
 def test_a_repeat_is_told_from_a_first_try_by_the_time_left(gate: Gate) -> None:
     for rid, left in (("a1", "5000"), ("a2", "4982"), ("a3", "4700")):
         gate.say(rid=rid, Time_Left=left)
-    gate.until(lambda: len(gate.gauge.asked) == 3)
-    assert [again for _, again in gate.gauge.asked] == [False, False, True]
+    gate.until(lambda: len(gate.rate_limiter.asked) == 3)
+    assert [again for _, again in gate.rate_limiter.asked] == [False, False, True]
 
 
 def test_an_unsafe_request_whose_connection_breaks_is_neither_sent_again_nor_promised(gate: Gate) -> None:
@@ -116,7 +116,7 @@
     backend.send(sealed())
     gate.reads(first, b"ok")
     gate.pass_time(300 * MS)
-    gate.plant.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
+    gate.router.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
         Pick(service, "i-1", 1, "gauge/0", youth)
     )
     gate.say(path, rid="a2")
@@ -129,10 +129,10 @@
 def test_a_connection_that_breaks_on_its_next_request_is_told_of_with_its_idle_time(gate: Gate) -> None:
     gate.show(gone=("i-2",))
     told: list[int] = []
-    gate.plant.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
+    gate.router.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
         Pick(service, "i-1", 1, "gauge/0")
     )
-    gate.plant.boards.done = lambda pick, route, latency, outcome, dropped=0, kept=0: told.append(  # type: ignore[method-assign]
+    gate.router.boards.done = lambda pick, route, latency, outcome, dropped=0, kept=0: told.append(  # type: ignore[method-assign]
         dropped
     )
     for rid, ends in (("a1", False), ("a2", True), ("a3", False), ("a4", True)):
@@ -283,14 +283,14 @@
     assert gate.status(gate.say("/r/x", key=KEY)) == 401
     gate.say("/r/x", key="new")
     assert b"tenant: t2" in gate.at_backend()[2].lower()
-    assert gate.plant.picture.tenants["t2"].quota == Quota()
+    assert gate.router.picture.tenants["t2"].quota == Quota()
 
 
 def apart(gate: Gate) -> None:
     """The second backend of service one stands in another zone."""
-    backends = dict(gate.plant.picture.backends)
+    backends = dict(gate.router.picture.backends)
     backends["i-2"] = replace(backends["i-2"], zone="y")
-    gate.plant.show(replace(gate.plant.picture, backends=backends))
+    gate.router.show(replace(gate.router.picture, backends=backends))
 
 
 def zone_of(name: str) -> str:
@@ -303,7 +303,7 @@
     client = gate.say("/b/x", method="POST", body=b"order")
     name, backend, _ = gate.at_backend()
     gate.turns(4)
-    gate.plant.boards.on_closed("one", frozenset({zone_of(name)}))
+    gate.router.boards.on_closed("one", frozenset({zone_of(name)}))
     assert gate.status(client) == 502
     gate.turns(10)
     assert gate.first.take() is None and gate.second.take() is None
@@ -314,7 +314,7 @@
     client = gate.say()
     name, _, _ = gate.at_backend()
     gate.turns(4)
-    gate.plant.boards.on_closed("one", frozenset({zone_of(name)}))
+    gate.router.boards.on_closed("one", frozenset({zone_of(name)}))
     other, backend, _ = gate.at_backend()
     assert other != name
     backend.send(sealed())
@@ -325,7 +325,7 @@
         assert there == other
         backend.send(sealed(f"c{n}"))
         assert gate.status(again) == 200
-    gate.plant.boards.on_closed("one", frozenset({"y", "z"}))  # all out: better tried than refused
+    gate.router.boards.on_closed("one", frozenset({"y", "z"}))  # all out: better tried than refused
     again = gate.say(rid="d")
     _, backend, _ = gate.at_backend()
     backend.send(sealed("d"))
@@ -333,7 +333,7 @@
 
 
 def test_what_no_place_has_room_for_is_refused_with_a_time_to_come_back_and_never_runs(gate: Gate) -> None:
-    boards: Any = gate.plant.boards
+    boards: Any = gate.router.boards
     boards.ask = lambda service, wait, then, facts=None, without=frozenset(): then(Turned(120 * MS))
     text = gate.reads(gate.say("/b/x", method="POST", body=b"order"))
     assert text.split()[1] == b"503" and b"retry-after: 0.12" in text.lower()
@@ -349,19 +349,19 @@
         said.append(body)
         then(["i-1", 4, None])
 
-    gate.gauge.holder = lambda duty: ("h", 1)  # type: ignore[method-assign,assignment]
-    mains: Any = gate.plant.boards._mains
-    mains.ask, mains.tell = ask, lambda address, kind, body: said.append(body)
+    gate.rate_limiter.holder = lambda duty: ("h", 1)  # type: ignore[method-assign,assignment]
+    transport: Any = gate.router.boards._transport
+    transport.ask, transport.tell = ask, lambda address, kind, body: said.append(body)
     client = gate.say()
     _, backend, _ = gate.at_backend()
     backend.send(sealed())
     assert gate.status(client) == 200
     assert [len(body) for body in said] == [4, 9]
-    gate.plant.boards.show(Chains())
+    gate.router.boards.show(Chains())
     client = gate.say(rid="a2")
     _, backend, _ = gate.at_backend()
     backend.send(sealed("a2"))
     assert gate.status(client) == 200
     assert [len(body) for body in said[2:]] == [5, 10]
-    gate.plant.boards.show(None)
-    assert gate.plant.boards.flows() == []
+    gate.router.boards.show(None)
+    assert gate.router.boards.flows() == []
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -15,7 +15,7 @@
 from oakvale.base.loop import READ
 from oakvale.lab.simulation.disks import Held
 from oakvale.storage import store
-from oakvale.storage.store import Cistern
+from oakvale.storage.store import Storage
 
 
 class Still:
@@ -31,29 +31,29 @@
 def notes(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """What is noted; no log is open here."""
     noted: list[str] = []
-    monkeypatch.setattr(store, "note", lambda event, level="info", **fields: noted.append(f"{level} {event}"))
+    monkeypatch.setattr(store, "log_event", lambda event, level="info", **fields: noted.append(f"{level} {event}"))
     return noted
 
 
-def opened(folder: Path) -> Cistern:
-    return Cistern(cast(Any, Still()), str(folder))
+def opened(folder: Path) -> Storage:
+    return Storage(cast(Any, Still()), str(folder))
 
 
-def ended(cistern: Cistern) -> None:
-    cistern.close()
+def ended(storage: Storage) -> None:
+    storage.close()
     until = time.monotonic() + 5
-    while cistern._thread.is_alive() and time.monotonic() < until:
+    while storage._thread.is_alive() and time.monotonic() < until:
         time.sleep(0.01)
-    cistern._db.close()
+    storage._db.close()
 
 
-def holds(cistern: Cistern) -> tuple[dict[str, bytes], dict[bytes, bytes], bytes | None]:
-    return dict(cistern.rows()), dict(cistern.pieces()), cistern.fact("state")
+def holds(storage: Storage) -> tuple[dict[str, bytes], dict[bytes, bytes], bytes | None]:
+    return dict(storage.rows()), dict(storage.pieces()), storage.fact("state")
 
 
 def written(folder: Path, seed: int, writes: int = 60) -> Held:
     """A file after writes of all kinds, ended as by a kill ("left"), and the plain model of what it holds."""
-    rng, held, cistern = random.Random(seed), Held(), opened(folder)
+    rng, held, storage = random.Random(seed), Held(), opened(folder)
 
     def row() -> tuple[str, bytes]:
         return f"k{rng.randrange(9)}", rng.randbytes(rng.choice((3, 90, 9_000)))
@@ -70,14 +70,14 @@
             )
         )
         held.apply([what])
-        cistern._commit([(n, what)])
+        storage._commit([(n, what)])
     last = ("fact", ("state", b"last"))
     held.apply([last])
-    cistern._commit([(writes, last)])
-    cistern._queue.put(None)
-    cistern._thread.join()
+    storage._commit([(writes, last)])
+    storage._queue.put(None)
+    storage._thread.join()
     shutil.copytree(folder, folder / "left")  # as a kill leaves it: whoever ends properly works the log in
-    cistern._db.close()
+    storage._db.close()
     return held
 
 
@@ -113,19 +113,19 @@
         folder = tmp_path / str(seed)
         shutil.copytree(file, folder)
         harm(folder / which, how, random.Random(f"{seed} {which} {how}"))
-        cistern = opened(folder)
+        storage = opened(folder)
         whole = (held.rows, held.pieces, held.facts["state"])
-        assert holds(cistern) in (whole, ({}, {}, None)), (which, how, seed)
+        assert holds(storage) in (whole, ({}, {}, None)), (which, how, seed)
         if which == "oakvale.mark":
-            assert holds(cistern) == whole
-        if holds(cistern) != whole:  # who it was is gone, it founds nothing, and that is said once
-            assert not cistern.first and cistern.fact("self") is None
+            assert holds(storage) == whole
+        if holds(storage) != whole:  # who it was is gone, it founds nothing, and that is said once
+            assert not storage.first and storage.fact("self") is None
             assert notes in (["error file is damaged"], ["error no state where there was one"])
         else:
             assert not notes
         notes.clear()
-        cistern.write(("rows", [("new", b"1")]), lambda: None)
-        ended(cistern)
+        storage.write(("rows", [("new", b"1")]), lambda: None)
+        ended(storage)
         again = opened(folder)
         assert dict(again.rows())["new"] == b"1" and again._commits > 0
         ended(again)
@@ -133,19 +133,19 @@
 
 def test_an_empty_folder_may_found_and_a_log_that_was_not_synced_harms_nothing(tmp_path: Path) -> None:
     """The number is noted behind each sync, never before: where it is behind, the file is the newer."""
-    cistern = opened(tmp_path)
-    assert cistern.first and not (tmp_path / "oakvale.mark").exists()
-    ended(cistern)
-    cistern = opened(tmp_path)
-    assert cistern.first
-    cistern._commit([(1, ("fact", ("self", b"1")))])
+    storage = opened(tmp_path)
+    assert storage.first and not (tmp_path / "oakvale.mark").exists()
+    ended(storage)
+    storage = opened(tmp_path)
+    assert storage.first
+    storage._commit([(1, ("fact", ("self", b"1")))])
     mark = (tmp_path / "oakvale.mark").read_bytes()
-    cistern._commit([(2, ("fact", ("self", b"2")))])
-    ended(cistern)
+    storage._commit([(2, ("fact", ("self", b"2")))])
+    ended(storage)
     (tmp_path / "oakvale.mark").write_bytes(mark)
-    cistern = opened(tmp_path)
-    assert (cistern.fact("self"), cistern.first) == (b"2", False)
-    ended(cistern)
+    storage = opened(tmp_path)
+    assert (storage.fact("self"), storage.first) == (b"2", False)
+    ended(storage)
 
 
 def test_a_file_of_before_there_were_seals_is_taken_and_sealed(tmp_path: Path) -> None:
@@ -155,56 +155,56 @@
         db.execute("insert into fact values ('self', x'01')")
         db.execute("insert into row values ('a', x'02')")
     db.close()
-    cistern = opened(tmp_path)
-    assert (cistern.fact("self"), cistern.rows()) == (b"\1", [("a", b"\2")])
-    ended(cistern)
+    storage = opened(tmp_path)
+    assert (storage.fact("self"), storage.rows()) == (b"\1", [("a", b"\2")])
+    ended(storage)
     with sqlite3.connect(tmp_path / "oakvale.db") as db:
         db.execute("update row set value = x'03'")
     db.close()
-    cistern = opened(tmp_path)
-    assert cistern.rows() == [] and not cistern.first
-    ended(cistern)
+    storage = opened(tmp_path)
+    assert storage.rows() == [] and not storage.first
+    ended(storage)
 
 
 def test_a_write_that_failed_is_taken_back_and_made_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(store, "RETRY", 0.0)
-    cistern, fails = opened(tmp_path), [3]
-    real = Cistern._seal
+    storage, fails = opened(tmp_path), [3]
+    real = Storage._seal
 
-    def seal(self: Cistern, number: int) -> None:
+    def seal(self: Storage, number: int) -> None:
         if fails[0]:
             fails[0] -= 1
             raise sqlite3.OperationalError("database or disk is full")
         real(self, number)
 
-    monkeypatch.setattr(Cistern, "_seal", seal)
-    cistern._commit([(1, ("rows", [("a", b"1"), ("a", b"2")]))])
-    cistern._commit([(2, ("whole", [("b", b"1")]))])
-    ended(cistern)
-    cistern = opened(tmp_path)
-    assert cistern.rows() == [("b", b"1")]
-    ended(cistern)
+    monkeypatch.setattr(Storage, "_seal", seal)
+    storage._commit([(1, ("rows", [("a", b"1"), ("a", b"2")]))])
+    storage._commit([(2, ("whole", [("b", b"1")]))])
+    ended(storage)
+    storage = opened(tmp_path)
+    assert storage.rows() == [("b", b"1")]
+    ended(storage)
 
 
 def test_a_file_that_breaks_in_use_is_written_to_no_more_and_put_aside_at_the_start(tmp_path: Path) -> None:
     """It was tried again for ever, and the machine stayed up with its vote, but silent."""
-    cistern, told, on_disk = opened(tmp_path), list[str](), list[int]()
-    cistern.on_broken = lambda: told.append("broken")
+    storage, told, on_disk = opened(tmp_path), list[str](), list[int]()
+    storage.on_broken = lambda: told.append("broken")
     rows = [(f"k{n}", bytes(2_000)) for n in range(2_000)]
-    cistern._commit([(0, ("rows", rows))])
-    cistern._db.execute("pragma wal_checkpoint(truncate)")
-    cistern._db.execute("pragma cache_size=1")
+    storage._commit([(0, ("rows", rows))])
+    storage._db.execute("pragma wal_checkpoint(truncate)")
+    storage._db.execute("pragma cache_size=1")
     with open(tmp_path / "oakvale.db", "r+b") as file:
         file.seek(8 * 4096)
         file.write(b"\xff" * 800 * 4096)
     for n in range(1, 4):
-        cistern.write(("rows", [(f"k{n * 500}", b"new")]), lambda n=n: on_disk.append(n))  # type: ignore[misc]
-    cistern._thread.join(5)
-    notice = cistern._notice()
+        storage.write(("rows", [(f"k{n * 500}", b"new")]), lambda n=n: on_disk.append(n))  # type: ignore[misc]
+    storage._thread.join(5)
+    notice = storage._notice()
     next(notice), notice.send(READ)
     notice.close()
-    assert cistern.broken and told == ["broken"] and not on_disk
-    cistern._db.close()
+    assert storage.broken and told == ["broken"] and not on_disk
+    storage._db.close()
     again = opened(tmp_path)
     assert not again.first and again.rows() == []
     ended(again)
@@ -212,11 +212,11 @@
 
 def test_the_file_stays_bounded_over_10_000_changes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(os, "fsync", lambda fd: None)
-    cistern, rng = opened(tmp_path), random.Random(1)
-    cistern._db.execute("pragma synchronous=off")  # a bound of the file, not of the disk's time
+    storage, rng = opened(tmp_path), random.Random(1)
+    storage._db.execute("pragma synchronous=off")  # a bound of the file, not of the disk's time
     text, most = rng.randbytes(200_000), 0
     for n in range(10_000):
-        cistern._commit(
+        storage._commit(
             [
                 (
                     n,
@@ -230,19 +230,19 @@
         if n % 500 == 499:
             most = max(most, sum(file.stat().st_size for file in tmp_path.iterdir()))
     assert most < 300 * 400 + 3 * 200_000 + store.LOG
-    ended(cistern)
+    ended(storage)
 
 
 def test_rows_that_are_forgotten_go_from_the_disk(tmp_path: Path) -> None:
-    cistern = Cistern(cast(Any, Still()), str(tmp_path))
-    cistern.write(("rows", [("a", b"1"), ("b", b"2"), ("c", b"3")]), lambda: None)
-    cistern.write(("gone", ["a", "c", "x"]), lambda: None)
-    cistern.write(("fact", ("view", b"4")), lambda: None)
-    cistern.close()
+    storage = Storage(cast(Any, Still()), str(tmp_path))
+    storage.write(("rows", [("a", b"1"), ("b", b"2"), ("c", b"3")]), lambda: None)
+    storage.write(("gone", ["a", "c", "x"]), lambda: None)
+    storage.write(("fact", ("view", b"4")), lambda: None)
+    storage.close()
     until = time.monotonic() + 5
-    while cistern._thread.is_alive() and time.monotonic() < until:
+    while storage._thread.is_alive() and time.monotonic() < until:
         time.sleep(0.01)
-    assert (cistern.rows(), cistern.fact("view")) == ([("b", b"2")], b"4")
-    cistern._db.close()
+    assert (storage.rows(), storage.fact("view")) == ([("b", b"2")], b"4")
+    storage._db.close()
     with sqlite3.connect(tmp_path / "oakvale.db") as db:
         assert db.execute("select key from row").fetchall() == [("b",)]
--- a/tests/test_view_change.py
+++ b/tests/test_view_change.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oakvale.controlplane.core import SILENCE, Core
-from oakvale.controlplane.replicated_state import Ledger
+from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.controlplane.view_change import (
     FOUNDER,
     Durable,
@@ -16,8 +16,8 @@
     Moved,
     Say,
     Seat,
-    Succession,
     View,
+    ViewManager,
     founded,
     founding,
 )
@@ -44,11 +44,11 @@
     world.day(5)
     world.run(4 * SECOND)
     for core in roles(world)[1:]:
-        assert core.ledger.table.floor > NOTHING
-        assert len(core.ledger.table.since(NOTHING)) < 20
+        assert core.replicated_state.table.floor > NOTHING
+        assert len(core.replicated_state.table.since(NOTHING)) < 20
     for machine in (m for m in world.machines if m.core in roles(world)[1:]):
         assert len(machine.disk.rows) < 20 and set(machine.disk.rows) == {
-            key for key, _, _ in cast(Core, machine.core).ledger.table.since(NOTHING)
+            key for key, _, _ in cast(Core, machine.core).replicated_state.table.since(NOTHING)
         }
 
 
@@ -61,19 +61,23 @@
         world.run(100 * MS)
     world.run(4 * SECOND)
     machine, core, backup = roles(world)
-    kept = core.ledger.table.since(NOTHING)
-    assert len(kept) < 15 and backup.ledger.table.since(NOTHING) == kept and core.ledger.table.floor > NOTHING
+    kept = core.replicated_state.table.since(NOTHING)
+    assert (
+        len(kept) < 15
+        and backup.replicated_state.table.since(NOTHING) == kept
+        and core.replicated_state.table.floor > NOTHING
+    )
     world.down(machine, 6 * SECOND)
     world.run(3 * SECOND)
     now, found, _ = roles(world)
-    assert found is backup and found.ledger.table.floor >= core.ledger.table.floor
+    assert found is backup and found.replicated_state.table.floor >= core.replicated_state.table.floor
     assert [e for e in kept if e[0].startswith("k")] == [
-        e for e in found.ledger.table.since(NOTHING) if e[0].startswith("k")
+        e for e in found.replicated_state.table.since(NOTHING) if e[0].startswith("k")
     ]
     world.run(8 * SECOND)
     world.change(now)
     world.run(SECOND)
-    assert world.gateway.since(NOTHING) == roles(world)[1].ledger.table.since(NOTHING)
+    assert world.gateway.since(NOTHING) == roles(world)[1].replicated_state.table.since(NOTHING)
 
 
 def test_rows_whose_forgetting_was_cut_short_go_at_the_next_start() -> None:
@@ -121,7 +125,7 @@
     world.change(machine)
     world.run(SECOND)
     world.down(machine, 4 * SECOND, wiped)
-    backup._carry(backup.succession.learn(View(2, A, (C,), ABC.witnesses)))
+    backup._carry(backup.view_manager.learn(View(2, A, (C,), ABC.witnesses)))
     world.run(3_500 * MS)
     now = world.serving()
     assert now is not None and now.core is backup
@@ -136,9 +140,9 @@
     primary, backup, other = (m.core for m in world.machines)
     assert primary is not None and backup is not None and other is not None
     view = View(2, A, (C,), ABC.witnesses)
-    other._carry(other.succession.message(world.now, B, "void", [view.pack()]))
-    backup._carry(backup.succession.learn(view))
-    primary._carry(primary.succession.learn(view))
+    other._carry(other.view_manager.message(world.now, B, "void", [view.pack()]))
+    backup._carry(backup.view_manager.learn(view))
+    primary._carry(primary.view_manager.learn(view))
     world.machines[1].kill()
     world.run(4 * SECOND)
     assert world.serving() is world.machines[0]
@@ -161,22 +165,22 @@
     bodies: list[Any] = []
     for machine in world.machines:
         assert machine.core is not None
-        sync = machine.core.mains.handlers["sync"]
+        sync = machine.core.transport.handlers["sync"]
 
         def record(conn: Any, body: Any, answer: Any, sync: Any = sync) -> None:
             bodies.append(body)
             sync(conn, body, answer)
 
-        machine.core.mains.handlers["sync"] = record
+        machine.core.transport.handlers["sync"] = record
     world.run(2 * SECOND)
     machine, _, backup = roles(world)
     world.change(machine)
     world.run(SECOND)
-    high, answers = backup.ledger.table.high, list[Any]()
+    high, answers = backup.replicated_state.table.high, list[Any]()
     assert world.acknowledged == 1 and machine.life is not None
-    backup.mains.handlers["sync"](cast(Any, Link(machine.life, None)), bodies[-1], answers.append)
+    backup.transport.handlers["sync"](cast(Any, Link(machine.life, None)), bodies[-1], answers.append)
     world.run(SECOND)
-    assert answers == [False] and backup.ledger.table.high == high
+    assert answers == [False] and backup.replicated_state.table.high == high
 
 
 def test_pulses_of_a_primary_that_starts_again_are_newer() -> None:
@@ -211,7 +215,7 @@
     view = View(2, backup.own, (core.own,), ABC.witnesses)
     assert machine.life is not None
     body = [view.pack(), list(backup.own), [1, 1], [0, [], []], []]
-    core.mains.handlers["sync"](cast(Any, Link(machine.life, None)), body, print)
+    core.transport.handlers["sync"](cast(Any, Link(machine.life, None)), body, print)
     assert told == [False]
     core.change({"a": 2}, told.append)
     assert told == [False, False]
@@ -219,12 +223,12 @@
 
 def test_what_is_given_up_stays_as_it_does_on_disk() -> None:
     """Gone from memory alone, it came back with the next start, behind what others had been told."""
-    ledger, told = Ledger(), list[bool]()
-    ledger.start(1)
-    ledger.propose({"a": 1}, {A, B}, told.append)
-    for then in ledger.abandon():
+    replicated_state, told = ReplicatedState(), list[bool]()
+    replicated_state.start(1)
+    replicated_state.propose({"a": 1}, {A, B}, told.append)
+    for then in replicated_state.abandon():
         then(False)
-    assert told == [False] and ledger.table.get("a") == 1 and not ledger.waits()
+    assert told == [False] and replicated_state.table.get("a") == 1 and not replicated_state.waits()
 
 
 # ---- one seat alone
@@ -234,7 +238,7 @@
     """Tells a seat that the others are up or down, and keeps what it says."""
 
     def __init__(self, own: Seat, state: Durable) -> None:
-        self.part = Succession(own, state, 2, 900 * MS, 7 * SECOND)
+        self.part = ViewManager(own, state, 2, 900 * MS, 7 * SECOND)
         self.now = 1_000 * SECOND
         self.keeps: list[Keep] = []
 
--- a/tests/test_voter.py
+++ b/tests/test_voter.py
@@ -7,7 +7,7 @@
 import cbor2
 import pytest
 
-from oakvale.controlplane.voter import Jury
+from oakvale.controlplane.voter import VoterService
 from oakvale.election.voting import SPAN
 from tests.ratelimit_simulation import Fleet
 from tests.simulated_processes import MS, SECOND
@@ -27,11 +27,11 @@
     for gateway in others:
         gateway.start()
     fleet.run(2 * SECOND)
-    assert holder.gauge is not None and len(holder.gauge.held()) == 4
+    assert holder.rate_limiter is not None and len(holder.rate_limiter.held()) == 4
     fleet.cut([holder], [*others, only_others], 60 * SECOND, True)
     fleet.cut(others, [only_holder], 60 * SECOND, True)
     fleet.run(SPAN + 300 * MS)
-    assert len(holder.gauge.held()) == 4
+    assert len(holder.rate_limiter.held()) == 4
     both.wipe()
     fleet.run(50 * MS)
     both.start()
@@ -41,12 +41,12 @@
 def test_a_voter_that_lost_its_disk_gives_no_second_vote_while_the_first_binds() -> None:
     fleet = holder_with_a_bare_majority()
     fleet.run(5 * SECOND)  # the fleet looks all the while whether a duty is counted twice
-    held = [duty for gateway in fleet.gates if gateway.gauge for duty in gateway.gauge.held()]
+    held = [duty for gateway in fleet.gates if gateway.rate_limiter for duty in gateway.rate_limiter.held()]
     assert len(held) == 4, "counted again once the lost votes bind no longer"
 
 
 def test_without_its_silence_two_hold_a_duty(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Jury, "_may_speak", lambda self: True)
+    monkeypatch.setattr(VoterService, "_may_speak", lambda self: True)
     fleet = holder_with_a_bare_majority()
     with pytest.raises(AssertionError, match="counted twice"):
         fleet.run(5 * SECOND)
@@ -91,7 +91,7 @@
 
 
 def voter(process: Process, **more: Any) -> None:
-    Jury(cast(Any, process), cast(Any, process), cast(Any, process), **more)
+    VoterService(cast(Any, process), cast(Any, process), cast(Any, process), **more)
 
 
 def test_an_empty_disk_says_nothing_for_a_span_also_not_that_a_duty_is_vacant() -> None:
