--- a/oakvale/controlplane/voter.py
+++ b/oakvale/controlplane/voter.py
@@ -14,7 +14,7 @@
 
 from oakvale.base.address import parse_address
 from oakvale.base.loop import Loop
-from oakvale.election.voting import SPAN, Ask, Voter
+from oakvale.election.voting import VOTE_DURATION_US, Voter, VoteRequest
 from oakvale.storage.store import Storage
 from oakvale.transport.links import Answer, Connection, Transport
 
@@ -39,8 +39,8 @@
         stored = storage.fact("votes")
         self._known = stored is not None or first_start  # which votes of this machine may bind
         if not self._known:
-            loop.at(loop.now + SPAN, self._span_over)
-        self._voter_since: int | None = loop.now - SPAN if is_voter() else None
+            loop.at(loop.now + VOTE_DURATION_US, self._span_over)
+        self._voter_since: int | None = loop.now - VOTE_DURATION_US if is_voter() else None
         found = cbor2.loads(stored) if stored else {}
         kept = {str(duty): (str(life), str(where)) for duty, (life, where) in found.items()}
         self._voter, self._kept = Voter(kept, loop.now), kept
@@ -50,10 +50,10 @@
             loop.at(loop.now, lambda _, life=life, where=where: self._probe(life, where))  # type: ignore[misc]
         transport.handlers["ballot"] = self._ballot
         transport.handlers["who"] = self._who
-        transport.handlers["ended"] = lambda conn, body, answer: self._voter.ended(str(body), loop.now)
+        transport.handlers["ended"] = lambda conn, body, answer: self._voter.release_votes(str(body), loop.now)
 
     def ended(self, life: str) -> None:
-        self._voter.ended(life, self._loop.now)
+        self._voter.release_votes(life, self._loop.now)
 
     def _span_over(self, _: Any) -> None:
         """Whatever this machine voted for before it lost its disk binds no longer; a start from here on knows that."""
@@ -69,16 +69,24 @@
             return False
         if self._voter_since is None:
             self._voter_since = self._loop.now
-        return self._known and self._loop.now - self._voter_since >= SPAN
+        return self._known and self._loop.now - self._voter_since >= VOTE_DURATION_US
 
     def _ballot(self, conn: Connection, body: Any, answer: Answer) -> None:
         if not self._may_speak():
             return
         duty, kind, number, where = str(body[0]), str(body[1]), (int(body[2][0]), str(body[2][1])), str(body[3])
         # the clock of this moment: a process that stood still in its turn would bind itself to a time that is over
-        word = self._voter.hear(Ask(duty, kind, number), where, self._loop.clock())
-        packed = [word.kind, list(word.number), word.yes, word.round, word.holder, word.where, word.left]
-        kept = self._voter.kept()
+        word = self._voter.vote(VoteRequest(duty, kind, number), where, self._loop.clock())
+        packed = [
+            word.kind,
+            list(word.ballot),
+            word.granted,
+            word.highest_round,
+            word.holder,
+            word.holder_address,
+            word.remaining_us,
+        ]
+        kept = self._voter.recorded_holders()
         if kept != self._kept or self._unsaved:  # only another holder costs a sync, renewals don't
             self._kept = kept
             self._unsaved += 1
@@ -90,8 +98,8 @@
             self._storage.write(("fact", ("votes", cbor2.dumps(kept))), saved)
         else:
             answer(packed)
-        if not word.yes and word.holder:
-            self._probe(word.holder, word.where)
+        if not word.granted and word.holder:
+            self._probe(word.holder, word.holder_address)
 
     def _probe(self, life: str, where: str, then: Callable[[], None] = lambda: None) -> None:
         """Somebody misses the holder: if it has ended its votes are freed at once. `then` is called once that is known
@@ -108,7 +116,7 @@
         def answered(answer: Any) -> None:
             waiting = self._probing.pop(life, [])
             if isinstance(answer, str) and answer != life or answer is None and self._transport.ended(address, asked):
-                self._voter.ended(life, self._loop.now)
+                self._voter.release_votes(life, self._loop.now)
             elif answer is None and self._voter.votes_for(life, self._loop.now):
                 self._loop.at(self._loop.now + AGAIN, lambda _: self._probe(life, where))
             for call in waiting:
@@ -130,7 +138,7 @@
 
         def alive(said: Any) -> None:
             if said == life:
-                self._voter.ended(held[0], self._loop.now)  # type: ignore[index]
+                self._voter.release_votes(held[0], self._loop.now)  # type: ignore[index]
             say()
 
         suspected = len(body) > 3 and bool(body[3])  # a gateway of the version before does not say
--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -22,7 +22,7 @@
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.memory.requests import Answer as HttpAnswer
 from oakvale.memory.requests import InHand
-from oakvale.ratelimit.quotas import Quota, Terms
+from oakvale.ratelimit.quotas import Quota, QuotaTerms
 from oakvale.ratelimit.service import RateLimiter
 from oakvale.retry_budget import Retries
 from oakvale.shared import Shared
@@ -81,7 +81,7 @@
         self._core = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]  # the primary first, if known
         self._voters: list[str] = []
         given = settings.bounds
-        terms = Terms(given.quota_win, given.quota_excess, given.quota_slack)
+        terms = QuotaTerms(given.quota_win, given.quota_excess, given.quota_slack)
         self.rate_limiter = RateLimiter(
             self.loop,
             self.transport,
@@ -128,7 +128,7 @@
         self._gated: set[str] = set()  # zones that ever had a gateway
         self._bare: frozenset[str] = frozenset()  # of these, those that have none now
         self._sweeps = 0
-        self.router.boards.missing = self._missing
+        self.router.boards.missing_gateways = self._missing
         self._turn = 0
         self._joined = self._asking = False
         self.transport.handlers["alive"] = self._alive
@@ -252,7 +252,7 @@
         self.router.show(picture)
         if "chains" in keys:
             held = self.table.get("chains")
-            self.router.boards.show(unpack(held) if held is not None else None)
+            self.router.boards.set_chains(unpack(held) if held is not None else None)
         if "quiet" in keys:
             self._quiet = frozenset((str(service), str(zone)) for service, zone in self.table.get("quiet") or [])
         if "core" in keys:
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -14,8 +14,8 @@
 from oakvale.dataplane.routes import Backend, Picture, Route
 from oakvale.drains.moves import kept
 from oakvale.driver import Driver
-from oakvale.loadbalancing.board_service import Boards, Facts, Pick, Turned
-from oakvale.loadbalancing.load_board import Offer
+from oakvale.loadbalancing.board_service import LoadBoards, Rejected, RequestFacts, Selection
+from oakvale.loadbalancing.load_board import BackendCandidate
 from oakvale.memory.requests import Answer, AttemptOut, InHand
 from oakvale.ratelimit.counter_state import Receipt
 from oakvale.ratelimit.service import RateLimiter
@@ -61,7 +61,7 @@
     event: i.Request
     again: bool = False  # its client came back with it
     given: bool = False  # to the lane
-    pick: Pick | None = None  # the board's advice, until its ticket is handed back
+    pick: Selection | None = None  # the board's advice, until its ticket is handed back
     youth: int | None = None  # microseconds that a connection for it may have been idle, by the board
     last: Answer | None = None  # a backend's own failure, if nothing better comes
     receipt: Receipt = field(default_factory=Receipt)  # of its count, until it is given back
@@ -73,7 +73,7 @@
     def __init__(
         self,
         shared: Shared,
-        boards: Boards,
+        boards: LoadBoards,
         service: str,
         zones: dict[str, int],
         zone: str,
@@ -108,7 +108,7 @@
         self._addresses: dict[int, Address] = {}
         self._ready: set[int] = set()
         self._known: dict[str, Backend] = {}
-        self._offers: list[Offer] = []
+        self._offers: list[BackendCandidate] = []
         self._closed: frozenset[str] = frozenset()  # zones that are out for this service
         self.listed = False
 
@@ -200,7 +200,7 @@
                 )
             )
         self._ready = {self._numbers[name] for name in up}
-        offers = [Offer(b.id, b.zone, b.slots, b.warm) for b in self._known.values() if b.ready]
+        offers = [BackendCandidate(b.id, b.zone, b.slots, b.warm) for b in self._known.values() if b.ready]
         if offers != self._offers:
             self._offers = offers
         self.give(i.Backends(i.ListForm.FULL, tuple(entries)))
@@ -219,10 +219,12 @@
         if attempt.hop in attempt.request.out:
             if order.pick is not None and order.pick.backend == name:
                 dropped = attempt.idled if attempt.dropped else 0
-                self.boards.done(order.pick, order.route.name, latency, outcome, dropped, attempt.kept)
+                self.boards.report_attempt(order.pick, order.route.name, latency, outcome, dropped, attempt.kept)
                 order.pick = None
             else:
-                self.boards.teach(self.service, name, order.route.name, latency, outcome, attempt.kept)
+                self.boards.report_unselected_attempt(
+                    self.service, name, order.route.name, latency, outcome, attempt.kept
+                )
         super().attempt_ended(attempt, ending, answer, report)
 
     def retire(self) -> None:
@@ -233,7 +235,7 @@
         if any(request.event.driver is self for request in self.requests.all()):
             self._wake(action)
 
-    def offers(self) -> list[Offer]:
+    def offers(self) -> list[BackendCandidate]:
         return self._offers
 
     def backend_id(self, number: int) -> str:
@@ -275,10 +277,10 @@
     ) -> None:
         super().__init__(shared)
         self.rate_limiter = rate_limiter
-        self.boards = Boards(
+        self.boards = LoadBoards(
             shared.loop, transport, rate_limiter, node, zone, lambda service: self._driver(service).offers()
         )
-        self.boards.on_closed = lambda service, zones: self._driver(service).close(zones, self._numbers)
+        self.boards.on_zones_closed = lambda service, zones: self._driver(service).close(zones, self._numbers)
         self.picture = Picture()
         self._zones, self._zone = {name: n for n, name in enumerate(zones)}, zone
         self._drivers: dict[str, ServiceDriver] = {}
@@ -345,7 +347,7 @@
                 self._zone,
                 self._rng.getrandbits(32),
                 budget,
-                self.rate_limiter.give_back,
+                self.rate_limiter.refund,
             )
         return driver
 
@@ -369,7 +371,7 @@
                 self._zone,
                 self._rng.getrandbits(32),
                 driver.budget,
-                self.rate_limiter.give_back,
+                self.rate_limiter.refund,
                 without,
             )
             aside.learn([b for b in self.picture.backends.values() if b.service == service], self._numbers)
@@ -431,11 +433,13 @@
         if order.tenant is None:
             return self._go(request)
         patience = min(MOMENT, order.route.aim // 5)
-        self.rate_limiter.ask(order.tenant, order.again, partial(self._counted, request), patience, order.receipt)
+        self.rate_limiter.count_request(
+            order.tenant, order.again, partial(self._counted, request), patience, order.receipt
+        )
 
     def _counted(self, request: InHand, passes: bool, wait: int, counted: bool) -> None:
         if request.over:
-            return self.rate_limiter.give_back(request.event.receipt)  # its client left while it was counted
+            return self.rate_limiter.refund(request.event.receipt)  # its client left while it was counted
         if passes:
             return self._go(request)
         self.tally.refusals["quota" if counted else "uncounted"] += 1
@@ -451,8 +455,8 @@
             route = order.route
             holder = self.picture.tenants.get(order.tenant) if order.tenant is not None else None
             rank = route.prio if holder is None or holder.prio is None else int(holder.prio)
-            facts = Facts(route.name, rank, order.tenant or "", route.safe, route.aim)
-        self.boards.ask(
+            facts = RequestFacts(route.name, rank, order.tenant or "", route.safe, route.aim)
+        self.boards.select(
             order.driver.service,
             request.deadline - self.loop.now,
             partial(self._advised, request),
@@ -460,17 +464,17 @@
             order.driver.without,
         )
 
-    def _advised(self, request: InHand, pick: Pick | Turned | None) -> None:
+    def _advised(self, request: InHand, pick: Selection | Rejected | None) -> None:
         order: Order = request.event
-        if isinstance(pick, Turned):
+        if isinstance(pick, Rejected):
             if not request.over:
                 self.tally.refusals["no_room"] += 1
-                self.final(request, later(503, pick.wait, b"no place has room\n"))
+                self.final(request, later(503, pick.wait_us, b"no place has room\n"))
             return
         if not request.over:
             order.given, order.pick = True, pick
             if pick is not None:
-                order.youth = None if order.route.safe else pick.youth
+                order.youth = None if order.route.safe else pick.max_idle_us
                 order.event = replace(order.event, hint=order.driver.number(pick.backend))
             order.driver.request_came(request, order.event)
             pick, out = order.pick, {attempt.backend for attempt in request.out.values()}
@@ -478,16 +482,16 @@
                 return
         if pick is not None:  # not followed
             order.pick = None
-            self.boards.done(pick, order.route.name, 0, "none")
+            self.boards.report_attempt(pick, order.route.name, 0, "none")
 
     def final(self, request: InHand, answer: Answer) -> None:
         """The answer to a request that was given to no lane."""
         super().final(request, answer)
-        self.rate_limiter.give_back(request.event.receipt)
+        self.rate_limiter.refund(request.event.receipt)
 
     def client_gone(self, request: InHand) -> None:
         order: Order = request.event
         if order.given:
             return order.driver.client_gone(request)
         self.abandon(request)
-        self.rate_limiter.give_back(order.receipt)
+        self.rate_limiter.refund(order.receipt)
--- a/oakvale/dataplane/status.py
+++ b/oakvale/dataplane/status.py
@@ -25,7 +25,7 @@
             "news": "/".join(map(str, sluice.table.high)),
             "news_age_ms": (now - feed.fresh_at) // MS if feed.fresh_at else -1,
             "relays": len(feed.outlet),
-            "duties": ",".join(sluice.rate_limiter.held()),
+            "duties": ",".join(sluice.rate_limiter.held_duties()),
             "clients": len(router.clients.all),
             "in_hand": len(router.requests),
             "backend_connections": sluice.shared.backend_connections,
--- a/oakvale/election/voting.py
+++ b/oakvale/election/voting.py
@@ -1,207 +1,228 @@
-"""Ballots: how a duty that one gateway does is won each time it falls vacant, and held for a while.
+"""Lease election: how a gateway wins a vacant duty by majority vote, and how it keeps it.
 
-No I/O and no clock. Jurors vote: the witnesses of the control state, who are few and known to all. A vote is for a
-holder and a span; within it a juror votes for no other. A holder goes on while a majority renews its span, and
-stops by its own clock before theirs run out. A juror keeps on disk whom it voted for last, not when: after a
-start it votes for no other until a span has passed, so that nothing it may have promised before is broken.
-A holder that is proven to have ended (nobody listens where it did, or another life answers) frees its votes.
+No I/O and no clock. Voters are the machines of the control plane. A vote binds a voter to one holder for
+`VOTE_DURATION_US`. The holder keeps its lease while a majority renews its votes, and stops by its own clock before they
+expire. A voter persists whom it voted for last, but not when: after a restart it votes for nobody else until
+`VOTE_DURATION_US` has passed, so that it cannot break an earlier promise. When a holder is proven to have ended (its
+address refuses connections, or another incarnation answers there), its votes are released at once.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-Number = tuple[int, str]  # a round and the life of who calls it
+BallotNumber = tuple[int, str]  # a round, and the incarnation of the candidate that started it
 
-SPAN = 2_000_000  # microseconds that a vote binds
-RENEW = 500_000  # between two renewals
-MARGIN = 100_000  # a holder stops so long before the earliest vote for it ends
-ROUND = 250_000  # a holder asks for its votes again after this; the first round of one who stands is given up then
-LONGEST_ROUND = SPAN - MARGIN  # on slow links each round that came to nothing is followed by one of twice the time
-QUIET = 450_000  # a holder not heard for so long may be gone
-TURN = 120_000  # each who stands for a duty waits so much longer than the one before
-RETRY = 120_000  # after a refusal, however long the holder still has: it may be proven gone
+VOTE_DURATION_US = 2_000_000
+RENEWAL_INTERVAL_US = 500_000
+LEASE_SAFETY_MARGIN_US = 100_000  # a holder stops this long before its votes may expire
+ROUND_TIMEOUT_US = 250_000  # for the first round of a candidacy, and between two renewal requests
+MAX_ROUND_TIMEOUT_US = VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US  # on slow links the timeout doubles up to this
+HOLDER_SILENCE_US = 450_000  # a holder that has not responded for this long may have failed
+RANK_DELAY_US = 120_000  # each further candidate waits this much longer, so that candidates rarely compete
+REFUSAL_DELAY_US = 120_000  # independent of the holder's remaining time: it may be proven to have ended before
 
 
 @dataclass(slots=True)
-class Vote:
-    promised: Number = (0, "")
-    holder: str = ""  # life of who holds it
-    where: str = ""  # and its address
-    until: int = 0
+class BindingVote:
+    """What one voter has promised and granted for a duty."""
+
+    promised: BallotNumber = (0, "")
+    holder: str = ""  # incarnation
+    holder_address: str = ""
+    expires_at: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """To be put to every juror."""
+class VoteRequest:
+    """A request to be sent to every voter."""
 
     duty: str
     kind: str  # "prepare" or "elect"
-    number: Number
+    ballot: BallotNumber
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
-    """A juror's answer."""
+class VoteResponse:
+    """A voter's response; the last four fields describe the competing vote of a refusal."""
 
     duty: str
     kind: str
-    number: Number
-    yes: bool
-    round: int = 0  # the highest known
+    ballot: BallotNumber
+    granted: bool
+    highest_round: int = 0  # known to the voter
     holder: str = ""
-    where: str = ""
-    left: int = 0  # microseconds that the holder still has
+    holder_address: str = ""
+    remaining_us: int = 0  # until the holder's vote expires
 
 
 class Voter:
-    """`kept`: duty -> holder's life and address, as they were on disk."""
+    """The votes of one voter. `recorded`: duty -> incarnation and address of the holder, as read from disk."""
 
-    def __init__(self, kept: dict[str, tuple[str, str]], now: int) -> None:
+    def __init__(self, recorded: dict[str, tuple[str, str]], now: int) -> None:
         self._started = now
-        self._votes = {duty: Vote(holder=life, where=where, until=now + SPAN) for duty, (life, where) in kept.items()}
+        self._votes = {
+            duty: BindingVote(holder=incarnation, holder_address=address, expires_at=now + VOTE_DURATION_US)
+            for duty, (incarnation, address) in recorded.items()
+        }
 
     def holder(self, duty: str, now: int) -> tuple[str, str] | None:
-        """Life and address of who holds it by the vote of this juror."""
+        """Incarnation and address of the gateway that this voter's unexpired vote is for."""
         vote = self._votes.get(duty)
-        return (vote.holder, vote.where) if vote and vote.until > now else None
-
-    def votes_for(self, life: str, now: int) -> bool:
-        return any(vote.holder == life and vote.until > now for vote in self._votes.values())
-
-    def kept(self) -> dict[str, tuple[str, str]]:
-        """What has to be on disk before a vote is spoken of."""
-        return {duty: (vote.holder, vote.where) for duty, vote in self._votes.items() if vote.holder}
-
-    def hear(self, ask: Ask, where: str, now: int) -> Word:
-        vote = self._votes.setdefault(ask.duty, Vote())
-        life, held = ask.number[1], vote.until > now
-        if ask.number < vote.promised or held and vote.holder != life:
-            left = max(0, vote.until - now)
-            return Word(ask.duty, ask.kind, ask.number, False, vote.promised[0], vote.holder, vote.where, left)
-        vote.promised = ask.number
-        if ask.kind == "elect":
-            vote.holder, vote.where, vote.until = life, where, now + SPAN
-        return Word(ask.duty, ask.kind, ask.number, True, vote.promised[0])
-
-    def ended(self, life: str, now: int) -> None:
-        """This life gives its duties up, or is known to have ended."""
+        return (vote.holder, vote.holder_address) if vote and vote.expires_at > now else None
+
+    def votes_for(self, incarnation: str, now: int) -> bool:
+        return any(vote.holder == incarnation and vote.expires_at > now for vote in self._votes.values())
+
+    def recorded_holders(self) -> dict[str, tuple[str, str]]:
+        """What must be on disk before a vote is sent."""
+        return {duty: (vote.holder, vote.holder_address) for duty, vote in self._votes.items() if vote.holder}
+
+    def vote(self, request: VoteRequest, address: str, now: int) -> VoteResponse:
+        """Grants or refuses the request of the candidate at this address."""
+        vote = self._votes.setdefault(request.duty, BindingVote())
+        incarnation, binding = request.ballot[1], vote.expires_at > now
+        if request.ballot < vote.promised or binding and vote.holder != incarnation:
+            remaining = max(0, vote.expires_at - now)
+            return VoteResponse(
+                request.duty,
+                request.kind,
+                request.ballot,
+                False,
+                vote.promised[0],
+                vote.holder,
+                vote.holder_address,
+                remaining,
+            )
+        vote.promised = request.ballot
+        if request.kind == "elect":
+            vote.holder, vote.holder_address, vote.expires_at = incarnation, address, now + VOTE_DURATION_US
+        return VoteResponse(request.duty, request.kind, request.ballot, True, vote.promised[0])
+
+    def release_votes(self, incarnation: str, now: int) -> None:
+        """Expires all votes for an incarnation that gives up its duties or is known to have ended."""
         for vote in self._votes.values():
-            if vote.holder == life:
-                vote.until = min(vote.until, now)
+            if vote.holder == incarnation:
+                vote.expires_at = min(vote.expires_at, now)
 
 
 @dataclass(slots=True)
-class Bid:
-    number: Number
+class Ballot:
+    """A request of this candidate, and the voters that granted it."""
+
+    number: BallotNumber
     kind: str
-    at: int
-    yes: set[str] = field(default_factory=set)
+    sent_at: int
+    granted_by: set[str] = field(default_factory=set)
 
-    def ends(self) -> int:
-        """Until when the votes that it was given for hold, by the clock of who asked for them."""
-        return self.at + SPAN - MARGIN
+    def binding_until(self) -> int:
+        """Until when the votes granted to it surely bind, by the candidate's clock."""
+        return self.sent_at + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US
 
 
 class Candidate:
     """One gateway's part in winning and holding duties."""
 
-    def __init__(self, life: str) -> None:
-        self._life = life
-        self._bids: dict[str, Bid] = {}  # of duties that it stands for
-        self._renewals: dict[str, list[Bid]] = {}  # of duties held: an answer counts while the votes it tells of bind
+    def __init__(self, incarnation: str) -> None:
+        self._incarnation = incarnation
+        self._ballots: dict[str, Ballot] = {}  # of duties that it is a candidate for
+        self._renewals: dict[str, list[Ballot]] = {}  # of duties held: those whose votes would still bind
         self._round = 0
-        self._round_time: dict[str, int] = {}  # how long a round for a duty may take
-        self._not_before: dict[str, int] = {}
-        self.until: dict[str, int] = {}  # duties held, and until when by this gateway's clock
+        self._round_timeout: dict[str, int] = {}
+        self._not_before: dict[str, int] = {}  # duty -> when the next request for it may be sent
+        self.held_until: dict[str, int] = {}  # duties held, and the end of each lease by this gateway's clock
 
     def holds(self, duty: str, now: int) -> bool:
-        return self.until.get(duty, 0) > now
+        return self.held_until.get(duty, 0) > now
 
-    def tick(self, duty: str, silent_since: int, rank: int, now: int) -> Ask | None:
-        """A question to the jury, if it is time for one. `silent_since`: when its holder was last heard of;
-        `rank`: this gateway's place among those who stand for it."""
+    def next_request(self, duty: str, silent_since: int, rank: int, now: int) -> VoteRequest | None:
+        """The request to send to the voters now, if any. `silent_since`: when the duty's holder last responded;
+        `rank`: this gateway's position among the duty's candidates."""
         if self.holds(duty, now):
             return self._renew(duty, now)
-        self.until.pop(duty, None)
+        self.held_until.pop(duty, None)
         self._renewals.pop(duty, None)
-        bid = self._bids.get(duty)
-        if bid is not None:
-            if now - bid.at < self._round_time.get(duty, ROUND):
+        ballot = self._ballots.get(duty)
+        if ballot is not None:
+            if now - ballot.sent_at < self._round_timeout.get(duty, ROUND_TIMEOUT_US):
                 return None
-            del self._bids[duty]
-            self._round_time[duty] = min(LONGEST_ROUND, 2 * self._round_time.get(duty, ROUND))
-        if now < silent_since + QUIET + rank * TURN or now < self._not_before.get(duty, 0):
+            del self._ballots[duty]
+            self._round_timeout[duty] = min(MAX_ROUND_TIMEOUT_US, 2 * self._round_timeout.get(duty, ROUND_TIMEOUT_US))
+        if now < silent_since + HOLDER_SILENCE_US + rank * RANK_DELAY_US or now < self._not_before.get(duty, 0):
             return None
-        return self.stand(duty, now)
+        return self.start_round(duty, now)
 
     def highest_round(self) -> int:
-        """That this gateway took part in or heard of."""
+        """The highest round that this gateway took part in or was told of."""
         return self._round
 
-    def stand(self, duty: str, now: int, above: int = 0) -> Ask | None:
-        """Stands for a duty at once, in a round above the given one; None where it is held, or a round for it is under
-        way.
+    def start_round(self, duty: str, now: int, above: int = 0) -> VoteRequest | None:
+        """Starts a round for a duty at once, numbered higher than `above`. None if the duty is held here or a round
+        for it is in progress.
         """
         self._round = max(self._round, above)
-        if self.holds(duty, now) or duty in self._bids:
+        if self.holds(duty, now) or duty in self._ballots:
             return None
         self._round += 1
-        bid = self._bids[duty] = Bid((self._round, self._life), "prepare", now)
-        return Ask(duty, bid.kind, bid.number)
+        ballot = self._ballots[duty] = Ballot((self._round, self._incarnation), "prepare", now)
+        return VoteRequest(duty, ballot.kind, ballot.number)
 
-    def _renew(self, duty: str, now: int) -> Ask | None:
-        """Each question has a number of its own: late words say until when an earlier vote binds."""
+    def _renew(self, duty: str, now: int) -> VoteRequest | None:
+        """Each renewal has its own ballot number, so that a late response extends the lease only from when the request
+        that it answers was sent."""
         if now < self._not_before.get(duty, 0):
             return None
         renewals = self._renewals.setdefault(duty, [])
-        if renewals and now - renewals[-1].at < ROUND:
+        if renewals and now - renewals[-1].sent_at < ROUND_TIMEOUT_US:
             return None
         self._round += 1
-        bid = Bid((self._round, self._life), "elect", now)
-        self._renewals[duty] = [*(one for one in renewals if one.ends() > now), bid]
-        return Ask(duty, bid.kind, bid.number)
-
-    def hear(self, word: Word, voter: str, voters: int, now: int) -> Ask | None:
-        """A juror's word; gives the next question where it made a majority."""
-        self._round = max(self._round, word.round)
-        for renewal in self._renewals.get(word.duty, ()):
-            if renewal.number == word.number and word.kind == renewal.kind:
-                self._renewed(word, renewal, voter, voters)
+        ballot = Ballot((self._round, self._incarnation), "elect", now)
+        self._renewals[duty] = [*(renewal for renewal in renewals if renewal.binding_until() > now), ballot]
+        return VoteRequest(duty, ballot.kind, ballot.number)
+
+    def on_response(self, response: VoteResponse, voter: str, voter_count: int, now: int) -> VoteRequest | None:
+        """Processes a voter's response; returns the next request where the response completed a majority."""
+        self._round = max(self._round, response.highest_round)
+        for renewal in self._renewals.get(response.duty, ()):
+            if renewal.number == response.ballot and response.kind == renewal.kind:
+                self._on_renewal_response(response, renewal, voter, voter_count)
                 return None
-        bid = self._bids.get(word.duty)
-        if bid is None or word.number != bid.number or word.kind != bid.kind:
+        ballot = self._ballots.get(response.duty)
+        if ballot is None or response.ballot != ballot.number or response.kind != ballot.kind:
             return None
-        if not word.yes:
-            del self._bids[word.duty]
-            self._not_before[word.duty] = now + RETRY
+        if not response.granted:
+            del self._ballots[response.duty]
+            self._not_before[response.duty] = now + REFUSAL_DELAY_US
             return None
-        bid.yes.add(voter)
-        if len(bid.yes) < voters // 2 + 1:
+        ballot.granted_by.add(voter)
+        if len(ballot.granted_by) < voter_count // 2 + 1:
             return None
-        if bid.kind == "prepare":
-            self._bids[word.duty] = Bid(bid.number, "elect", now)
-            return Ask(word.duty, "elect", bid.number)
-        del self._bids[word.duty]
-        self._round_time.pop(word.duty, None)
-        if bid.ends() > now:
-            self._hold(word.duty, bid)
+        if ballot.kind == "prepare":
+            self._ballots[response.duty] = Ballot(ballot.number, "elect", now)
+            return VoteRequest(response.duty, "elect", ballot.number)
+        del self._ballots[response.duty]
+        self._round_timeout.pop(response.duty, None)
+        if ballot.binding_until() > now:
+            self._hold(response.duty, ballot)
         return None
 
-    def _renewed(self, word: Word, renewal: Bid, voter: str, voters: int) -> None:
-        """However late the word is: a vote binds for a span from when it was asked for, at least."""
-        if not word.yes:
+    def _on_renewal_response(self, response: VoteResponse, renewal: Ballot, voter: str, voter_count: int) -> None:
+        """Late responses count too: a vote binds for at least its duration from when it was requested."""
+        if not response.granted:
             return
-        renewal.yes.add(voter)
-        if len(renewal.yes) > voters // 2:
-            self._renewals[word.duty] = [one for one in self._renewals[word.duty] if one.at > renewal.at]
-            self._hold(word.duty, renewal)
-
-    def _hold(self, duty: str, bid: Bid) -> None:
-        self.until[duty] = max(self.until.get(duty, 0), bid.ends())
-        self._not_before[duty] = max(self._not_before.get(duty, 0), bid.at + RENEW)
-
-    def drop(self, duty: str) -> None:
-        self.until.pop(duty, None)
-        self._bids.pop(duty, None)
+        renewal.granted_by.add(voter)
+        if len(renewal.granted_by) > voter_count // 2:
+            self._renewals[response.duty] = [
+                later for later in self._renewals[response.duty] if later.sent_at > renewal.sent_at
+            ]
+            self._hold(response.duty, renewal)
+
+    def _hold(self, duty: str, ballot: Ballot) -> None:
+        self.held_until[duty] = max(self.held_until.get(duty, 0), ballot.binding_until())
+        self._not_before[duty] = max(self._not_before.get(duty, 0), ballot.sent_at + RENEWAL_INTERVAL_US)
+
+    def abandon(self, duty: str) -> None:
+        """Gives up the duty, or the candidacy for it."""
+        self.held_until.pop(duty, None)
+        self._ballots.pop(duty, None)
         self._renewals.pop(duty, None)
--- a/oakvale/lab/experiments/variants.py
+++ b/oakvale/lab/experiments/variants.py
@@ -1,8 +1,8 @@
 """Variants of the code: module constants and functions that are exchanged for a run.
 
-`set` gives a name a value (`"oakvale.ratelimit.service.DUTIES" = 8`), `swap` puts another object there by its dotted
-name, which is how a fix is taken out: a function of the laboratory stands for the one that has it. What follows from a
-change changes with it, as if the source had been edited: without that it would reach only
+`set` gives a name a value (`"oakvale.ratelimit.service.DUTY_COUNT" = 8`), `swap` puts another object there by its
+dotted name, which is how a fix is taken out: a function of the laboratory stands for the one that has it. What follows
+from a change changes with it, as if the source had been edited: without that it would reach only
 some of those who read the name.
 """
 
--- a/oakvale/loadbalancing/board_service.py
+++ b/oakvale/loadbalancing/board_service.py
@@ -10,50 +10,50 @@
 from oakvale.failover.chains import Chains
 from oakvale.failover.spill import Ask, SpillController, Wait
 from oakvale.lifecycle.eventlog import EventLogger
-from oakvale.loadbalancing.load_board import Board, Offer
+from oakvale.loadbalancing.load_board import BackendCandidate, LoadBoard
 from oakvale.ratelimit.service import RateLimiter, duty_of
 from oakvale.transport.links import Answer, Connection, Transport
 
-PICK = 40_000  # microseconds for an answer: beyond, the gateway chooses by itself
-DOUBT = 300_000  # after one that did not come
-TOLD = 2_000_000  # for so long a keeper's word on places is good when it is heard no more
+SELECTION_TIMEOUT_US = 40_000  # microseconds for an answer: beyond, the gateway chooses by itself
+HOLDER_BACKOFF_US = 300_000  # after one that did not come
+CLOSED_ZONES_VALID_US = 2_000_000  # for so long a keeper's word on places is good when it is heard no more
 
 log_event = EventLogger(__name__)
 
 
 @dataclass(slots=True, frozen=True)
-class Pick:
+class Selection:
     """What the keeper of a board named."""
 
     service: str
     backend: str
     ticket: int
-    keeper: str  # a duty: what is handed back goes to who holds it then
-    youth: int | None = None  # microseconds that a connection may have been idle and surely be whole
+    holder_duty: str  # a duty: what is handed back goes to who holds it then
+    max_idle_us: int | None = None  # microseconds that a connection may have been idle and surely be whole
 
 
 @dataclass(slots=True, frozen=True)
-class Turned:
+class Rejected:
     """No place has room for it (oakvale/failover): it is refused, and may come back."""
 
-    wait: int  # microseconds
+    wait_us: int
 
 
-Named = Callable[[Pick | Turned | None], None]
+SelectionCallback = Callable[[Selection | Rejected | None], None]
 
 
 @dataclass(slots=True, frozen=True)
-class Facts:
+class RequestFacts:
     """What a crest weighs of a request."""
 
     route: str
     rank: int
     tenant: str
     safe: bool
-    aim: int  # microseconds
+    target_us: int
 
 
-class End(NamedTuple):
+class AttemptResult(NamedTuple):
     """How an attempt ended, as a keeper is told."""
 
     service: str
@@ -68,7 +68,7 @@
     zone: str  # the gateway's, told where chains are shown
 
 
-class Boards:
+class LoadBoards:
     """With chains shown, the keeper of a board also says which places are out, and turns away what none can hold;
     a gateway that reaches no keeper goes by its own part of what the places may take."""
 
@@ -79,15 +79,15 @@
         rate_limiter: RateLimiter,
         node: str,
         zone: str,
-        offers: Callable[[str], list[Offer]],
+        offers: Callable[[str], list[BackendCandidate]],
     ) -> None:
         self._loop, self._transport, self._rate_limiter, self._offers = loop, transport, rate_limiter, offers
         self._node, self._zone = node, zone
-        self._boards: dict[str, Board] = {}
+        self._boards: dict[str, LoadBoard] = {}
         self._doubt: dict[str, int] = {}
         self.chains: Chains | None = None
-        self.missing: Callable[[str, str], frozenset[str]] = lambda service, zone: frozenset()
-        self.on_closed: Callable[[str, frozenset[str]], None] = lambda service, zones: None
+        self.missing_gateways: Callable[[str, str], frozenset[str]] = lambda service, zone: frozenset()
+        self.on_zones_closed: Callable[[str, frozenset[str]], None] = lambda service, zones: None
         self._spills: dict[str, SpillController] = {}  # of the boards kept here
         self._alone: dict[str, SpillController] = {}
         self._closed: dict[str, tuple[frozenset[str], int]] = {}  # service -> places out, and when a keeper said so
@@ -96,7 +96,7 @@
         transport.handlers["pick"] = self._picked
         transport.handlers["done"] = self._ended
 
-    def show(self, chains: Chains | None) -> None:
+    def set_chains(self, chains: Chains | None) -> None:
         """None: nothing is moved, and nothing is asked for it."""
         self.chains = chains
         if chains is None:
@@ -108,16 +108,21 @@
         for spill in [*self._spills.values(), *self._alone.values()]:
             spill.show(chains)
 
-    def ask(
-        self, service: str, wait: int, then: Named, facts: Facts | None = None, without: frozenset[str] = frozenset()
+    def select(
+        self,
+        service: str,
+        wait: int,
+        then: SelectionCallback,
+        facts: RequestFacts | None = None,
+        without: frozenset[str] = frozenset(),
     ) -> None:
         """`wait`: microseconds after which the attempt is over in any case; `facts`: where chains are shown;
         `without`: backends not to be named."""
         duty, now = duty_of(f"service {service}"), self._loop.now
-        if self._rate_limiter.counts(duty):
+        if self._rate_limiter.holds(duty):
             return then(self._take(service, duty, self._pick(service, self._node, self._zone, wait, facts, without)))
         holder = self._rate_limiter.holder(duty)
-        if holder is None or now - self._doubt.get(duty, -DOUBT) < DOUBT:
+        if holder is None or now - self._doubt.get(duty, -HOLDER_BACKOFF_US) < HOLDER_BACKOFF_US:
             return then(self._by_itself(service, wait, facts, without))
 
         def answered(answer: Any) -> None:
@@ -128,61 +133,65 @@
 
         body: list[Any] = [service, self._node, self._zone, wait]
         if facts is not None or without:
-            body.append(facts and [facts.route, facts.rank, facts.tenant, facts.safe, facts.aim])
+            body.append(facts and [facts.route, facts.rank, facts.tenant, facts.safe, facts.target_us])
         if without:
             body.append(sorted(without))
-        self._transport.ask(holder, "pick", body, PICK, answered)
+        self._transport.ask(holder, "pick", body, SELECTION_TIMEOUT_US, answered)
 
-    def done(self, pick: Pick, route: str, latency: int, outcome: str, dropped: int = 0, kept: int = 0) -> None:
+    def report_attempt(
+        self, pick: Selection, route: str, latency: int, outcome: str, dropped: int = 0, kept: int = 0
+    ) -> None:
         self._tell(
-            pick.keeper or duty_of(f"service {pick.service}"),
-            End(
+            pick.holder_duty or duty_of(f"service {pick.service}"),
+            AttemptResult(
                 pick.service, pick.backend, pick.ticket, route, latency, outcome, dropped, self._node, kept, self._zone
             ),
         )
 
-    def teach(self, service: str, backend: str, route: str, latency: int, outcome: str, kept: int = 0) -> None:
+    def report_unselected_attempt(
+        self, service: str, backend: str, route: str, latency: int, outcome: str, kept: int = 0
+    ) -> None:
         """How an attempt ended that nobody had named."""
         if outcome != "none" or self.chains is not None and latency:
             self._tell(
                 duty_of(f"service {service}"),
-                End(service, backend, 0, route, latency, outcome, 0, self._node, kept, self._zone),
+                AttemptResult(service, backend, 0, route, latency, outcome, 0, self._node, kept, self._zone),
             )
 
-    def _tell(self, duty: str, end: End) -> None:
+    def _tell(self, duty: str, end: AttemptResult) -> None:
         alone = self._alone.get(end.service)
         if self.chains is not None and alone is not None:
             self._learn(alone, end, min(end.ticket, 0))
         end = end._replace(ticket=0) if end.ticket < 0 else end
-        if self._rate_limiter.counts(duty):
+        if self._rate_limiter.holds(duty):
             return self._end(end)
         holder = self._rate_limiter.holder(duty)
         if holder is not None:
             self._transport.tell(holder, "done", list(end if self.chains is not None else end[:-1]))
 
-    def _board(self, service: str) -> Board:
+    def _board(self, service: str) -> LoadBoard:
         board = self._boards.get(service)
         if board is None:
-            board = self._boards[service] = Board(self._loop.net.rng.random)
+            board = self._boards[service] = LoadBoard(self._loop.net.rng.random)
         return board
 
     def _picked(self, conn: Connection, body: Any, answer: Answer) -> None:
         service, asker, zone, wait = str(body[0]), str(body[1]), str(body[2]), int(body[3])
-        if not self._rate_limiter.counts(duty_of(f"service {service}")):
+        if not self._rate_limiter.holds(duty_of(f"service {service}")):
             self._boards.pop(service, None)
             self._spills.pop(service, None)
             return answer(None)
         said = body[4] if len(body) > 4 else None
         facts = None
         if said is not None:
-            facts = Facts(str(said[0]), int(said[1]), str(said[2]), bool(said[3]), int(said[4]))
+            facts = RequestFacts(str(said[0]), int(said[1]), str(said[2]), bool(said[3]), int(said[4]))
         without = frozenset(map(str, body[5])) if len(body) > 5 else frozenset()
         answer(self._pick(service, asker, zone, wait, facts, without))
 
     def _ended(self, conn: Connection, body: Any, _: Answer) -> None:
         if str(body[0]) in self._boards:
             self._end(
-                End(
+                AttemptResult(
                     str(body[0]),
                     str(body[1]),
                     int(body[2]),
@@ -199,40 +208,48 @@
     # ---- as the keeper
 
     def _pick(
-        self, service: str, asker: str, zone: str, wait: int, facts: Facts | None, without: frozenset[str] = frozenset()
+        self,
+        service: str,
+        asker: str,
+        zone: str,
+        wait: int,
+        facts: RequestFacts | None,
+        without: frozenset[str] = frozenset(),
     ) -> list[Any] | None:
         """Backend, ticket and youth; behind them the places that are out, if any is. No backend: turned away, for so
         long."""
         now, board, offers = self._loop.now, self._board(service), self._offers(service)
         if self.chains is None or facts is None or not offers:
-            found = board.pick(offers, asker, zone, now + wait, now, None, without)
-            return [*found, board.idling.within(now)] if found else None
+            found = board.select(offers, asker, zone, now + wait, now, None, without)
+            return [*found, board.idle_timeout.safe_idle_time(now)] if found else None
         spill = self._spill(service)
-        ask = Ask(asker, zone, facts.rank, facts.tenant, facts.safe, board.work(facts.route), facts.aim)
-        way = spill.ask(ask, {offer.zone for offer in offers}, board.usual(), lambda: board.held(offers), now)
+        ask = Ask(asker, zone, facts.rank, facts.tenant, facts.safe, board.request_cost(facts.route), facts.target_us)
+        way = spill.ask(
+            ask, {offer.zone for offer in offers}, board.typical_latency(), lambda: board.zone_load(offers), now
+        )
         for place, flow, share in spill.news():
             if flow == "open":
                 self._fell.discard((service, place))
             elif flow == "out" and (service, place) not in self._fell:  # later, those that started anew are there
                 self._fell.add((service, place))
-                board.distrust((offer.id for offer in offers if offer.zone == place), now)
+                board.mark_suspect((offer.id for offer in offers if offer.zone == place), now)
             log_event("place", service=service, place=place, flow=flow, share=share, refused=spill.turned)
         if spill.flow_due(now):
             log_event("flow", service=service, refused=spill.turned, **spill.flow(now))
         if isinstance(way, Wait):
             return ["", way.micros, None, sorted(spill.closed(asker))]
-        found = board.pick(offers, asker, zone, now + wait, now, way.zones, without)
+        found = board.select(offers, asker, zone, now + wait, now, way.zones, without)
         if found is None:
             return None
         spill.sent(next(offer.zone for offer in offers if offer.id == found[0]), ask, found[1], now + wait, now)
-        named = [*found, board.idling.within(now)]
+        named = [*found, board.idle_timeout.safe_idle_time(now)]
         return [*named, sorted(spill.closed(asker))] if spill.moves() else named
 
-    def _end(self, end: End) -> None:
+    def _end(self, end: AttemptResult) -> None:
         spill = self._spills.get(end.service)
         if spill is not None and end.zone:
             self._learn(spill, end, end.ticket)
-        self._board(end.service).done(
+        self._board(end.service).record_attempt(
             end.backend,
             end.ticket,
             end.route,
@@ -244,17 +261,17 @@
             end.kept,
         )
 
-    def _learn(self, spill: SpillController, end: End, ticket: int) -> None:
+    def _learn(self, spill: SpillController, end: AttemptResult, ticket: int) -> None:
         there = next((offer.zone for offer in self._offers(end.service) if offer.id == end.backend), None)
         if there is not None:
             board = self._board(end.service)
             spill.ended(
                 ticket,
                 there,
-                Ask(end.gateway, end.zone, cost=board.work(end.route)),
+                Ask(end.gateway, end.zone, cost=board.request_cost(end.route)),
                 end.latency,
                 end.outcome,
-                board.usual(),
+                board.typical_latency(),
                 self._loop.now,
             )
 
@@ -262,8 +279,8 @@
         spill = self._spills.get(service)
         if spill is None:
             spill = self._spills[service] = self._made(service, True)
-            closed, at = self._closed.get(service, (frozenset(), -TOLD))
-            if self._loop.now - at < TOLD:
+            closed, at = self._closed.get(service, (frozenset(), -CLOSED_ZONES_VALID_US))
+            if self._loop.now - at < CLOSED_ZONES_VALID_US:
                 spill.follow(closed, self._loop.now)  # as the keeper before said
         return spill
 
@@ -272,9 +289,9 @@
         spill = SpillController(
             service,
             self._loop.net.rng.random,
-            lambda zone: self.missing(service, zone),
-            self._rate_limiter.away if keeps else None,
-            None if keeps else lambda: self._rate_limiter.cut(duty),
+            lambda zone: self.missing_gateways(service, zone),
+            self._rate_limiter.unreachable_gateways if keeps else None,
+            None if keeps else lambda: self._rate_limiter.isolated_share(duty),
         )
         assert self.chains is not None
         spill.show(self.chains)
@@ -284,17 +301,17 @@
         """Of the services whose boards are kept here: what places hold, and what was asked, in slots."""
         found = []
         for service, spill in self._spills.items():
-            if self._rate_limiter.counts(duty_of(f"service {service}")):
+            if self._rate_limiter.holds(duty_of(f"service {service}")):
                 if not spill.moves():
                     log_event("flow", service=service, refused=spill.turned, **spill.flow(self._loop.now))
                 loads = [[load.home, load.rank, round(load.work, 3)] for load in spill.report(self._loop.now)]
-                held = self._board(service).capacity(self._offers(service))
+                held = self._board(service).zone_capacity(self._offers(service))
                 found.append([service, {zone: round(slots, 3) for zone, slots in held.items()}, loads])
         return found
 
     # ---- as one who asks
 
-    def _take(self, service: str, duty: str, answer: list[Any] | None) -> Pick | Turned | None:
+    def _take(self, service: str, duty: str, answer: list[Any] | None) -> Selection | Rejected | None:
         if self.chains is not None:
             closed = frozenset(map(str, answer[3])) if answer and len(answer) > 3 else frozenset()
             if closed or service in self._closed:
@@ -302,8 +319,8 @@
         if not answer:
             return None
         if not answer[0]:
-            return Turned(int(answer[1]))
-        return Pick(service, str(answer[0]), int(answer[1]), duty, answer[2])
+            return Rejected(int(answer[1]))
+        return Selection(service, str(answer[0]), int(answer[1]), duty, answer[2])
 
     def _close(self, service: str, closed: frozenset[str]) -> None:
         was = self._closed.pop(service, (frozenset(), 0))[0]
@@ -311,9 +328,11 @@
             self._closed[service] = (closed, self._loop.now)
         if was != closed:
             log_event("places out", "warning" if closed else "info", service=service, places=",".join(sorted(closed)))
-            self.on_closed(service, closed)
+            self.on_zones_closed(service, closed)
 
-    def _by_itself(self, service: str, wait: int, facts: Facts | None, without: frozenset[str]) -> Pick | Turned | None:
+    def _by_itself(
+        self, service: str, wait: int, facts: RequestFacts | None, without: frozenset[str]
+    ) -> Selection | Rejected | None:
         """No keeper answers: by what it said last, and by what is seen here, a part of what places may take."""
         if self.chains is None or facts is None:
             return None
@@ -321,26 +340,34 @@
         spill = self._alone.get(service)
         if spill is None:
             spill = self._alone[service] = self._made(service, False)
-        closed, at = self._closed.get(service, (frozenset(), -TOLD))
-        if now - at < TOLD:
+        closed, at = self._closed.get(service, (frozenset(), -CLOSED_ZONES_VALID_US))
+        if now - at < CLOSED_ZONES_VALID_US:
             spill.follow(closed, now)
         board = self._board(service)
-        ask = Ask(self._node, self._zone, facts.rank, facts.tenant, facts.safe, board.work(facts.route), facts.aim)
-        way = spill.ask(ask, {offer.zone for offer in offers}, board.usual(), None, now)
+        ask = Ask(
+            self._node,
+            self._zone,
+            facts.rank,
+            facts.tenant,
+            facts.safe,
+            board.request_cost(facts.route),
+            facts.target_us,
+        )
+        way = spill.ask(ask, {offer.zone for offer in offers}, board.typical_latency(), None, now)
         may = [offer for offer in offers if not isinstance(way, Wait) and way.zones and offer.zone in way.zones]
         if not may:
             self._shut(service, spill, at)
-            return Turned(way.micros) if isinstance(way, Wait) else None
+            return Rejected(way.micros) if isinstance(way, Wait) else None
         # of one's own few attempts nothing better is known, and the lane has its say
         offer = self._loop.net.rng.choice(may)
         self._ticket -= 1
         spill.sent(offer.zone, ask, self._ticket, now + wait, now)
         self._shut(service, spill, at)
-        return Pick(service, offer.id, self._ticket, "")
+        return Selection(service, offer.id, self._ticket, "")
 
     def _shut(self, service: str, spill: SpillController, at: int) -> None:
         """`at`: when a keeper spoke last; while its word is good, it stands."""
-        if self._loop.now - at < TOLD or not spill.moves() and service not in self._closed:
+        if self._loop.now - at < CLOSED_ZONES_VALID_US or not spill.moves() and service not in self._closed:
             return
         was, closed = self._closed.get(service, (frozenset(), 0))[0], spill.closed(self._node)
         if was != closed:
--- a/oakvale/loadbalancing/idle_timeout.py
+++ b/oakvale/loadbalancing/idle_timeout.py
@@ -8,25 +8,25 @@
 
 from __future__ import annotations
 
-MEMORY = 10_000_000  # microseconds for which one loss is remembered
-LONGEST = 16 * MEMORY  # one that comes back is remembered twice as long each time, up to this
+LOSS_MEMORY_US = 10_000_000  # microseconds for which one loss is remembered
+MAX_LOSS_MEMORY_US = 16 * LOSS_MEMORY_US  # one that comes back is remembered twice as long each time, up to this
 
 
-class Idling:
+class IdleTimeoutEstimate:
     def __init__(self) -> None:
         self._within: int | None = None
         self._until = 0
-        self._memory = MEMORY
+        self._memory = LOSS_MEMORY_US
 
-    def dropped(self, idled: int, now: int) -> None:
+    def record_loss(self, idled: int, now: int) -> None:
         """A connection that had been idle for `idled` microseconds was reset as soon as it was written to."""
-        if self.within(now) is None:
+        if self.safe_idle_time(now) is None:
             again = self._until and now - self._until < self._memory
-            self._memory = min(2 * self._memory, LONGEST) if again else MEMORY
+            self._memory = min(2 * self._memory, MAX_LOSS_MEMORY_US) if again else LOSS_MEMORY_US
             self._within = idled
         self._within = min(self._within or idled, idled)
         self._until = now + self._memory
 
-    def within(self, now: int) -> int | None:
+    def safe_idle_time(self, now: int) -> int | None:
         """The idle time up to which a connection is likely whole: half of the shortest that was lost. None: any."""
         return self._within // 2 if self._within is not None and now < self._until else None
--- a/oakvale/ratelimit/handover.py
+++ b/oakvale/ratelimit/handover.py
@@ -22,10 +22,10 @@
 from oakvale.transport.links import Answer, Connection, Transport
 
 CONSENT_TIMEOUT_US = 150_000  # for one gateway to say whether it takes a duty
-ASK_AGAIN_US = 200_000  # where nobody takes a duty, since all are told to end
-STANDS_FOR_US = 2_000_000  # a successor stands as if the duty were vacant for so long
-HELD_BACK_US = 400_000  # for so long nobody else stands for a duty that was handed on
-STATE_KEPT_US = 5_000_000  # a former holder answers for the state of its counter
+CONSENT_RETRY_US = 200_000  # where nobody takes a duty, since all are told to end
+SUCCESSOR_PRIORITY_US = 2_000_000  # a successor stands as if the duty were vacant for so long
+SUCCESSOR_HOLDOFF_US = 400_000  # for so long nobody else stands for a duty that was handed on
+STATE_RETENTION_US = 5_000_000  # a former holder answers for the state of its counter
 
 log_event = EventLogger(__name__)
 
@@ -59,21 +59,21 @@
         transport.handlers["handed"] = self._handed
         transport.handlers["counter state"] = self._asked_for_state
 
-    def stands_first(self, duty: str) -> bool:
+    def is_successor(self, duty: str) -> bool:
         """Whether the duty was lately handed to this gateway."""
-        at = self._taken_from.get(duty, (None, -STANDS_FOR_US))[1]
-        return self._loop.now - at < STANDS_FOR_US and not self.ending
+        at = self._taken_from.get(duty, (None, -SUCCESSOR_PRIORITY_US))[1]
+        return self._loop.now - at < SUCCESSOR_PRIORITY_US and not self.ending
 
-    def held_back(self, duty: str) -> bool:
+    def yields_to_successor(self, duty: str) -> bool:
         """Whether another gateway was lately named as successor and is left the duty."""
         return self._loop.now < self._held_back.get(duty, 0)
 
-    def won(self, duty: str) -> Address | None:
+    def take_former_holder(self, duty: str) -> Address | None:
         """The duty is held here now. The former holder, where it lately handed the duty to this gateway."""
         holder, at = self._taken_from.pop(duty, (None, 0))
-        return holder if holder is not None and self._loop.now - at < STANDS_FOR_US else None
+        return holder if holder is not None and self._loop.now - at < SUCCESSOR_PRIORITY_US else None
 
-    def ask_for_state(
+    def request_state(
         self, holder: Address, duty: str, timeout: int, then: Callable[[CounterState, int], None]
     ) -> None:
         """`then` hears the state, and when it was asked for: its ages are at least as long since then."""
@@ -92,7 +92,7 @@
 
     # ---- as holder
 
-    def seek_successors(self, duties: Iterable[str], found: Callable[[dict[str, Address]], None]) -> None:
+    def find_successors(self, duties: Iterable[str], found: Callable[[dict[str, Address]], None]) -> None:
         """`found` hears who takes each duty, once that is known of all: who agreed to take it, or else who agreed to
         take another. While nobody agrees to any, all are asked again and again.
         """
@@ -106,14 +106,14 @@
             if anyone is not None:
                 found({each: address or anyone for each, address in agreed.items()})
             else:
-                self._loop.at(self._loop.now + ASK_AGAIN_US, lambda _: self.seek_successors(wanted, found))
+                self._loop.at(self._loop.now + CONSENT_RETRY_US, lambda _: self.find_successors(wanted, found))
 
         if not wanted:
             found({})
         for duty in wanted:
             self._ask_next(duty, self._addresses(duty), told)
 
-    def hand_on(self, duty: str, successor: Address | None) -> None:
+    def announce_successor(self, duty: str, successor: Address | None) -> None:
         """The duty is not held here any more: all are told who comes next, the successor first."""
         log_event("handed on", duty=duty, to=successor[0] if successor else "nobody")
         body = [duty, self._own, None if successor is None else list(successor), self._highest_round()]
@@ -121,7 +121,7 @@
         for address in first + [other for other in self._others() if other != successor]:
             self._transport.tell(address, "handed", body)
 
-    def next_for(self, duty: str) -> Address | None:
+    def first_successor(self, duty: str) -> Address | None:
         """Who would be told to take it without being asked."""
         return next(iter(self._addresses(duty)), None)
 
@@ -163,4 +163,4 @@
                 self._taken_from[duty] = (holder, self._loop.now)
                 self._stand(duty, int(body[3]))
         else:
-            self._held_back[duty] = self._loop.now + HELD_BACK_US
+            self._held_back[duty] = self._loop.now + SUCCESSOR_HOLDOFF_US
--- a/oakvale/ratelimit/presence.py
+++ b/oakvale/ratelimit/presence.py
@@ -15,25 +15,25 @@
 from oakvale.dissemination.tree import Member, Members
 from oakvale.transport.links import Transport
 
-PRESENT = 900_000  # a counter reckons with who has heard from it this lately, as far as it knows
-ABSENT = PRESENT + 100_000  # after so long without hearing from it, a gateway knows that none reckons with it
-KEPT = 10_000_000  # one that left the list may still pass its share, unless it is proven to have ended
-ALIKE = 10_000  # the share of gateways that is present is worked out anew after this
-REACHED = 2_000_000  # answers of other gateways this lately show that it is not this one that is cut off
-PROOF_TIMEOUT = 150_000  # microseconds for a gateway to say which life it is
+PRESENT_US = 900_000  # a counter reckons with who has heard from it this lately, as far as it knows
+ABSENT_US = PRESENT_US + 100_000  # after so long without hearing from it, a gateway knows that none reckons with it
+MEMBER_RETENTION_US = 10_000_000  # one that left the list may still pass its share, unless it is proven to have ended
+SHARE_CACHE_US = 10_000  # the share of gateways that is present is worked out anew after this
+REACHABLE_US = 2_000_000  # answers of other gateways this lately show that it is not this one that is cut off
+PROBE_TIMEOUT_US = 150_000  # microseconds for a gateway to say which life it is
 
 
 class Presence:
     def __init__(self, loop: Loop, transport: Transport, node: str, life: str, members: Callable[[], Members]) -> None:
         self._loop, self._transport, self._node, self._life, self._members = loop, transport, node, life, members
-        self.heard: dict[str, int] = {}  # gateway -> the latest stamp that it told back
-        self.lately: dict[str, Member] = {}  # gateways that are on the list, or were lately
-        self.ended: dict[str, str] = {}  # gateway -> its life that is proven to have ended
+        self.last_stamps: dict[str, int] = {}  # gateway -> the latest stamp that it told back
+        self.recent_members: dict[str, Member] = {}  # gateways that are on the list, or were lately
+        self.proven_ended: dict[str, str] = {}  # gateway -> its life that is proven to have ended
         self._listed = Members()  # as last looked at, and when that was
         self._looked = loop.now
         self._left: dict[str, int] = {}  # of those no longer on it: when they were last seen there
         self._addresses: tuple[Members, list[Address]] = (self._listed, [])
-        self._share = (1.0, -ALIKE)  # of gateways that are present, and when that was worked out
+        self._share = (1.0, -SHARE_CACHE_US)  # of gateways that are present, and when that was worked out
         self._reached: dict[Address, int] = {}  # gateway -> when it last answered, or was proven to have ended
 
     # ---- the list
@@ -50,14 +50,14 @@
                 changes.update({node: None for node in known if node not in listed})
             for node, member in changes.items():
                 if member is not None:
-                    self.lately[node] = member
+                    self.recent_members[node] = member
                     self._left.pop(node, None)
                 elif node in known:
                     self._left[node] = self._looked
             self._listed = listed
         self._looked = now
-        for node in [node for node, at in self._left.items() if now - at > KEPT]:
-            del self._left[node], self.lately[node]
+        for node in [node for node, at in self._left.items() if now - at > MEMBER_RETENTION_US]:
+            del self._left[node], self.recent_members[node]
 
     def others(self) -> list[Address]:
         """Addresses of the other gateways on the list."""
@@ -73,58 +73,63 @@
         """To be told back by who hears it."""
         return [self._life, self._loop.now]
 
-    def hears(self, node: str, stamp: Any) -> None:
+    def record_stamp(self, node: str, stamp: Any) -> None:
         """A gateway tells back what was the latest that it heard from here: until when it surely waits."""
         if isinstance(stamp, list) and stamp[0] == self._life:
-            self.heard[node] = max(self.heard.get(node, 0), int(stamp[1]))
+            self.last_stamps[node] = max(self.last_stamps.get(node, 0), int(stamp[1]))
 
-    def take_over(self, ages: dict[str, int], asked: int) -> None:
+    def import_ages(self, ages: dict[str, int], asked: int) -> None:
         """Who was present at the counter before; the ages are at least as long since it was asked."""
         for node, age in ages.items():
-            self.heard[node] = max(self.heard.get(node, 0), asked - age)
-        self._share = (1.0, -ALIKE)
+            self.last_stamps[node] = max(self.last_stamps.get(node, 0), asked - age)
+        self._share = (1.0, -SHARE_CACHE_US)
 
-    def ages(self) -> dict[str, int]:
+    def stamp_ages(self) -> dict[str, int]:
         """Of the stamps of those that are present."""
         now = self._loop.now
-        return {node: now - at for node, at in self.heard.items() if now - at < PRESENT}
+        return {node: now - at for node, at in self.last_stamps.items() if now - at < PRESENT_US}
 
-    def here(self, node: str) -> bool:
-        return self._loop.now - self.heard.get(node, -PRESENT) < PRESENT
+    def is_present(self, node: str) -> bool:
+        return self._loop.now - self.last_stamps.get(node, -PRESENT_US) < PRESENT_US
 
-    def share(self) -> float:
+    def present_share(self) -> float:
         """The share of gateways that are known to have heard from this one lately. Those that are proven to have
         ended pass nothing, and leave nothing out."""
         now = self._loop.now
-        if now - self._share[1] >= ALIKE:
-            may = {node for node, member in self.lately.items() if self.ended.get(node) != member.life}
-            here = sum(1 for node in may | {self._node} if node == self._node or self.here(node))
+        if now - self._share[1] >= SHARE_CACHE_US:
+            may = {node for node, member in self.recent_members.items() if self.proven_ended.get(node) != member.life}
+            here = sum(1 for node in may | {self._node} if node == self._node or self.is_present(node))
             self._share = (min(1.0, here / max(1, len(may | {self._node}))), now)
         return self._share[0]
 
     # ---- who has ended, and who answers
 
-    def prove(self) -> None:
+    def probe_absent(self) -> None:
         """Who is not here may have ended."""
-        for node, member in self.lately.items():
+        for node, member in self.recent_members.items():
             address = parse_address(member.address)
-            if address and node != self._node and not self.here(node) and self.ended.get(node) != member.life:
-                proven = partial(self.proven, member, address, self._loop.now)
-                self._transport.ask(address, "life", None, PROOF_TIMEOUT, proven)
-
-    def proven(self, member: Member, address: Address, asked: int, answer: Any) -> None:
+            if (
+                address
+                and node != self._node
+                and not self.is_present(node)
+                and self.proven_ended.get(node) != member.life
+            ):
+                proven = partial(self.check_incarnation, member, address, self._loop.now)
+                self._transport.ask(address, "life", None, PROBE_TIMEOUT_US, proven)
+
+    def check_incarnation(self, member: Member, address: Address, asked: int, answer: Any) -> None:
         """Its answer to any question tells whether the life on the list has ended."""
         refused = answer is None and self._transport.ended(address, asked)
         if isinstance(answer, str) and answer != member.life or refused:
-            self.ended[member.node] = member.life
+            self.proven_ended[member.node] = member.life
 
-    def reached(self, address: Address) -> None:
+    def record_contact(self, address: Address) -> None:
         """It answered, or is proven to have ended."""
         self._reached[address] = self._loop.now
 
-    def among_others(self) -> bool:
+    def reaches_half(self) -> bool:
         """Whether half of the others answer. One that is cut off from them is taken from the list, and after a while
         its share is theirs."""
         now = self._loop.now
-        others = [self._reached.get(address, -REACHED) for address in self.others()]
-        return 2 * sum(1 for at in others if now - at < REACHED) >= len(others)
+        others = [self._reached.get(address, -REACHABLE_US) for address in self.others()]
+        return 2 * sum(1 for at in others if now - at < REACHABLE_US) >= len(others)
--- a/oakvale/ratelimit/service.py
+++ b/oakvale/ratelimit/service.py
@@ -11,39 +11,46 @@
 from oakvale.base.address import Address, parse_address, spelled
 from oakvale.base.loop import Loop
 from oakvale.dissemination.tree import Member, Members, next_on_ring, place
-from oakvale.election.voting import MARGIN, QUIET, SPAN, Ask, Candidate, Word
+from oakvale.election.voting import (
+    HOLDER_SILENCE_US,
+    LEASE_SAFETY_MARGIN_US,
+    VOTE_DURATION_US,
+    Candidate,
+    VoteRequest,
+    VoteResponse,
+)
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.ratelimit.counter_state import CounterState, Receipt
-from oakvale.ratelimit.handover import STATE_KEPT_US, Handover
-from oakvale.ratelimit.presence import ABSENT, KEPT, Presence
-from oakvale.ratelimit.quotas import SECOND, Alone, Quota, QuotaCounter, Read, Terms
-from oakvale.ratelimit.refunds import Returns
-from oakvale.ratelimit.usage_collection import Gathering
+from oakvale.ratelimit.handover import STATE_RETENTION_US, Handover
+from oakvale.ratelimit.presence import ABSENT_US, MEMBER_RETENTION_US, Presence
+from oakvale.ratelimit.quotas import SECOND, LocalAllowance, Quota, QuotaCounter, QuotaTerms, UsageReadings
+from oakvale.ratelimit.refunds import RefundLog
+from oakvale.ratelimit.usage_collection import UsageCollection
 from oakvale.transport.links import Answer, Connection, Transport
 
-DUTIES = 4  # parts that the tenants are counted in
-STAND = 4  # gateways that stand for a duty
-ASKED_TO_TAKE = 12  # gateways that are asked, one by one, to take a duty from one that ends
-WAIT = 150_000  # microseconds for the counter's answer
-TICK = 60_000
-GREET = 250_000  # without a call to a counter for so long, it is greeted
-GATHER = 100_000  # for what others last read, before a new counter begins
-LATE_ANSWERS = 1_000_000  # what others last read counts for so long, also after it has begun
-VOTE_TIMEOUT = SPAN - MARGIN  # a vote that comes later binds no longer
-MOMENT = 120_000  # a request waits so long for a counter to be found
-VACANT = 250_000  # how long a juror's word that nobody does a duty is good
-DOUBT = 80_000  # after an unanswered call, the counter is not waited for
-LONG = 2_000_000  # without a keeper for so long, a gateway is cut off: another keeper is found sooner
-LONG_GONE = 3_000_000  # and surely knows it then: its last call was under way for a fraction of a second
-FEW = 0.25  # of its even share it uses then: it sees few clients, or is without power
+DUTY_COUNT = 4  # parts that the tenants are counted in
+CANDIDATES_PER_DUTY = 4  # gateways that stand for a duty
+MAX_SUCCESSORS_ASKED = 12  # gateways that are asked, one by one, to take a duty from one that ends
+COUNTER_TIMEOUT_US = 150_000  # microseconds for the counter's answer
+TICK_INTERVAL_US = 60_000
+GREETING_INTERVAL_US = 250_000  # without a call to a counter for so long, it is greeted
+COLLECTION_TIMEOUT_US = 100_000  # for what others last read, before a new counter begins
+LATE_ANSWER_TIMEOUT_US = 1_000_000  # what others last read counts for so long, also after it has begun
+VOTE_TIMEOUT_US = VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US  # a vote that comes later binds no longer
+COUNTER_DISCOVERY_TIMEOUT_US = 120_000  # a request waits so long for a counter to be found
+VACANCY_VALID_US = 250_000  # how long a juror's word that nobody does a duty is good
+HOLDER_BACKOFF_US = 80_000  # after an unanswered call, the counter is not waited for
+ISOLATED_AFTER_US = 2_000_000  # without a keeper for so long, a gateway is cut off: another keeper is found sooner
+LONG_ABSENT_US = 3_000_000  # and surely knows it then: its last call was under way for a fraction of a second
+ISOLATED_SHARE = 0.25  # of its even share it uses then: it sees few clients, or is without power
 
 log_event = EventLogger(__name__)
 
-Told = Callable[[bool, int, bool], None]  # passes, microseconds until one more would, whether it was counted
+CountCallback = Callable[[bool, int, bool], None]  # passes, microseconds until one more would, whether it was counted
 
 
 def duty_of(tenant: str) -> str:
-    return f"gauge/{place(tenant) % DUTIES}"
+    return f"gauge/{place(tenant) % DUTY_COUNT}"
 
 
 class RateLimiter:
@@ -51,7 +58,7 @@
         self,
         loop: Loop,
         transport: Transport,
-        terms: Terms,
+        terms: QuotaTerms,
         node: str,
         life: str,
         own: str,
@@ -62,11 +69,11 @@
         self.loop, self.transport, self._terms = loop, transport, terms
         self._node, self._life, self._own = node, life, own
         self._members, self._voters, self._quota = members, voters, quota
-        self._duties = [f"gauge/{n}" for n in range(DUTIES)]
+        self._duties = [f"gauge/{n}" for n in range(DUTY_COUNT)]
         self._candidate = Candidate(life)
         self._presence = Presence(loop, transport, node, life, members)
         self._counters: dict[str, QuotaCounter] = {}  # of the duties held here
-        self._gathering: dict[str, Gathering] = {}
+        self._gathering: dict[str, UsageCollection] = {}
         self._former: dict[str, tuple[QuotaCounter, int]] = {}  # counters of duties that were held here, and until when
         self._counts_since = 0  # when a duty was last won
         self._holders: dict[str, Address] = {}
@@ -80,10 +87,10 @@
         self._born = loop.now
         self._waiting: dict[str, dict[int, Callable[[], None]]] = {}
         self._number = 0
-        self._read = Read()
-        self.alone = Alone(terms, loop.net.rng.random, loop.now)
+        self._readings = UsageReadings()
+        self._local_allowance = LocalAllowance(terms, loop.net.rng.random, loop.now)
         self._tenants: dict[str, None] = {}
-        self._returns = Returns(node, life)
+        self._refunds = RefundLog(node, life)
         self._handover = Handover(
             loop,
             transport,
@@ -102,14 +109,14 @@
         transport.handlers["counts"] = lambda conn, body, answer: answer([self._known(str(body))])
         transport.handlers["levels"] = self._levels
         transport.handlers["life"] = lambda conn, body, answer: answer(life)
-        loop.at(loop.now + TICK, self._tick)
+        loop.at(loop.now + TICK_INTERVAL_US, self._tick)
 
-    def held(self) -> list[str]:
-        return sorted(duty for duty in self._counters if self._counts(duty))
+    def held_duties(self) -> list[str]:
+        return sorted(duty for duty in self._counters if self._is_counting(duty))
 
-    def counts(self, duty: str) -> bool:
+    def holds(self, duty: str) -> bool:
         """Whether this gateway does a duty now."""
-        return self._counts(duty)
+        return self._is_counting(duty)
 
     def holder(self, duty: str) -> Address | None:
         """The other gateway that does it, as far as known."""
@@ -117,7 +124,14 @@
 
     # ---- asking
 
-    def ask(self, tenant: str, again: bool, then: Told, patience: int = MOMENT, receipt: Receipt | None = None) -> None:
+    def count_request(
+        self,
+        tenant: str,
+        again: bool,
+        then: CountCallback,
+        patience: int = COUNTER_DISCOVERY_TIMEOUT_US,
+        receipt: Receipt | None = None,
+    ) -> None:
         """Whether one more request of this tenant passes; `again`: it came back after a refusal. `receipt` is filled in
         where it was counted, before `then` is called.
         """
@@ -126,32 +140,32 @@
             return then(True, 0, True)
         self._tenants[tenant] = None
         duty, now = duty_of(tenant), self.loop.now
-        if self._counts(duty):
-            self._counters[duty].reach(self._presence.share(), now)
-            verdict = self._counters[duty].add(tenant, quota, again, now)
-            self._read.note(tenant, verdict.level, now)
+        if self._is_counting(duty):
+            self._counters[duty].set_reachable_share(self._presence.present_share(), now)
+            verdict = self._counters[duty].count_request(tenant, quota, again, now)
+            self._readings.record(tenant, verdict.level, now)
             if receipt is not None and verdict.passes:
-                receipt.tenant, receipt.counter, receipt.counted_at = tenant, self._life, verdict.counted_at
-            return then(verdict.passes, verdict.wait, True)
+                receipt.tenant, receipt.counter_id, receipt.counted_at = tenant, self._life, verdict.counted_at
+            return then(verdict.passes, verdict.wait_us, True)
         holder = self._holders.get(duty)
         if holder is None and patience:
-            return self._wait_for(duty, partial(self.ask, tenant, again, then, 0, receipt), patience)
-        if holder is None or now - self._doubt.get(duty, -DOUBT) < DOUBT:
+            return self._wait_for(duty, partial(self.count_request, tenant, again, then, 0, receipt), patience)
+        if holder is None or now - self._doubt.get(duty, -HOLDER_BACKOFF_US) < HOLDER_BACKOFF_US:
             return self._pass_alone(tenant, quota, then)
 
         def answered(answer: Any) -> None:
             if not isinstance(answer, list):
                 self._unanswered(duty, holder)
                 if patience and self._holders.get(duty) != holder:  # it has just handed the duty on, or has ended
-                    once_more = partial(self.ask, tenant, again, then, 0, receipt)
+                    once_more = partial(self.count_request, tenant, again, then, 0, receipt)
                     return once_more() if duty in self._holders else self._wait_for(duty, once_more, patience)
                 return self._pass_alone(tenant, quota, then)
             self._doubt.pop(duty, None)
             self._contact[duty], self._stamps[holder] = self.loop.now, answer[3]
             passes, level, wait = bool(answer[0]), float(answer[1]), int(answer[2])
-            self._read.note(tenant, level, self.loop.now)
+            self._readings.record(tenant, level, self.loop.now)
             if receipt is not None and passes and len(answer) > 4:  # the version before tells no time
-                receipt.tenant, receipt.counter, receipt.counted_at = tenant, str(answer[3][0]), int(answer[4])
+                receipt.tenant, receipt.counter_id, receipt.counted_at = tenant, str(answer[3][0]), int(answer[4])
             then(passes, wait, True)
 
         self._called[duty] = now
@@ -159,30 +173,30 @@
             holder,
             "count",
             [tenant, quota.rate, quota.burst, self._node, again, self._stamps.get(holder)],
-            WAIT,
+            COUNTER_TIMEOUT_US,
             answered,
         )
 
-    def give_back(self, receipt: Receipt) -> None:
+    def refund(self, receipt: Receipt) -> None:
         """The request surely never ran. A second call does nothing, nor does one for a counter that counts no more."""
-        counter, receipt.counter = receipt.counter, ""
+        counter, receipt.counter_id = receipt.counter_id, ""
         if not counter:
             return
         duty = duty_of(receipt.tenant)
         if counter == self._life:
             self._take_back(receipt.tenant, receipt.counted_at)
         elif (holder := self._holders.get(duty)) is not None:
-            self.transport.tell(holder, "give back", self._returns.packed(receipt.tenant, counter, receipt.counted_at))
+            self.transport.tell(holder, "give back", self._refunds.encode(receipt.tenant, counter, receipt.counted_at))
 
     def _given_back(self, conn: Connection, body: Any, _: Answer) -> None:
-        given = self._returns.taken(body, self._life, self.loop.now)
+        given = self._refunds.accept(body, self._life, self.loop.now)
         if given is not None:
             self._take_back(*given)
 
     def _take_back(self, tenant: str, counted_at: int) -> None:
         duty = duty_of(tenant)
-        if self._counts(duty):
-            self._counters[duty].give_back(tenant, self._quota(tenant), counted_at, self.loop.now)
+        if self._is_counting(duty):
+            self._counters[duty].refund(tenant, self._quota(tenant), counted_at, self.loop.now)
 
     def _wait_for(self, duty: str, call: Callable[[], None], patience: int) -> None:
         """Nobody is known to count yet: a moment is given to the ballots."""
@@ -208,64 +222,68 @@
                 del self._holders[duty]
         self._find(duty, suspects=True)
 
-    def _pass_alone(self, tenant: str, quota: Quota, then: Told) -> None:
+    def _pass_alone(self, tenant: str, quota: Quota, then: CountCallback) -> None:
         now = self.loop.now
-        absent = now - max(self._contact.get(duty_of(tenant), 0), self._born) - ABSENT
-        if absent > KEPT - 2 * SECOND and not self._presence.among_others():
+        absent = now - max(self._contact.get(duty_of(tenant), 0), self._born) - ABSENT_US
+        if absent > MEMBER_RETENTION_US - 2 * SECOND and not self._presence.reaches_half():
             absent = 0
-        passes = self.alone.passes(tenant, quota, len(self._presence.lately), max(0, absent), now)
+        passes = self._local_allowance.allows(tenant, quota, len(self._presence.recent_members), max(0, absent), now)
         if passes:
-            self._read.add(tenant, now)
+            self._readings.record_uncounted(tenant, now)
         then(passes, 200_000, False)
 
-    def away(self, gateways: frozenset[str]) -> float:
+    def unreachable_gateways(self, gateways: frozenset[str]) -> float:
         """How many of them are not known to have heard from this one lately, nor to have ended: each of those may hold
         itself to be `cut`. Those of long ago count in part."""
-        now, lives = self.loop.now, {node: member.life for node, member in self._presence.lately.items()}
+        now, lives = self.loop.now, {node: member.life for node, member in self._presence.recent_members.items()}
         return sum(
-            FEW if now - self._presence.heard.get(node, self._counts_since) >= LONG_GONE else 1.0
+            ISOLATED_SHARE if now - self._presence.last_stamps.get(node, self._counts_since) >= LONG_ABSENT_US else 1.0
             for node in gateways
             if node != self._node
-            and not self._presence.here(node)
-            and (node not in lives or self._presence.ended.get(node) != lives[node])
+            and not self._presence.is_present(node)
+            and (node not in lives or self._presence.proven_ended.get(node) != lives[node])
         )
 
-    def cut(self, duty: str) -> float:
+    def isolated_share(self, duty: str) -> float:
         """Of its even share, what this gateway may use, as who does this duty reckons with it no longer."""
         silent = self.loop.now - max(self._contact.get(duty, 0), self._born)
-        return 0.0 if silent < ABSENT else 1.0 if silent < LONG else FEW
+        return 0.0 if silent < ABSENT_US else 1.0 if silent < ISOLATED_AFTER_US else ISOLATED_SHARE
 
     def _find(self, duty: str, suspects: bool = False) -> None:
         """Asks the jurors, and a gateway or two for those who can't reach them, who counts. `suspects`: the holder did
         not answer, and the jurors are to look whether it has ended.
         """
         now = self.loop.now
-        if now - self._asked.get(duty, -DOUBT) < DOUBT:
+        if now - self._asked.get(duty, -HOLDER_BACKOFF_US) < HOLDER_BACKOFF_US:
             return
         self._asked[duty] = now
         for address in self._voter_service():
             self.transport.ask(
-                address, "who", [duty, self._own, self._life, suspects], WAIT, partial(self._juror_said, duty, address)
+                address,
+                "who",
+                [duty, self._own, self._life, suspects],
+                COUNTER_TIMEOUT_US,
+                partial(self._juror_said, duty, address),
             )
         others = self._presence.others()
         for address in self.loop.net.rng.sample(others, min(2, len(others))):
-            self.transport.ask(address, "counts", duty, WAIT, partial(self._told_by, duty, address))
+            self.transport.ask(address, "counts", duty, COUNTER_TIMEOUT_US, partial(self._told_by, duty, address))
 
     def _juror_said(self, duty: str, voter: Address, answer: Any) -> None:
         if isinstance(answer, list):
             self._heard_of(duty, answer[0])
-            self._vacant.setdefault(duty, {})[voter] = self.loop.now if answer[0] is None else -VACANT
+            self._vacant.setdefault(duty, {})[voter] = self.loop.now if answer[0] is None else -VACANCY_VALID_US
             if self._is_vacant(duty):
                 self._stand(duty)
 
     def _is_vacant(self, duty: str) -> bool:
         """Most jurors just said that nobody has their vote: a holder's silence need not be waited for."""
-        said = sum(1 for at in self._vacant.get(duty, {}).values() if self.loop.now - at < VACANT)
+        said = sum(1 for at in self._vacant.get(duty, {}).values() if self.loop.now - at < VACANCY_VALID_US)
         return said > len(self._voters()) // 2
 
     def _told_by(self, duty: str, address: Address, answer: Any) -> None:
         if isinstance(answer, list) or self.transport.ended(address):
-            self._presence.reached(address)
+            self._presence.record_contact(address)
         self._heard_of(duty, answer[0] if isinstance(answer, list) else None)
 
     def _heard_of(self, duty: str, answer: Any) -> None:
@@ -279,29 +297,29 @@
             self._found(duty)
 
     def _known(self, duty: str) -> str | None:
-        if self._counts(duty):
+        if self._is_counting(duty):
             return self._own
         holder = self._holders.get(duty)
-        fresh = self.loop.now - self._contact.get(duty, -ABSENT) < ABSENT
+        fresh = self.loop.now - self._contact.get(duty, -ABSENT_US) < ABSENT_US
         return spelled(holder) if holder and fresh else None
 
     # ---- counting
 
-    def _counts(self, duty: str) -> bool:
+    def _is_counting(self, duty: str) -> bool:
         return duty in self._counters and self._candidate.holds(duty, self.loop.now)
 
     def _count(self, conn: Connection, body: Any, answer: Answer) -> None:
         tenant = str(body[0])
         duty = duty_of(tenant)
-        if not self._counts(duty):
+        if not self._is_counting(duty):
             return answer(None)
-        self._presence.hears(str(body[3]), body[5])
+        self._presence.record_stamp(str(body[3]), body[5])
         quota = self._quota(tenant)
         if quota.rate <= 0:
             quota = Quota(float(body[1]), float(body[2]))  # news of it have not come here yet
-        self._counters[duty].reach(self._presence.share(), self.loop.now)
-        verdict = self._counters[duty].add(tenant, quota, bool(body[4]), self.loop.now)
-        answer([verdict.passes, verdict.level, verdict.wait, self._presence.stamp(), verdict.counted_at])
+        self._counters[duty].set_reachable_share(self._presence.present_share(), self.loop.now)
+        verdict = self._counters[duty].count_request(tenant, quota, bool(body[4]), self.loop.now)
+        answer([verdict.passes, verdict.level, verdict.wait_us, self._presence.stamp(), verdict.counted_at])
 
     def _greet(self, address: Address) -> None:
         """Who calls seldom is reckoned with all the same."""
@@ -316,18 +334,18 @@
                 elif self._holders.get(duty) == address:
                     self._unanswered(duty, address)
 
-        self.transport.ask(address, "greet", [self._node, self._stamps.get(address)], WAIT, answered)
+        self.transport.ask(address, "greet", [self._node, self._stamps.get(address)], COUNTER_TIMEOUT_US, answered)
 
     def _greeted(self, conn: Connection, body: Any, answer: Answer) -> None:
-        self._presence.hears(str(body[0]), body[1])
-        answer([self.held(), self._presence.stamp()])
+        self._presence.record_stamp(str(body[0]), body[1])
+        answer([self.held_duties(), self._presence.stamp()])
 
     def _levels(self, conn: Connection, body: Any, answer: Answer) -> None:
         """What was last read here, and for how long this gateway has lived. Who asks is elected and reckons with
         this gateway from now on."""
         duty = str(body[0])
         self._contact[duty] = self.loop.now
-        levels = self._read.aged(self._of(duty), len(self._presence.lately), self.loop.now)
+        levels = self._readings.aged(self._of(duty), len(self._presence.recent_members), self.loop.now)
         answer(
             [{tenant: list(known) for tenant, known in levels.items()}, self.loop.now - self._born, self._node, body[1]]
         )
@@ -341,45 +359,45 @@
         """
         now = self.loop.now
         counter = QuotaCounter(self._terms, now)
-        gathering = self._gathering[duty] = Gathering(counter, len(self._presence.others()), now - self._born)
-        for tenant, known in self._read.aged(self._of(duty), len(self._presence.lately), now).items():
-            counter.learn(tenant, *known, now)
+        gathering = self._gathering[duty] = UsageCollection(counter, len(self._presence.others()), now - self._born)
+        for tenant, known in self._readings.aged(self._of(duty), len(self._presence.recent_members), now).items():
+            counter.merge_reading(tenant, *known, now)
 
         def gathered(member: Member, address: Address, answer: Any) -> None:
-            if not gathering.counts():
+            if not gathering.is_open():
                 return
-            self._presence.proven(member, address, now, answer)
+            self._presence.check_incarnation(member, address, now, answer)
             if isinstance(answer, list):
-                self._presence.hears(str(answer[2]), answer[3])
-                gathering.learn(answer[0], int(answer[1]), self.loop.now)
+                self._presence.record_stamp(str(answer[2]), answer[3])
+                gathering.record_answer(answer[0], int(answer[1]), self.loop.now)
             else:
-                gathering.no_answer()
-            if gathering.nobody_left():
+                gathering.record_failure()
+            if gathering.is_complete():
                 self._begin_counting(duty, gathering)
 
         def handed(state: CounterState, asked: int) -> None:
-            if not gathering.counts():
+            if not gathering.is_open():
                 return
-            counter.take_over(state, self.loop.now)
-            self._presence.take_over(state.heard, asked)
+            counter.import_state(state, self.loop.now)
+            self._presence.import_ages(state.stamp_ages, asked)
             self._begin_counting(duty, gathering)
 
-        former = self._handover.won(duty)
+        former = self._handover.take_former_holder(duty)
         if former is not None:
-            self._handover.ask_for_state(former, duty, LATE_ANSWERS, handed)
+            self._handover.request_state(former, duty, LATE_ANSWER_TIMEOUT_US, handed)
         for member in self._members().values():
             address = parse_address(member.address)
             if address is not None and member.node != self._node:
                 heard = partial(gathered, member, address)
-                self.transport.ask(address, "levels", [duty, self._presence.stamp()], LATE_ANSWERS, heard)
-        self.loop.at(now + GATHER, lambda _: self._begin_counting(duty, gathering))
+                self.transport.ask(address, "levels", [duty, self._presence.stamp()], LATE_ANSWER_TIMEOUT_US, heard)
+        self.loop.at(now + COLLECTION_TIMEOUT_US, lambda _: self._begin_counting(duty, gathering))
 
-    def _begin_counting(self, duty: str, gathering: Gathering) -> None:
+    def _begin_counting(self, duty: str, gathering: UsageCollection) -> None:
         if self._gathering.get(duty) is not gathering:
             return
         del self._gathering[duty]
         if not self._candidate.holds(duty, self.loop.now):
-            return gathering.end()
+            return gathering.close()
         self._counters[duty] = gathering.counter
         self._counts_since = self.loop.now
         self._holders.pop(duty, None)
@@ -404,7 +422,7 @@
         members = self._members()
         self._ranks = {}
         for duty in self._duties:
-            for rank, member in enumerate(next_on_ring(members, duty, STAND)):
+            for rank, member in enumerate(next_on_ring(members, duty, CANDIDATES_PER_DUTY)):
                 if member.node == self._node:
                     self._ranks[duty] = rank
 
@@ -414,41 +432,47 @@
 
     def _tick(self, _: Any) -> None:
         now = self.loop.now
-        self.loop.at(now + TICK, self._tick)
+        self.loop.at(now + TICK_INTERVAL_US, self._tick)
         greeted: set[Address] = set()
         self._presence.remember()
-        if self.held():
-            self._presence.prove()
+        if self.held_duties():
+            self._presence.probe_absent()
         for duty in self._duties:
-            if duty in self._counters and not self._counts(duty):
+            if duty in self._counters and not self._is_counting(duty):
                 log_event("counts no longer", duty=duty)
                 self._stop_counting(duty)
-                self._handover.hand_on(duty, self._handover.next_for(duty))
+                self._handover.announce_successor(duty, self._handover.first_successor(duty))
             elif duty in self._counters:
-                self._counters[duty].reach(self._presence.share(), now)
+                self._counters[duty].set_reachable_share(self._presence.present_share(), now)
             self._stand(duty)
             holder = self._holders.get(duty)
             if duty in self._counters:
                 continue
             if holder is None:
                 self._find(duty)
-            elif holder not in greeted and now - self._called.get(duty, 0) > GREET:
+            elif holder not in greeted and now - self._called.get(duty, 0) > GREETING_INTERVAL_US:
                 greeted.add(holder)
                 self._greet(holder)
 
     def _stand(self, duty: str) -> None:
         """Renews the votes for a duty that is held, or stands for one that is vacant."""
         now, holds = self.loop.now, duty in self._counters
-        first = self._handover.stands_first(duty)
-        stands = (first or duty in self._ranks) and not self._handover.ending and not self._handover.held_back(duty)
+        first = self._handover.is_successor(duty)
+        stands = (
+            (first or duty in self._ranks)
+            and not self._handover.ending
+            and not self._handover.yields_to_successor(duty)
+        )
         if not holds and not stands:
             return
         silent = max(self._contact.get(duty, 0), self._born)
         if first or self._is_vacant(duty):
-            silent = min(silent, now - QUIET)
-        self._put(self._candidate.tick(duty, silent, 0 if first else self._ranks.get(duty, STAND), now))
+            silent = min(silent, now - HOLDER_SILENCE_US)
+        self._put(
+            self._candidate.next_request(duty, silent, 0 if first else self._ranks.get(duty, CANDIDATES_PER_DUTY), now)
+        )
 
-    def _put(self, ask: Ask | None) -> None:
+    def _put(self, ask: VoteRequest | None) -> None:
         """A question to the whole jury."""
         if ask is None:
             return
@@ -458,7 +482,7 @@
             if isinstance(answer, list):
                 kind, number, yes, known, holder, where, left = answer
                 self._hear(
-                    Word(
+                    VoteResponse(
                         ask.duty,
                         str(kind),
                         (int(number[0]), str(number[1])),
@@ -476,17 +500,17 @@
             self.transport.ask(
                 voter,
                 "ballot",
-                [ask.duty, ask.kind, list(ask.number), self._own],
-                VOTE_TIMEOUT,
+                [ask.duty, ask.kind, list(ask.ballot), self._own],
+                VOTE_TIMEOUT_US,
                 lambda answer, voter=voter: answered(answer, voter),  # type: ignore[misc]
             )
 
-    def _hear(self, word: Word, voter: str, voters: int) -> None:
+    def _hear(self, word: VoteResponse, voter: str, voters: int) -> None:
         now = self.loop.now
-        if not word.yes:
-            self._heard_of(word.duty, word.where)
+        if not word.granted:
+            self._heard_of(word.duty, word.holder_address)
         held = self._candidate.holds(word.duty, now)
-        self._put(self._candidate.hear(word, voter, voters, now))
+        self._put(self._candidate.on_response(word, voter, voters, now))
         if not held and self._candidate.holds(word.duty, now) and word.duty not in self._gathering:
             self._begin(word.duty)
 
@@ -496,31 +520,33 @@
         """This gateway is told to end: its duties go to others, and it stands for none any more."""
         self._handover.ending = True
         self._ranks.clear()
-        self._handover.seek_successors(self.held(), self._hand_on)
+        self._handover.find_successors(self.held_duties(), self._hand_on)
 
     def _hand_on(self, successors: dict[str, Address]) -> None:
         """All duties at once: the voters free all votes for a life together."""
         for duty in list(self._counters):
             self._stop_counting(duty)
         for duty in self._gathering:
-            self._candidate.drop(duty)
+            self._candidate.abandon(duty)
         for voter in self._voter_service():
             self.transport.tell(voter, "ended", self._life)
         for duty, successor in successors.items():
             if duty in self._former:  # else its votes ran out meanwhile, and it was handed on for that
-                self._handover.hand_on(duty, successor)
+                self._handover.announce_successor(duty, successor)
 
     def _stop_counting(self, duty: str) -> None:
-        self._former[duty] = (self._counters.pop(duty), self.loop.now + STATE_KEPT_US)
-        self._candidate.drop(duty)
+        self._former[duty] = (self._counters.pop(duty), self.loop.now + STATE_RETENTION_US)
+        self._candidate.abandon(duty)
 
     def _successors(self, duty: str) -> list[Member]:
         """Who stands next for a duty, those in reach first; of a large fleet no more than may be asked one by one."""
-        found = [member for member in next_on_ring(self._members(), duty, ASKED_TO_TAKE) if member.node != self._node]
-        return sorted(found, key=lambda member: not self._presence.here(member.node))
+        found = [
+            member for member in next_on_ring(self._members(), duty, MAX_SUCCESSORS_ASKED) if member.node != self._node
+        ]
+        return sorted(found, key=lambda member: not self._presence.is_present(member.node))
 
     def _stand_now(self, duty: str, above: int) -> None:
-        self._put(self._candidate.stand(duty, self.loop.now, above))
+        self._put(self._candidate.start_round(duty, self.loop.now, above))
 
     def _gave_up(self, duty: str, holder: Address) -> None:
         if self._holders.get(duty) == holder:
@@ -531,4 +557,4 @@
         counter, until = self._former.get(duty, (None, 0))
         if counter is None or self.loop.now > until:
             return None
-        return counter.state(self._quota, self._presence.ages(), self.loop.now)
+        return counter.export_state(self._quota, self._presence.stamp_ages(), self.loop.now)
--- a/tests/data_plane.py
+++ b/tests/data_plane.py
@@ -41,20 +41,20 @@
         self.asked: list[tuple[str, bool]] = []
         self.given_back: list[str] = []
 
-    def ask(
+    def count_request(
         self, tenant: str, again: bool, then: Callable[[bool, int, bool], None], patience: int, receipt: Receipt
     ) -> None:
         self.asked.append((tenant, again))
         if self.word[0]:
-            receipt.tenant, receipt.counter = tenant, "life"
+            receipt.tenant, receipt.counter_id = tenant, "life"
         then(*self.word)
 
-    def give_back(self, receipt: Receipt) -> None:
-        if receipt.counter:
+    def refund(self, receipt: Receipt) -> None:
+        if receipt.counter_id:
             self.given_back.append(receipt.tenant)
-            receipt.counter = ""
+            receipt.counter_id = ""
 
-    def counts(self, duty: str) -> bool:
+    def holds(self, duty: str) -> bool:
         return False
 
     def holder(self, duty: str) -> None:
--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -321,10 +321,10 @@
         self.word: tuple[bool, int, bool] | None = (True, 0, True)  # of the counter; None: later
         self.owed: list[Callable[[bool, int, bool], None]] = []
         rate_limiter = SimpleNamespace(
-            ask=self._count,
-            counts=lambda duty: False,
+            count_request=self._count,
+            holds=lambda duty: False,
             holder=lambda duty: None,
-            give_back=lambda receipt: None,
+            refund=lambda receipt: None,
         )
         transport = SimpleNamespace(handlers={})
         self.router = RequestRouter(
--- a/tests/ratelimit_simulation.py
+++ b/tests/ratelimit_simulation.py
@@ -18,13 +18,13 @@
 from oakvale.base.address import Address, spelled
 from oakvale.controlplane.voter import VoterService
 from oakvale.dissemination.tree import Member, Members
-from oakvale.ratelimit.quotas import Quota, Terms
-from oakvale.ratelimit.service import DUTIES, RateLimiter
+from oakvale.ratelimit.quotas import Quota, QuotaTerms
+from oakvale.ratelimit.service import DUTY_COUNT, RateLimiter
 from oakvale.transport.links import CONNECT
 from tests import simulated_processes
 from tests.simulated_processes import MS, SECOND, Loop, Time
 
-TERMS = Terms(5 * SECOND, 0.1, 20)
+TERMS = QuotaTerms(5 * SECOND, 0.1, 20)
 CALM = 3 * SECOND  # after the last trouble
 OFF_LIST = 2_500 * MS  # a silent gateway is taken from the list after this
 
@@ -225,9 +225,9 @@
 
     def worst(self) -> tuple[float, int]:
         """The fullest window against what may pass in one, and when it began."""
-        most = (self.quota.rate * TERMS.window / SECOND + self.quota.burst) * (1 + TERMS.excess) + TERMS.slack
+        most = (self.quota.rate * TERMS.window_us / SECOND + self.quota.burst) * (1 + TERMS.excess) + TERMS.slack
         return max(
-            ((bisect_right(self.passed, at + TERMS.window - 1) - n) / most, at)
+            ((bisect_right(self.passed, at + TERMS.window_us - 1) - n) / most, at)
             for n, at in enumerate([*self.passed, 0])
         )
 
@@ -340,7 +340,7 @@
                     self.news()
         holders: dict[str, int] = {}
         for machine in up:
-            for duty in machine.rate_limiter.held() if machine.rate_limiter else ():
+            for duty in machine.rate_limiter.held_duties() if machine.rate_limiter else ():
                 holders[duty] = holders.get(duty, 0) + 1
         able = (
             self.core_up()
@@ -348,7 +348,7 @@
             and not self.cuts
             and not any(m.slow or m.lossy or m.paused or m.sync_ms > 8 for m in self.machines.values())
         )
-        for duty in (f"gauge/{n}" for n in range(DUTIES)):
+        for duty in (f"gauge/{n}" for n in range(DUTY_COUNT)):
             assert holders.get(duty, 0) <= 1, f"{duty} is counted twice"
             if holders.get(duty) or not able:
                 self.vacant[duty] = self.now
@@ -369,7 +369,7 @@
             when = "kill" if self.now - self.kills < CALM else "trouble" if self.now < self.troubled + CALM else "calm"
             owed = tenant.load < 1 and tenant.owed(self.now)
             self.asked[when] += owed
-            machine.rate_limiter.ask(  # type: ignore[union-attr]
+            machine.rate_limiter.count_request(  # type: ignore[union-attr]
                 tenant.name,
                 self.rng.random() < 0.1,
                 lambda passes, wait, counted, owed=owed, when=when:  # type: ignore[misc]
@@ -402,7 +402,7 @@
         self.at(self.now + span, lambda: self.cuts.difference_update(pairs))
 
     def holder(self) -> Machine:
-        held = [m for m in self.gates if m.rate_limiter is not None and m.rate_limiter.held()]
+        held = [m for m in self.gates if m.rate_limiter is not None and m.rate_limiter.held_duties()]
         return self.rng.choice(held or self.gates)
 
     def fault(self) -> None:
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -152,7 +152,7 @@
 
 
 def test_a_client_that_leaves_before_its_request_was_counted_is_counted_apart(gate: Gate) -> None:
-    gate.rate_limiter.ask = lambda tenant, again, then, patience, receipt: None  # type: ignore[method-assign]
+    gate.rate_limiter.count_request = lambda tenant, again, then, patience, receipt: None  # type: ignore[method-assign]
     client = gate.say()
     gate.until(lambda: len(gate.router.requests))
     client.close()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oakvale.controlplane.voter import VoterService
-from oakvale.ratelimit.service import DUTIES
+from oakvale.ratelimit.service import DUTY_COUNT
 from tests.ratelimit_simulation import Fleet
 from tests.simulated_processes import MS, SECOND
 
@@ -64,7 +64,10 @@
         fleet.down(machine, fleet.rng.randrange(1_200, 1_700) * MS, off=True)
     fleet.run(1_700 * MS)
     began = fleet.now
-    while len({duty for gate in fleet.gates if gate.rate_limiter for duty in gate.rate_limiter.held()}) < DUTIES:
+    while (
+        len({duty for gate in fleet.gates if gate.rate_limiter for duty in gate.rate_limiter.held_duties()})
+        < DUTY_COUNT
+    ):
         fleet.run(10 * MS)
         assert fleet.now - began <= AGAIN_COUNTED
     fleet.run(2 * SECOND)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -4,10 +4,18 @@
 
 import pytest
 
-from oakvale.election.voting import LONGEST_ROUND, MARGIN, RENEW, ROUND, SPAN, Candidate, Word
+from oakvale.election.voting import (
+    LEASE_SAFETY_MARGIN_US,
+    MAX_ROUND_TIMEOUT_US,
+    RENEWAL_INTERVAL_US,
+    ROUND_TIMEOUT_US,
+    VOTE_DURATION_US,
+    Candidate,
+    VoteResponse,
+)
 from oakvale.ratelimit.counter_state import CounterState
 from oakvale.ratelimit.handover import Handover
-from oakvale.ratelimit.quotas import SECOND, Quota, QuotaCounter, Terms
+from oakvale.ratelimit.quotas import SECOND, Quota, QuotaCounter, QuotaTerms
 from tests.ratelimit_simulation import Fleet
 from tests.simulated_processes import MS
 
@@ -24,7 +32,10 @@
 
 def holders(fleet: Fleet) -> dict[str, str]:
     return {
-        duty: gate.name for gate in fleet.gates if gate.rate_limiter is not None for duty in gate.rate_limiter.held()
+        duty: gate.name
+        for gate in fleet.gates
+        if gate.rate_limiter is not None
+        for duty in gate.rate_limiter.held_duties()
     }
 
 
@@ -35,7 +46,7 @@
     leaving = fleet.holder()
     leaving.stop(GRACE)
     fleet.run(GRACE - 1)
-    assert leaving.rate_limiter is not None and not leaving.rate_limiter.held()
+    assert leaving.rate_limiter is not None and not leaving.rate_limiter.held_duties()
     assert len(holders(fleet)) == 4 and fleet.longest <= HANDED_WITHIN
     assert sum(fleet.refused.values()) - refused <= 0.02 * (sum(fleet.asked.values()) - asked)
     fleet.judge()
@@ -72,7 +83,7 @@
     for other in [gate for gate in fleet.gates if gate is not leaving][:4]:
         fleet.down(other, SECOND)
         fleet.run(3 * SECOND)
-        assert leaving.rate_limiter is not None and not leaving.rate_limiter.held()
+        assert leaving.rate_limiter is not None and not leaving.rate_limiter.held_duties()
 
 
 def test_all_are_told_to_end_at_once() -> None:
@@ -128,68 +139,81 @@
     times = []
     for _ in range(5):
         began = now
-        assert candidate.tick("d", 0, 0, now) is not None
-        while candidate.tick("d", 0, 0, now) is None:
+        assert candidate.next_request("d", 0, 0, now) is not None
+        while candidate.next_request("d", 0, 0, now) is None:
             now += 10 * MS
         times.append(now - began)
-        candidate.drop("d")
+        candidate.abandon("d")
         candidate._not_before.clear()
-    assert times == [ROUND, 2 * ROUND, 4 * ROUND, LONGEST_ROUND, LONGEST_ROUND]
+    assert times == [
+        ROUND_TIMEOUT_US,
+        2 * ROUND_TIMEOUT_US,
+        4 * ROUND_TIMEOUT_US,
+        MAX_ROUND_TIMEOUT_US,
+        MAX_ROUND_TIMEOUT_US,
+    ]
 
 
 def held(now: int) -> Candidate:
     candidate = Candidate("a")
-    ask = candidate.stand("d", now)
+    ask = candidate.start_round("d", now)
     for kind in ("prepare", "elect"):
         assert ask is not None
         for voter in "xy":
-            ask = candidate.hear(Word("d", kind, ask.number, True), voter, 3, now) or ask
-    assert candidate.until["d"] == now + SPAN - MARGIN
+            ask = candidate.on_response(VoteResponse("d", kind, ask.ballot, True), voter, 3, now) or ask
+    assert candidate.held_until["d"] == now + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US
     return candidate
 
 
 def test_late_votes_renew_from_when_they_were_asked_for() -> None:
     now = 10 * SECOND
     candidate = held(now)
-    asked = now + RENEW
-    first, second = candidate.tick("d", 0, 0, asked), candidate.tick("d", 0, 0, asked + ROUND)
+    asked = now + RENEWAL_INTERVAL_US
+    first, second = (
+        candidate.next_request("d", 0, 0, asked),
+        candidate.next_request("d", 0, 0, asked + ROUND_TIMEOUT_US),
+    )
     assert first is not None and second is not None
-    late = now + SPAN - MARGIN - 1
+    late = now + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US - 1
     for voter in "xy":
-        candidate.hear(Word("d", "elect", first.number, True), voter, 3, late)
-    assert candidate.until["d"] == asked + SPAN - MARGIN
-    candidate.hear(Word("d", "elect", second.number, True), "x", 3, late)
-    assert candidate.until["d"] == asked + SPAN - MARGIN, "votes of two questions are not added up"
-    candidate.hear(Word("d", "elect", second.number, True), "y", 3, late)
-    assert candidate.until["d"] == asked + ROUND + SPAN - MARGIN
+        candidate.on_response(VoteResponse("d", "elect", first.ballot, True), voter, 3, late)
+    assert candidate.held_until["d"] == asked + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US
+    candidate.on_response(VoteResponse("d", "elect", second.ballot, True), "x", 3, late)
+    assert candidate.held_until["d"] == asked + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US, (
+        "votes of two questions are not added up"
+    )
+    candidate.on_response(VoteResponse("d", "elect", second.ballot, True), "y", 3, late)
+    assert candidate.held_until["d"] == asked + ROUND_TIMEOUT_US + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US
 
 
 def test_votes_for_a_round_that_bind_no_longer_win_nothing() -> None:
     candidate, now = Candidate("a"), 10 * SECOND
-    prepare = candidate.stand("d", now)
+    prepare = candidate.start_round("d", now)
     assert prepare is not None
     elect = None
     for voter in "xy":
-        elect = candidate.hear(Word("d", "prepare", prepare.number, True), voter, 3, now) or elect
+        elect = candidate.on_response(VoteResponse("d", "prepare", prepare.ballot, True), voter, 3, now) or elect
     assert elect is not None
     for voter in "xy":
-        candidate.hear(Word("d", "elect", elect.number, True), voter, 3, now + SPAN - MARGIN)
-    assert not candidate.holds("d", now + SPAN - MARGIN)
+        candidate.on_response(
+            VoteResponse("d", "elect", elect.ballot, True), voter, 3, now + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US
+        )
+    assert not candidate.holds("d", now + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US)
 
 
 QUOTA = Quota(20, 20)
-TERMS = Terms(5 * SECOND, 0.1, 20)
+TERMS = QuotaTerms(5 * SECOND, 0.1, 20)
 
 
 @pytest.mark.parametrize("wait", [0, 700 * MS])
 def test_the_state_of_a_counter_means_the_same_by_another_clock(wait: int) -> None:
     before = QuotaCounter(TERMS, 0)
     for n in range(300):
-        before.add("t", QUOTA, False, n * 30 * MS)
+        before.count_request("t", QUOTA, False, n * 30 * MS)
     now, elsewhere = 300 * 30 * MS, 77_000_000 * SECOND
-    handed = CounterState.decode(before.state(lambda _: QUOTA, {"g": 5}, now).encode())
+    handed = CounterState.decode(before.export_state(lambda _: QUOTA, {"g": 5}, now).encode())
     after = QuotaCounter(TERMS, elsewhere)
-    after.take_over(handed, elsewhere)
+    after.import_state(handed, elsewhere)
     assert after.level("t", QUOTA, elsewhere + wait) == pytest.approx(before.level("t", QUOTA, now + wait))
     assert after.level("never seen", QUOTA, elsewhere + wait) <= before.level("never seen", QUOTA, now + wait) + 1e-6
 
@@ -205,7 +229,7 @@
     fleet = started()
     leaving = fleet.holder()
     assert leaving.rate_limiter is not None and leaving.life is not None
-    duty = leaving.rate_limiter.held()[0]
+    duty = leaving.rate_limiter.held_duties()[0]
     first = leaving.rate_limiter._successors(duty)[0]
     old = next(gate for gate in fleet.gates if gate.name == first.node)
     assert old.life is not None
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -209,7 +209,9 @@
         {"oakvale.dataplane.request_router.ServiceDriver.answer_of": may_have_run_is_refused},
     ),
     "nothing is counted": Break(
-        "QUOTA", day(("hot_tenant", 1.0, {"for_s": 6, "x": 4})), {"oakvale.ratelimit.service.RateLimiter.ask": all_pass}
+        "QUOTA",
+        day(("hot_tenant", 1.0, {"for_s": 6, "x": 4})),
+        {"oakvale.ratelimit.service.RateLimiter.count_request": all_pass},
     ),
     "further attempts are free": Break(
         "BUDGET",
--- a/tests/test_lab_experiments.py
+++ b/tests/test_lab_experiments.py
@@ -28,7 +28,7 @@
 name = "base"
 [[variants]]
 name = "longer"
-set = { "oakvale.ratelimit.service.DUTIES" = 8 }
+set = { "oakvale.ratelimit.service.DUTY_COUNT" = 8 }
 [[variants]]
 name = "unsafe"
 """
@@ -115,9 +115,13 @@
 @pytest.mark.parametrize(
     "old, new, said",
     [
-        ("DUTIES", "DUTYS", "variants.longer: oakvale.ratelimit.service.DUTYS: oakvale.ratelimit.service has no DUTYS"),
-        ("= 8 }", "= 'x' }", "variants.longer.set.oakvale.ratelimit.service.DUTIES: 'x' is not like 4"),
-        ("oakvale.ratelimit", "os.ratelimit", "variants.longer: os.ratelimit.service.DUTIES: no name of oakvale's"),
+        (
+            "DUTY_COUNT",
+            "DUTY_COUNTS",
+            "variants.longer: oakvale.ratelimit.service.DUTY_COUNTS: oakvale.ratelimit.service has no DUTY_COUNTS",
+        ),
+        ("= 8 }", "= 'x' }", "variants.longer.set.oakvale.ratelimit.service.DUTY_COUNT: 'x' is not like 4"),
+        ("oakvale.ratelimit", "os.ratelimit", "variants.longer: os.ratelimit.service.DUTY_COUNT: no name of oakvale's"),
         ('"longer"', '"base"', "variants: 'base' is there twice"),
         ("seeds = 8", "seeds = 0", "seeds: Input should be greater than or equal to 1"),
         ("seeds = 8", "seed = 8", "seed: Extra inputs are not permitted"),
@@ -153,8 +157,8 @@
     assert found["oakvale.dissemination.feed.FORGIVEN"] == 20_000_000
     assert found["oakvale.dissemination.feed.Feed.fresh.__defaults__"] == (1_000_000,)
     assert found.keys() >= {"oakvale.dissemination.feed.STALE"} and all(variants.found(name) for name in found)
-    later = variants.patches(Spec(name="later", set={"oakvale.ratelimit.presence.PRESENT": 5}))
-    assert later["oakvale.ratelimit.presence.ABSENT"] == later["oakvale.ratelimit.service.ABSENT"] == 100_005
+    later = variants.patches(Spec(name="later", set={"oakvale.ratelimit.presence.PRESENT_US": 5}))
+    assert later["oakvale.ratelimit.presence.ABSENT_US"] == later["oakvale.ratelimit.service.ABSENT_US"] == 100_005
 
 
 def test_a_hunt_keeps_what_it_found_as_a_day(
--- a/tests/test_lab_failures.py
+++ b/tests/test_lab_failures.py
@@ -68,7 +68,10 @@
             1,
             Spec(
                 name="no-moment",
-                set={"oakvale.dataplane.request_router.MOMENT": 0, "oakvale.ratelimit.service.MOMENT": 0},
+                set={
+                    "oakvale.dataplane.request_router.MOMENT": 0,
+                    "oakvale.ratelimit.service.COUNTER_DISCOVERY_TIMEOUT_US": 0,
+                },
             ),
             refused,
             12,
@@ -104,7 +107,7 @@
     "name, spec, rule",
     [
         # the counter lets far too much over the burst: one edge, one tenant, one trouble
-        ("quota-9-small", Spec(name="lavish", set={"oakvale.ratelimit.quotas.OVER": 40.0}), "QUOTA"),
+        ("quota-9-small", Spec(name="lavish", set={"oakvale.ratelimit.quotas.OVER_BURST_SLACK_SHARE": 40.0}), "QUOTA"),
         # orders whose pieces were on their way to the backup were not compared with: two contents under one number
         (
             "config-14003-small",
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -10,7 +10,7 @@
 from oakvale.controlplane.replication import Replaced
 from oakvale.controlplane.view_change import FOUNDER, Seat, View, founding
 from oakvale.controlplane.voter import VoterService
-from oakvale.election.voting import SPAN
+from oakvale.election.voting import VOTE_DURATION_US
 from tests.simulated_processes import MS
 from tests.test_view_change import roles, settled
 
@@ -153,7 +153,7 @@
     transport = SimpleNamespace(handlers={}, ask=lambda *_: None)
     VoterService(cast(Any, loop), cast(Any, transport), cast(Any, disk))
     said: list[list[Any]] = []
-    for at, life in ((T, "one"), (T + SPAN - 1, "other"), (T + SPAN, "other")):
+    for at, life in ((T, "one"), (T + VOTE_DURATION_US - 1, "other"), (T + VOTE_DURATION_US, "other")):
         time[0] = at
         loop.now = at if life == "other" else loop.now
         transport.handlers["ballot"](None, ["counter", "elect", [1, life], "h:1"], said.append)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,7 +12,7 @@
 from oakvale.base.loop import Clock, Loop
 from oakvale.dissemination.tree import Member, Members
 from oakvale.lifecycle.eventlog import BOOK
-from oakvale.ratelimit.quotas import Quota, Terms
+from oakvale.ratelimit.quotas import Quota, QuotaTerms
 from oakvale.ratelimit.service import RateLimiter
 from oakvale.transport.links import Connection, Transport
 from tests import schedules
@@ -113,7 +113,7 @@
     rate_limiter = RateLimiter(
         world.loop,
         world.transport,
-        Terms(5_000_000, 0.1, 20),
+        QuotaTerms(5_000_000, 0.1, 20),
         "g1",
         "l1",
         "10.0.0.1:7",
@@ -122,11 +122,11 @@
         lambda tenant: Quota(10, 10),
     )
     rate_limiter.members_changed()
-    rate_limiter._presence.prove()
+    rate_limiter._presence.probe_absent()
     world.turn()
-    assert world.transport.ended(PEERS[0]) and not rate_limiter._presence.ended
+    assert world.transport.ended(PEERS[0]) and not rate_limiter._presence.proven_ended
     world.now += 100_000
     world.turn()
-    rate_limiter._presence.prove()
+    rate_limiter._presence.probe_absent()
     world.turn()
-    assert rate_limiter._presence.ended == {"g2": "new"}  # refused since: nobody listens there now
+    assert rate_limiter._presence.proven_ended == {"g2": "new"}  # refused since: nobody listens there now
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -6,20 +6,27 @@
 
 import pytest
 
-from oakvale.loadbalancing.load_board import FAR, OWN, WARM, Board, Offer, leaning
+from oakvale.loadbalancing.load_board import (
+    AFFINITY_WEIGHT,
+    REMOTE_ZONE_COST,
+    WARM_CONNECTION_COST,
+    BackendCandidate,
+    LoadBoard,
+    affinity,
+)
 
 MS, SECOND = 1_000, 1_000_000
-HERE = [Offer(f"b{n}", "z", 2, 0) for n in range(4)]
+HERE = [BackendCandidate(f"b{n}", "z", 2, 0) for n in range(4)]
 
 
-def board() -> Board:
-    return Board(random.Random(7).random)
+def board() -> LoadBoard:
+    return LoadBoard(random.Random(7).random)
 
 
 def test_two_gateways_do_not_meet_at_one_backend_while_others_are_free() -> None:
     """Each alone saw its own attempts only: two slots filled here, four attempts waited there."""
     one = board()
-    named = [one.pick(HERE, f"g{n % 3}", "z", 10_000 * MS, 0) for n in range(8)]
+    named = [one.select(HERE, f"g{n % 3}", "z", 10_000 * MS, 0) for n in range(8)]
     counts = {offer.id: sum(1 for found in named if found and found[0] == offer.id) for offer in HERE}
     assert set(counts.values()) == {2}
 
@@ -27,32 +34,32 @@
 def test_what_is_handed_back_is_free_again_and_what_never_is_runs_out() -> None:
     one = board()
     for _ in range(8):
-        one.pick(HERE, "g", "z", 500 * MS, 0)
-    full = one.pick(HERE, "g", "z", 500 * MS, 0)
+        one.select(HERE, "g", "z", 500 * MS, 0)
+    full = one.select(HERE, "g", "z", 500 * MS, 0)
     assert full is not None
-    one.done(full[0], full[1], "r", 0, "none", 1)
-    assert sum(len(spot.open) for spot in one._spots.values()) == 8
+    one.record_attempt(full[0], full[1], "r", 0, "none", 1)
+    assert sum(len(spot.open) for spot in one._loads.values()) == 8
     for _ in range(8):
-        one.pick(HERE, "g", "z", 900 * MS, 600 * MS)  # a gateway that died hands nothing back
-    assert {len(spot.open) for spot in one._spots.values()} == {2}
+        one.select(HERE, "g", "z", 900 * MS, 600 * MS)  # a gateway that died hands nothing back
+    assert {len(spot.open) for spot in one._loads.values()} == {2}
 
 
 def test_one_that_loses_or_turns_away_what_it_gets_is_left_alone_for_a_while() -> None:
     one = board()
-    found = one.pick(HERE, "g", "z", 10_000 * MS, 0)
+    found = one.select(HERE, "g", "z", 10_000 * MS, 0)
     assert found is not None
-    one.done(*found, "r", 20 * MS, "lost", 1)
-    named = {one.pick(HERE, "g", "z", 10_000 * MS, 2)[0] for _ in range(6)}  # type: ignore[index]
+    one.record_attempt(*found, "r", 20 * MS, "lost", 1)
+    named = {one.select(HERE, "g", "z", 10_000 * MS, 2)[0] for _ in range(6)}  # type: ignore[index]
     assert found[0] not in named
 
 
 def test_one_that_fails_in_part_gets_less_than_the_others() -> None:
     one, draw, got = board(), random.Random(3), dict.fromkeys((o.id for o in HERE), 0)
     for at in range(2_000):
-        name, ticket = one.pick(HERE, f"g{draw.randrange(9)}", "z", 10**9, at * 50 * MS) or ("", 0)
+        name, ticket = one.select(HERE, f"g{draw.randrange(9)}", "z", 10**9, at * 50 * MS) or ("", 0)
         got[name] += 1
         grey = name == "b0" and draw.random() < 0.5
-        one.done(name, ticket, "r", 100 * MS, "error" if grey else "served", at * 50 * MS + 1)
+        one.record_attempt(name, ticket, "r", 100 * MS, "error" if grey else "served", at * 50 * MS + 1)
     assert got["b0"] < min(got[name] for name in ("b1", "b2", "b3")) / 2
 
 
@@ -60,28 +67,28 @@
     """The dead stay listed for a while, warm and idle by what was known: half of what came back went to them."""
     one = board()
     for _ in HERE[:2]:
-        name, ticket = one.pick(HERE[:2], "g", "z", 10_000 * MS, 0) or ("", 0)
-        one.done(name, ticket, "r", 100 * MS, "served", 1)
-        one.pick(HERE[:2], "g", "z", 2 * MS, 1)
-    one.distrust((offer.id for offer in HERE[:2]), 2)
-    cold = [Offer(offer.id, "z", 2, 3_000 * MS) for offer in HERE[2:]]
-    named = {one.pick([*HERE[:2], *cold], "g", "z", 10_000 * MS, 2)[0] for _ in range(4)}  # type: ignore[index]
+        name, ticket = one.select(HERE[:2], "g", "z", 10_000 * MS, 0) or ("", 0)
+        one.record_attempt(name, ticket, "r", 100 * MS, "served", 1)
+        one.select(HERE[:2], "g", "z", 2 * MS, 1)
+    one.mark_suspect((offer.id for offer in HERE[:2]), 2)
+    cold = [BackendCandidate(offer.id, "z", 2, 3_000 * MS) for offer in HERE[2:]]
+    named = {one.select([*HERE[:2], *cold], "g", "z", 10_000 * MS, 2)[0] for _ in range(4)}  # type: ignore[index]
     assert named == {"b2", "b3"}
 
 
 def test_only_what_is_offered_is_named_and_nothing_of_the_rest_is_kept() -> None:
     one = board()
     for _ in range(8):
-        one.pick(HERE, "g", "z", 10_000 * MS, 0)
-    assert one.pick(HERE[:1], "g", "z", 10_000 * MS, 1) is not None
-    assert set(one._spots) == {"b0"}
-    assert one.pick([], "g", "z", 10_000 * MS, 2) is None
+        one.select(HERE, "g", "z", 10_000 * MS, 0)
+    assert one.select(HERE[:1], "g", "z", 10_000 * MS, 1) is not None
+    assert set(one._loads) == {"b0"}
+    assert one.select([], "g", "z", 10_000 * MS, 2) is None
 
 
 def test_the_own_zone_goes_first_until_it_would_have_to_wait() -> None:
     one = board()
-    offers = [Offer("near", "z", 2, 0), Offer("far", "y", 2, 0)]
-    named = [one.pick(offers, "g", "z", 10_000 * MS, 0) for _ in range(4)]
+    offers = [BackendCandidate("near", "z", 2, 0), BackendCandidate("far", "y", 2, 0)]
+    named = [one.select(offers, "g", "z", 10_000 * MS, 0) for _ in range(4)]
     assert [found[0] for found in named if found] == ["near", "near", "far", "far"]
 
 
@@ -98,10 +105,10 @@
             for name, work in busy.items():
                 for end, ticket in [w for w in work if w[0] <= now]:
                     work.remove((end, ticket))
-                    one.done(name, ticket, "r", 100 * MS, "served", now)
+                    one.record_attempt(name, ticket, "r", 100 * MS, "served", now)
             gate = f"g{draw.randrange(12)}"
             by_chance = (f"b{draw.randrange(4)}", 0)
-            name, ticket = (one.pick(HERE, gate, "z", 10**12, now) or by_chance) if choose else by_chance
+            name, ticket = (one.select(HERE, gate, "z", 10**12, now) or by_chance) if choose else by_chance
             late += len(busy[name]) >= 2 and any(len(work) < 2 for work in busy.values())
             ends = sorted(end for end, _ in busy[name])
             start = now if len(ends) < 2 else ends[-2]
@@ -116,26 +123,31 @@
     one = board()
 
     def lose(idled: int, now: int) -> None:
-        found = one.pick(HERE, "g", "z", now + SECOND, now)
+        found = one.select(HERE, "g", "z", now + SECOND, now)
         assert found is not None
-        one.done(*found, "r", MS, "lost", now, idled)
+        one.record_attempt(*found, "r", MS, "lost", now, idled)
 
-    assert one.idling.within(0) is None
+    assert one.idle_timeout.safe_idle_time(0) is None
     lose(400 * MS, 0)
-    assert one.idling.within(1) == 200 * MS
+    assert one.idle_timeout.safe_idle_time(1) == 200 * MS
     lose(150 * MS, SECOND)
     lose(900 * MS, 2 * SECOND)  # longer ones go on to be lost: that tells nothing of the young
-    assert one.idling.within(11 * SECOND) == 75 * MS and one.idling.within(12 * SECOND) is None
+    assert (
+        one.idle_timeout.safe_idle_time(11 * SECOND) == 75 * MS and one.idle_timeout.safe_idle_time(12 * SECOND) is None
+    )
     lose(300 * MS, 13 * SECOND)  # it was forgotten too soon
-    assert one.idling.within(32 * SECOND) == 150 * MS and one.idling.within(33 * SECOND) is None
+    assert (
+        one.idle_timeout.safe_idle_time(32 * SECOND) == 150 * MS
+        and one.idle_timeout.safe_idle_time(33 * SECOND) is None
+    )
 
 
 def test_what_a_full_backend_resets_tells_nothing_of_idle_connections() -> None:
     one = board()
-    named = [one.pick(HERE[:1], "g", "z", SECOND, 0) for _ in range(3)]
+    named = [one.select(HERE[:1], "g", "z", SECOND, 0) for _ in range(3)]
     assert named[2] is not None
-    one.done(*named[2], "r", MS, "lost", 0, 400 * MS)
-    assert one.idling.within(0) is None
+    one.record_attempt(*named[2], "r", MS, "lost", 0, 400 * MS)
+    assert one.idle_timeout.safe_idle_time(0) is None
 
 
 def test_one_gateway_that_loses_everywhere_does_not_empty_the_service() -> None:
@@ -143,65 +155,69 @@
     one, draw, rested = board(), random.Random(5), 0
     for at in range(400):
         now, asker = at * 10 * MS, f"g{draw.randrange(8)}"
-        found = one.pick(HERE, asker, "z", 10**9, now)
+        found = one.select(HERE, asker, "z", 10**9, now)
         assert found is not None
-        one.done(*found, "r", 100 * MS, "lost" if asker == "g0" else "served", now + 1, 0, asker)
-        rested += at > 200 and sum(spot.out_until > now for spot in one._spots.values())
+        one.record_attempt(*found, "r", 100 * MS, "lost" if asker == "g0" else "served", now + 1, 0, asker)
+        rested += at > 200 and sum(spot.out_until > now for spot in one._loads.values())
     assert rested == 0
     for at in range(400, 420):  # what all lose there is the backend's
-        found = one.pick(HERE, f"g{at % 8}", "z", 10**9, at * 10 * MS)
+        found = one.select(HERE, f"g{at % 8}", "z", 10**9, at * 10 * MS)
         assert found is not None
-        one.done(*found, "r", 100 * MS, "lost" if found[0] == "b1" else "served", at * 10 * MS, 0, f"g{at % 8}")
-    assert one._spots["b1"].out_until > 4 * SECOND > one._spots["b2"].out_until
+        one.record_attempt(
+            *found, "r", 100 * MS, "lost" if found[0] == "b1" else "served", at * 10 * MS, 0, f"g{at % 8}"
+        )
+    assert one._loads["b1"].out_until > 4 * SECOND > one._loads["b2"].out_until
 
 
 def test_one_that_failed_is_tried_again_though_others_are_free() -> None:
     """It failed once, was dearer than any free one from then on, and so never got the chance to show better."""
     one = board()
-    found = one.pick(HERE, "g", "z", 10**9, 0)
+    found = one.select(HERE, "g", "z", 10**9, 0)
     assert found is not None
-    one.done(*found, "r", 20 * MS, "error", 1)
+    one.record_attempt(*found, "r", 20 * MS, "error", 1)
 
     def named(now: int) -> set[str]:
-        picks = [one.pick(HERE, f"g{n}", "z", now + 1, now) for n in range(3)]
+        picks = [one.select(HERE, f"g{n}", "z", now + 1, now) for n in range(3)]
         return {pick[0] for pick in picks if pick}
 
     assert found[0] not in set().union(*(named(SECOND + n * MS) for n in range(60)))
     assert found[0] in set().union(*(named(90 * SECOND + n * MS) for n in range(60)))
 
 
-def plainly(one: Board, offers: list[Offer], asker: str, zone: str, now: int) -> str:
+def plainly(one: LoadBoard, offers: list[BackendCandidate], asker: str, zone: str, now: int) -> str:
     """By looking at all of them."""
 
-    def cost(offer: Offer) -> float:
-        one._cost(offer, one._spots[offer.id], now)  # forgets what is over
-        lies = (1 + OWN * leaning(asker, offer.id)) * (FAR if offer.zone != zone else 1.0)
+    def cost(offer: BackendCandidate) -> float:
+        one._cost(offer, one._loads[offer.id], now)  # forgets what is over
+        lies = (1 + AFFINITY_WEIGHT * affinity(asker, offer.id)) * (REMOTE_ZONE_COST if offer.zone != zone else 1.0)
         warm = [end for end in one._kept.get(asker, {}).get(offer.id, []) if end > now]
-        lies *= WARM if warm and len(one._spots[offer.id].open) < offer.slots else 1.0
-        return lies * one._cost(offer, one._spots[offer.id], now)
+        lies *= WARM_CONNECTION_COST if warm and len(one._loads[offer.id].open) < offer.slots else 1.0
+        return lies * one._cost(offer, one._loads[offer.id], now)
 
     return min(offers, key=cost).id
 
 
 @pytest.mark.parametrize("count, load", [(6, 0.9), (60, 0.3), (60, 1.2), (90, 0.95)])
 def test_looking_at_few_finds_what_looking_at_all_does(count: int, load: float) -> None:
-    draw, one = random.Random(count), Board(lambda: 0.0)
-    offers, out = [Offer(f"b{n}", f"z{n % 3}", 2, n % 5 * 100 * MS) for n in range(count)], []
+    draw, one = random.Random(count), LoadBoard(lambda: 0.0)
+    offers, out = [BackendCandidate(f"b{n}", f"z{n % 3}", 2, n % 5 * 100 * MS) for n in range(count)], []
     pace = {offer.id: draw.choice((0.4, 1.0, 1.0, 3.0)) for offer in offers}
-    one.pick(offers, "g", "z0", 0, 0)
+    one.select(offers, "g", "z0", 0, 0)
     for at in range(1_500):
         now, asker, zone = at * 5 * MS, f"g{draw.randrange(9)}", f"z{draw.randrange(3)}"
         if at % 100 == 99:  # some leave, some come
-            offers = [offer for offer in offers if draw.random() < 0.9] + [Offer(f"n{at}", "z1", 2, 300 * MS)]
-            one.pick(offers, asker, zone, 0, now)
+            offers = [offer for offer in offers if draw.random() < 0.9] + [
+                BackendCandidate(f"n{at}", "z1", 2, 300 * MS)
+            ]
+            one.select(offers, asker, zone, 0, now)
         meant = plainly(one, offers, asker, zone, now)
-        found = one.pick(offers, asker, zone, now + 400 * MS, now)
+        found = one.select(offers, asker, zone, now + 400 * MS, now)
         assert found is not None and found[0] == meant
         out.append((asker, found))
         if len(out) > 2 * load * len(offers):
             asker, (name, ticket) = out.pop(draw.randrange(len(out)))
             outcome = draw.choices(("served", "error", "lost", "full"), (94, 3, 2, 1))[0]
-            one.done(
+            one.record_attempt(
                 name,
                 ticket,
                 "r",
@@ -216,26 +232,28 @@
 
 def test_a_gateway_is_named_the_backend_that_it_has_a_connection_to() -> None:
     """Each pick went by lot among those that lay as well: one in eight attempts opened a connection in a fleet."""
-    one, draw, new, idle = Board(random.Random(3).random), random.Random(4), 0, set[tuple[str, str]]()
-    offers = [Offer(f"b{n}", f"z{n % 2}", 2, 0) for n in range(40)]
+    one, draw, new, idle = LoadBoard(random.Random(3).random), random.Random(4), 0, set[tuple[str, str]]()
+    offers = [BackendCandidate(f"b{n}", f"z{n % 2}", 2, 0) for n in range(40)]
     for at in range(4_000):
         now, asker = at * 20 * MS, f"g{draw.randrange(30)}"
-        found = one.pick(offers, asker, "z0", now + SECOND, now)
+        found = one.select(offers, asker, "z0", now + SECOND, now)
         assert found is not None
         new += (asker, found[0]) not in idle
         idle.add((asker, found[0]))
-        speed = 1 + offers.index(Offer(found[0], f"z{int(found[0][1:]) % 2}", 2, 0)) % 5 / 10
-        one.done(*found, "r", int(speed * draw.uniform(80, 120)) * MS, "served", now + 1, 0, asker, 8 * SECOND)
+        speed = 1 + offers.index(BackendCandidate(found[0], f"z{int(found[0][1:]) % 2}", 2, 0)) % 5 / 10
+        one.record_attempt(
+            *found, "r", int(speed * draw.uniform(80, 120)) * MS, "served", now + 1, 0, asker, 8 * SECOND
+        )
     assert new < 2 * 30
 
 
 @pytest.mark.parametrize("asker", [f"g{n}" for n in range(6)])
 def test_a_connection_is_not_worth_a_wait(asker: str) -> None:
     """A full backend in the own zone with an idle connection went before a free one elsewhere."""
-    one, offers = board(), [Offer("here", "z", 2, 0), Offer("there", "y", 2, 0)]
-    one.pick(offers, asker, "z", 0, 0)
-    one.done("here", 0, "r", MS, "served", 1, 0, asker, 8 * SECOND)
+    one, offers = board(), [BackendCandidate("here", "z", 2, 0), BackendCandidate("there", "y", 2, 0)]
+    one.select(offers, asker, "z", 0, 0)
+    one.record_attempt("here", 0, "r", MS, "served", 1, 0, asker, 8 * SECOND)
     for _ in range(2):
-        one.pick(offers[:1], "other", "z", SECOND, 2)
-    found = one.pick(offers, asker, "z", SECOND, 3)
+        one.select(offers[:1], "other", "z", SECOND, 2)
+    found = one.select(offers, asker, "z", SECOND, 3)
     assert found is not None and found[0] == "there"
--- a/tests/test_ratelimit.py
+++ b/tests/test_ratelimit.py
@@ -8,11 +8,28 @@
 
 import pytest
 
-from oakvale.election.voting import MARGIN, ROUND, SPAN, TURN, Ask, Candidate, Voter, Word
-from oakvale.ratelimit.quotas import ALONE, AT_START, Alone, Quota, QuotaCounter, Read, Terms
+from oakvale.election.voting import (
+    LEASE_SAFETY_MARGIN_US,
+    RANK_DELAY_US,
+    ROUND_TIMEOUT_US,
+    VOTE_DURATION_US,
+    Candidate,
+    Voter,
+    VoteRequest,
+    VoteResponse,
+)
+from oakvale.ratelimit.quotas import (
+    LOCAL_SLACK_SHARE,
+    START_SLACK_SHARE,
+    LocalAllowance,
+    Quota,
+    QuotaCounter,
+    QuotaTerms,
+    UsageReadings,
+)
 
 MS, SECOND = 1_000, 1_000_000
-TERMS = Terms(5 * SECOND, 0.1, 20)
+TERMS = QuotaTerms(5 * SECOND, 0.1, 20)
 QUOTA = Quota(63, 63)
 
 
@@ -23,7 +40,7 @@
 def judge(passed: list[int], most: float) -> None:
     """Every request begins a window."""
     for first, at in enumerate(passed):
-        assert bisect_right(passed, at + TERMS.window - 1) - first <= most
+        assert bisect_right(passed, at + TERMS.window_us - 1) - first <= most
 
 
 # ---- floors
@@ -32,13 +49,13 @@
 def test_the_floor_is_the_whole_quota() -> None:
     """What is refused below the limit is worth lost: a tenant at its rate with its burst on top is served whole."""
     floors, now = QuotaCounter(TERMS, 0), 100 * SECOND
-    assert all(floors.add("t", QUOTA, False, now).passes for _ in range(63))
+    assert all(floors.count_request("t", QUOTA, False, now).passes for _ in range(63))
     for _ in range(1_000):
         now += SECOND // 63
-        assert floors.add("t", QUOTA, False, now).passes
-    refused = [floors.add("t", QUOTA, False, now) for _ in range(40)][-1]
-    assert not refused.passes and 0 < refused.wait <= SECOND
-    assert floors.add("t", QUOTA, False, now + refused.wait).passes
+        assert floors.count_request("t", QUOTA, False, now).passes
+    refused = [floors.count_request("t", QUOTA, False, now) for _ in range(40)][-1]
+    assert not refused.passes and 0 < refused.wait_us <= SECOND
+    assert floors.count_request("t", QUOTA, False, now + refused.wait_us).passes
 
 
 @pytest.mark.parametrize("rate", [20, 63])
@@ -48,7 +65,7 @@
     while now < 130 * SECOND:
         now += rng.choice([1, 5, 900]) * MS if rng.random() < 0.9 else 4 * SECOND
         for _ in range(rng.choice([1, 4, 90])):
-            if floors.add("t", quota, rng.random() < 0.3, now).passes:
+            if floors.count_request("t", quota, rng.random() < 0.3, now).passes:
                 passed.append(now)
     assert len(passed) > 5 * rate
     judge(passed, rate * 6 + 0.5 * TERMS.spare(quota))
@@ -57,38 +74,40 @@
 def test_each_that_is_turned_away_is_told_a_time_of_its_own() -> None:
     """Six in ten were told the same few milliseconds, came back together and were turned away for good."""
     floors, now = QuotaCounter(TERMS, 0), 100 * SECOND
-    turned = [v.wait for v in (floors.add("t", QUOTA, False, now) for _ in range(110)) if not v.passes]
+    turned = [v.wait_us for v in (floors.count_request("t", QUOTA, False, now) for _ in range(110)) if not v.passes]
     assert 30 < len(turned) < 60 and turned == sorted(turned) and turned[-1] < SECOND
-    assert all(floors.add("t", QUOTA, True, now + wait).passes for wait in turned)
-    assert max(floors.add("t", QUOTA, False, now + SECOND).wait for _ in range(400)) == SECOND
+    assert all(floors.count_request("t", QUOTA, True, now + wait).passes for wait in turned)
+    assert max(floors.count_request("t", QUOTA, False, now + SECOND).wait_us for _ in range(400)) == SECOND
 
 
 def test_what_none_knows_is_used_and_comes_back() -> None:
     floors = QuotaCounter(TERMS, 10 * SECOND)
-    most = sum(floors.add("t", QUOTA, False, 10 * SECOND).passes for _ in range(100))
-    assert most <= (0.15 + AT_START) * TERMS.spare(QUOTA)
-    assert sum(floors.add("u", QUOTA, False, 11 * SECOND).passes for _ in range(100)) >= 63
+    most = sum(floors.count_request("t", QUOTA, False, 10 * SECOND).passes for _ in range(100))
+    assert most <= (0.15 + START_SLACK_SHARE) * TERMS.spare(QUOTA)
+    assert sum(floors.count_request("u", QUOTA, False, 11 * SECOND).passes for _ in range(100)) >= 63
 
 
 def test_what_none_has_known_for_long_is_not_used() -> None:
     floors = QuotaCounter(TERMS, 10 * SECOND)
-    floors.nothing_before(9 * SECOND)
-    assert sum(floors.add("t", QUOTA, False, 10 * SECOND).passes for _ in range(100)) >= 63
+    floors.bound_unknown_usage(9 * SECOND)
+    assert sum(floors.count_request("t", QUOTA, False, 10 * SECOND).passes for _ in range(100)) >= 63
 
 
 def test_a_counter_leaves_those_out_of_reach_their_share() -> None:
     """Half of the gateways pass alone: what comes back here is half the quota, and half the burst is theirs."""
     floors, now = QuotaCounter(TERMS, 0), 10 * SECOND
-    floors.reach(0.5, now)
-    assert sum(floors.add("t", QUOTA, False, now).passes for _ in range(100)) <= 32 + 0.15 * TERMS.spare(QUOTA)
-    passed = sum(floors.add("t", QUOTA, False, now + n * 5 * MS).passes for n in range(1, 1_001))
+    floors.set_reachable_share(0.5, now)
+    assert sum(floors.count_request("t", QUOTA, False, now).passes for _ in range(100)) <= 32 + 0.15 * TERMS.spare(
+        QUOTA
+    )
+    passed = sum(floors.count_request("t", QUOTA, False, now + n * 5 * MS).passes for n in range(1, 1_001))
     assert 150 <= passed <= 160
 
 
 def test_what_those_out_of_reach_may_have_passed_comes_back() -> None:
     floors, now = QuotaCounter(TERMS, 0), 10 * SECOND
-    floors.reach(0.5, now)
-    floors.reach(1.0, now + SECOND)
+    floors.set_reachable_share(0.5, now)
+    floors.set_reachable_share(1.0, now + SECOND)
     assert floors.level("t", QUOTA, now + SECOND) == pytest.approx(31.5)
     assert floors.level("t", QUOTA, now + SECOND + 100 * MS) == pytest.approx(25.2)
     assert floors.level("t", QUOTA, now + 2 * SECOND) == 0
@@ -97,28 +116,28 @@
 def test_use_leaks_away_by_the_share_that_was_present() -> None:
     """And not by the one that is now: a tenant that came seldom got the whole rate for all the time between."""
     floors = QuotaCounter(TERMS, 0)
-    floors.learn("t", 60.0, 0.0, 10 * SECOND)
-    floors.reach(0.1, 10 * SECOND)
-    floors.reach(1.0, 10 * SECOND + 500 * MS)
+    floors.merge_reading("t", 60.0, 0.0, 10 * SECOND)
+    floors.set_reachable_share(0.1, 10 * SECOND)
+    floors.set_reachable_share(1.0, 10 * SECOND + 500 * MS)
     assert floors.level("t", QUOTA, 10 * SECOND + 500 * MS) == pytest.approx(60 - 3.15)
 
 
 def test_one_that_comes_back_leaves_room_for_first_tries() -> None:
     floors = QuotaCounter(TERMS, 0)
-    while floors.add("t", QUOTA, True, 10 * SECOND).passes:
+    while floors.count_request("t", QUOTA, True, 10 * SECOND).passes:
         pass
-    assert [floors.add("t", QUOTA, False, 10 * SECOND).passes for _ in range(3)] == [True, True, False]
+    assert [floors.count_request("t", QUOTA, False, 10 * SECOND).passes for _ in range(3)] == [True, True, False]
 
 
 def test_no_rate_is_no_quota() -> None:
-    assert QuotaCounter(TERMS, 0).add("t", Quota(), False, 0).passes
-    assert Alone(TERMS, lambda: 1.0, 0).passes("t", Quota(), 0, 0, 0)
+    assert QuotaCounter(TERMS, 0).count_request("t", Quota(), False, 0).passes
+    assert LocalAllowance(TERMS, lambda: 1.0, 0).allows("t", Quota(), 0, 0, 0)
 
 
 def test_the_highest_of_several_readings_holds() -> None:
     floors = QuotaCounter(TERMS, 0)
     for level in (5.0, 40.0, 9.0):
-        floors.learn("t", level, 0.0, SECOND)
+        floors.merge_reading("t", level, 0.0, SECOND)
     assert floors.level("t", QUOTA, SECOND) == 40.0
     assert floors.level("t", QUOTA, SECOND + 100 * MS) == pytest.approx(33.7)
 
@@ -127,32 +146,32 @@
     """Each gateway knows its own alone: the highest of them was far below what had passed."""
     floors = QuotaCounter(TERMS, 0)
     for uncounted in (5.0, 4.0, 9.0):
-        floors.learn("t", 20.0, uncounted, 2 * SECOND)
+        floors.merge_reading("t", 20.0, uncounted, 2 * SECOND)
     assert floors.level("t", QUOTA, 2 * SECOND) == 38.0
-    floors.learn("t", 20.0, 500.0, 2 * SECOND)
+    floors.merge_reading("t", 20.0, 500.0, 2 * SECOND)
     assert floors.level("t", QUOTA, 2 * SECOND) <= 63 + 0.15 * TERMS.spare(QUOTA)
 
 
 def test_low_readings_do_not_vouch_for_a_gateway_that_did_not_answer() -> None:
     """The one with the freshest reading may be the one that died."""
     floors = QuotaCounter(TERMS, 10 * SECOND)
-    floors.learn("t", 2.0, 0.0, 10 * SECOND)
-    assert floors.level("t", QUOTA, 10 * SECOND) == 63 - AT_START * TERMS.spare(QUOTA)
-    floors.nothing_before(8 * SECOND)
+    floors.merge_reading("t", 2.0, 0.0, 10 * SECOND)
+    assert floors.level("t", QUOTA, 10 * SECOND) == 63 - START_SLACK_SHARE * TERMS.spare(QUOTA)
+    floors.bound_unknown_usage(8 * SECOND)
     assert floors.level("t", QUOTA, 10 * SECOND) == 2
 
 
 def test_readings_age() -> None:
-    read = Read()
-    read.note("t", 40.0, 0)
+    read = UsageReadings()
+    read.record("t", 40.0, 0)
     assert read.aged([("t", QUOTA), ("u", QUOTA)], 3, 100 * MS) == {"t": approx(33.7, 0)}
     for _ in range(5):
-        read.add("t", 100 * MS)
-    read.add("u", 100 * MS)
+        read.record_uncounted("t", 100 * MS)
+    read.record_uncounted("u", 100 * MS)
     assert read.aged([("t", QUOTA)], 3, 100 * MS)["t"] == approx(33.7, 5)
     assert read.aged([("t", QUOTA)], 3, 200 * MS)["t"] == approx(27.4, 2.9)
     assert read.aged([("u", QUOTA)], 1, SECOND) == {"u": (0.0, 0.0)}
-    read.note("t", 40.0, SECOND)
+    read.record("t", 40.0, SECOND)
     assert read.aged([("t", QUOTA)], 3, SECOND)["t"] == (40.0, 0.0)
 
 
@@ -163,37 +182,37 @@
     """Of any number of gateways, in every window, on average: less than a request each is drawn by lot."""
     for gateways in (2, 9, 60):
         rng = random.Random(gateways)
-        fleet = [Alone(TERMS, rng.random, 0) for _ in range(gateways)]
+        fleet = [LocalAllowance(TERMS, rng.random, 0) for _ in range(gateways)]
         passed = [
             now
             for now in range(0, 60 * SECOND, 10 * MS)
-            if fleet[rng.randrange(gateways)].passes("t", QUOTA, gateways, 0, now)
+            if fleet[rng.randrange(gateways)].allows("t", QUOTA, gateways, 0, now)
         ]
-        assert 0.4 * ALONE * TERMS.spare(QUOTA) * 12 < len(passed)
-        judge(passed, 1.4 * ALONE * TERMS.spare(QUOTA))
+        assert 0.4 * LOCAL_SLACK_SHARE * TERMS.spare(QUOTA) * 12 < len(passed)
+        judge(passed, 1.4 * LOCAL_SLACK_SHARE * TERMS.spare(QUOTA))
 
 
 def test_one_that_just_started_passes_nothing_alone() -> None:
-    alone = Alone(TERMS, lambda: 0.5, SECOND)
-    assert not alone.passes("t", QUOTA, 1, 0, SECOND)
-    assert not Alone(TERMS, lambda: 0.0, 0).passes("t", QUOTA, 0, 0, 10 * SECOND)
+    alone = LocalAllowance(TERMS, lambda: 0.5, SECOND)
+    assert not alone.allows("t", QUOTA, 1, 0, SECOND)
+    assert not LocalAllowance(TERMS, lambda: 0.0, 0).allows("t", QUOTA, 0, 0, 10 * SECOND)
 
 
 def test_who_reaches_no_counter_passes_its_share_of_the_quota() -> None:
-    alone = Alone(TERMS, random.Random(1).random, 0)
-    passed = [now for now in range(0, 20 * SECOND, 10 * MS) if alone.passes("t", QUOTA, 5, now, now)]
+    alone = LocalAllowance(TERMS, random.Random(1).random, 0)
+    passed = [now for now in range(0, 20 * SECOND, 10 * MS) if alone.allows("t", QUOTA, 5, now, now)]
     assert 20 * 63 / 5 <= len(passed) <= 20 * 63 / 5 + 20
     judge(passed, 6 * 63 / 5 + 10)
 
 
 def test_a_part_of_the_quota_is_earned_while_absent_alone() -> None:
     """Who had not passed anything alone for long got a whole part at once, which the counter had given too."""
-    alone = Alone(TERMS, lambda: 0.9, 0)
-    passed = sum(alone.passes("t", QUOTA, 3, 100 * MS, 20 * SECOND) for _ in range(100))
+    alone = LocalAllowance(TERMS, lambda: 0.9, 0)
+    passed = sum(alone.allows("t", QUOTA, 3, 100 * MS, 20 * SECOND) for _ in range(100))
     assert passed <= 0.2 * TERMS.spare(QUOTA) / 3 + 3
-    assert sum(alone.passes("t", QUOTA, 3, 2 * SECOND, 22 * SECOND) for _ in range(100)) >= 21
-    alone.passes("u", QUOTA, 3, 2 * SECOND, 22 * SECOND)
-    assert sum(alone.passes("u", QUOTA, 3, 0, 23 * SECOND) for _ in range(100)) <= 5
+    assert sum(alone.allows("t", QUOTA, 3, 2 * SECOND, 22 * SECOND) for _ in range(100)) >= 21
+    alone.allows("u", QUOTA, 3, 2 * SECOND, 22 * SECOND)
+    assert sum(alone.allows("u", QUOTA, 3, 0, 23 * SECOND) for _ in range(100)) <= 5
 
 
 # ---- ballots
@@ -212,7 +231,7 @@
         self.candidates = [Candidate("") for _ in range(size)]
         self.frozen: dict[int, int] = {}
         self.cut: set[int] = set()
-        self.mail: list[tuple[int, int, int, str, Ask | Word]] = []  # due, from, to, name of who asked
+        self.mail: list[tuple[int, int, int, str, VoteRequest | VoteResponse]] = []  # due, from, to, name of who asked
         self.vacant = 0  # for how long nobody has held it
         for at in range(size):
             self.start(at)
@@ -222,20 +241,20 @@
         known = self.rng.random() < 0.5
         if known:
             for voter in self.voters:
-                voter.ended(self.names[at], self.now)
+                voter.release_votes(self.names[at], self.now)
         self.lives += 1
         self.names[at] = f"life{self.lives}"
         self.candidates[at] = Candidate(self.names[at])
 
     def start_juror(self, at: int) -> None:
-        self.voters[at] = Voter(self.voters[at].kept(), self.now)
+        self.voters[at] = Voter(self.voters[at].recorded_holders(), self.now)
 
-    def send(self, source: int, target: int, name: str, what: Ask | Word) -> None:
+    def send(self, source: int, target: int, name: str, what: VoteRequest | VoteResponse) -> None:
         wait = self.rng.choice([0, 1, 5, 40]) * MS if self.rng.random() < 0.95 else self.rng.randrange(SECOND)
         if not {source, target} & self.cut and self.rng.random() < 0.98:
             self.mail.append((self.now + wait, source, target, name, what))
 
-    def ask(self, at: int, ask: Ask | None) -> None:
+    def ask(self, at: int, ask: VoteRequest | None) -> None:
         for voter in range(self.size) if ask is not None else ():
             assert ask is not None
             self.send(at, voter, self.names[at], ask)
@@ -245,13 +264,13 @@
         due = [m for m in self.mail if m[0] <= self.now and self.frozen.get(m[2], 0) <= self.now]
         self.mail = [m for m in self.mail if m not in due]
         for _, source, target, name, what in due:
-            if isinstance(what, Ask):
-                self.send(target, source, name, self.voters[target].hear(what, f"at {name}", self.now))
+            if isinstance(what, VoteRequest):
+                self.send(target, source, name, self.voters[target].vote(what, f"at {name}", self.now))
             elif name == self.names[target]:
-                self.ask(target, self.candidates[target].hear(what, str(source), self.size, self.now))
+                self.ask(target, self.candidates[target].on_response(what, str(source), self.size, self.now))
         for at in range(self.size):
             if self.frozen.get(at, 0) <= self.now and self.now // (10 * MS) % 6 == at:
-                self.ask(at, self.candidates[at].tick("d", 0, at, self.now))
+                self.ask(at, self.candidates[at].next_request("d", 0, at, self.now))
         holders = [at for at in range(self.size) if self.candidates[at].holds("d", self.now)]
         assert len(holders) <= 1, f"{holders} hold it at once"
         self.vacant = 0 if holders else self.vacant + 10 * MS
@@ -286,15 +305,17 @@
             voter_service.cut = {at}
         for _ in range(500):
             voter_service.step()
-            assert voter_service.vacant < 2 * SPAN + 3 * ROUND + 5 * TURN, "vacant for too long"
+            assert voter_service.vacant < 2 * VOTE_DURATION_US + 3 * ROUND_TIMEOUT_US + 5 * RANK_DELAY_US, (
+                "vacant for too long"
+            )
 
 
 def won(candidate: Candidate, now: int) -> None:
-    ask = candidate.tick("d", 0, 0, now)
+    ask = candidate.next_request("d", 0, 0, now)
     for kind in ("prepare", "elect"):
         assert ask is not None and ask.kind == kind
         for voter in "xy":
-            ask = candidate.hear(Word("d", kind, ask.number, True), voter, 3, now) or ask
+            ask = candidate.on_response(VoteResponse("d", kind, ask.ballot, True), voter, 3, now) or ask
     assert candidate.holds("d", now)
 
 
@@ -302,61 +323,61 @@
     """They said until when the earlier one binds: with them a holder went on past the votes for it."""
     candidate, now = Candidate("a"), 10 * SECOND
     won(candidate, now)
-    now += SPAN // 2
-    first = candidate.tick("d", 0, 0, now)
-    now += ROUND
-    second = candidate.tick("d", 0, 0, now)
+    now += VOTE_DURATION_US // 2
+    first = candidate.next_request("d", 0, 0, now)
+    now += ROUND_TIMEOUT_US
+    second = candidate.next_request("d", 0, 0, now)
     assert first is not None and second is not None
     for voter in "xy":
-        candidate.hear(Word("d", "elect", first.number, True), voter, 3, now)
-    assert candidate.until["d"] <= now - ROUND + SPAN - MARGIN
+        candidate.on_response(VoteResponse("d", "elect", first.ballot, True), voter, 3, now)
+    assert candidate.held_until["d"] <= now - ROUND_TIMEOUT_US + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US
 
 
 def test_a_holder_that_cannot_renew_stops_by_its_own_clock() -> None:
     candidate = Candidate("a")
     won(candidate, 10 * SECOND)
-    assert candidate.holds("d", 10 * SECOND + SPAN - MARGIN - 1)
-    assert not candidate.holds("d", 10 * SECOND + SPAN - MARGIN)
-    candidate.drop("d")
+    assert candidate.holds("d", 10 * SECOND + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US - 1)
+    assert not candidate.holds("d", 10 * SECOND + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US)
+    candidate.abandon("d")
     assert not candidate.holds("d", 10 * SECOND)
 
 
 def test_a_juror_that_starts_votes_for_no_other_than_before_for_a_span() -> None:
     before = Voter({}, 0)
-    assert before.hear(Ask("d", "elect", (1, "a")), "here", 0).yes
-    assert before.kept() == {"d": ("a", "here")}
-    voter = Voter(before.kept(), SECOND)
-    refused = voter.hear(Ask("d", "elect", (2, "b")), "there", SECOND + SPAN - 1)
-    assert not refused.yes and (refused.holder, refused.where, refused.left) == ("a", "here", 1)
+    assert before.vote(VoteRequest("d", "elect", (1, "a")), "here", 0).granted
+    assert before.recorded_holders() == {"d": ("a", "here")}
+    voter = Voter(before.recorded_holders(), SECOND)
+    refused = voter.vote(VoteRequest("d", "elect", (2, "b")), "there", SECOND + VOTE_DURATION_US - 1)
+    assert not refused.granted and (refused.holder, refused.holder_address, refused.remaining_us) == ("a", "here", 1)
     assert voter.holder("d", SECOND) == ("a", "here")
-    assert voter.hear(Ask("d", "elect", (3, "a")), "here", SECOND).yes
-    assert voter.hear(Ask("e", "elect", (1, "b")), "there", SECOND).yes
+    assert voter.vote(VoteRequest("d", "elect", (3, "a")), "here", SECOND).granted
+    assert voter.vote(VoteRequest("e", "elect", (1, "b")), "there", SECOND).granted
 
 
 def test_a_holder_that_ended_frees_its_votes() -> None:
     voter = Voter({}, 0)
-    voter.hear(Ask("d", "elect", (1, "a")), "here", 0)
-    voter.ended("b", 1)
-    assert not voter.hear(Ask("d", "prepare", (2, "b")), "there", 1).yes
-    voter.ended("a", 2)
+    voter.vote(VoteRequest("d", "elect", (1, "a")), "here", 0)
+    voter.release_votes("b", 1)
+    assert not voter.vote(VoteRequest("d", "prepare", (2, "b")), "there", 1).granted
+    voter.release_votes("a", 2)
     assert voter.holder("d", 2) is None
-    assert voter.hear(Ask("d", "prepare", (2, "b")), "there", 2).yes
-    assert not voter.hear(Ask("d", "prepare", (1, "c")), "over there", 2).yes  # one that is overtaken
+    assert voter.vote(VoteRequest("d", "prepare", (2, "b")), "there", 2).granted
+    assert not voter.vote(VoteRequest("d", "prepare", (1, "c")), "over there", 2).granted  # one that is overtaken
 
 
 def test_those_who_stand_wait_their_turn() -> None:
     first, second, now = Candidate("a"), Candidate("b"), 10 * SECOND
     silent = now - 500 * MS
-    assert first.tick("d", silent, 0, now) is not None
-    assert second.tick("d", silent, 1, now) is None
-    assert second.tick("d", silent, 1, now + TURN) is not None
+    assert first.next_request("d", silent, 0, now) is not None
+    assert second.next_request("d", silent, 1, now) is None
+    assert second.next_request("d", silent, 1, now + RANK_DELAY_US) is not None
 
 
 def test_a_refused_one_asks_again_above_what_it_heard() -> None:
     candidate, now = Candidate("a"), 10 * SECOND
-    ask = candidate.tick("d", 0, 0, now)
+    ask = candidate.next_request("d", 0, 0, now)
     assert ask is not None
-    candidate.hear(Word("d", "prepare", ask.number, False, 7, "b", "there", SECOND), "x", 3, now)
-    assert candidate.tick("d", 0, 0, now + 60 * MS) is None
-    again = candidate.tick("d", 0, 0, now + 150 * MS)
-    assert again is not None and again.number[0] == 8
+    candidate.on_response(VoteResponse("d", "prepare", ask.ballot, False, 7, "b", "there", SECOND), "x", 3, now)
+    assert candidate.next_request("d", 0, 0, now + 60 * MS) is None
+    again = candidate.next_request("d", 0, 0, now + 150 * MS)
+    assert again is not None and again.ballot[0] == 8
--- a/tests/test_refunds.py
+++ b/tests/test_refunds.py
@@ -7,14 +7,14 @@
 import pytest
 
 from oakvale.ratelimit.counter_state import Receipt
-from oakvale.ratelimit.quotas import SECOND, Quota, QuotaCounter, Terms
-from oakvale.ratelimit.refunds import REMEMBERED_US, Returns
+from oakvale.ratelimit.quotas import SECOND, Quota, QuotaCounter, QuotaTerms
+from oakvale.ratelimit.refunds import REFUND_MEMORY_US, RefundLog
 from tests.data_plane import Gate
 from tests.ratelimit_simulation import Fleet, Tenant
 from tests.simulated_processes import MS
 
 QUOTA = Quota(20, 20)
-TERMS = Terms(5 * SECOND, 0.1, 20)
+TERMS = QuotaTerms(5 * SECOND, 0.1, 20)
 
 
 class Plain:
@@ -35,18 +35,18 @@
 def test_no_more_is_given_back_than_if_it_had_never_been_counted(seed: int) -> None:
     rng, now = random.Random(seed), 100 * SECOND
     floors, plain = QuotaCounter(TERMS, now), Plain()
-    floors.nothing_before(now - 100 * SECOND)
+    floors.bound_unknown_usage(now - 100 * SECOND)
     held: list[tuple[int, int]] = []
     whole = 0
     for number in range(400):
         now += rng.choice([0, 3, 20, 60, 400]) * MS * rng.randrange(2)
-        verdict = floors.add("t", QUOTA, False, now)
+        verdict = floors.count_request("t", QUOTA, False, now)
         if verdict.passes:
             plain.counted[number] = now
             held.append((number, verdict.counted_at))
         if held and rng.random() < 0.3:
             taken, counted_at = held.pop(rng.randrange(max(0, len(held) - 6), len(held)))
-            whole += floors.give_back("t", QUOTA, counted_at, now) == 1
+            whole += floors.refund("t", QUOTA, counted_at, now) == 1
             del plain.counted[taken]
         assert floors.level("t", QUOTA, now) >= plain.level(now) - 1e-3, "less than what is counted"
     assert whole > 10
@@ -54,22 +54,24 @@
 
 def test_at_the_edge_of_its_quota_a_tenant_has_all_of_it_back() -> None:
     floors, now = QuotaCounter(TERMS, 0), 200 * SECOND
-    while (verdict := floors.add("t", QUOTA, False, now)).passes:
+    while (verdict := floors.count_request("t", QUOTA, False, now)).passes:
         counted_at = verdict.counted_at
-    assert floors.give_back("t", QUOTA, counted_at, now) == 1
-    assert floors.add("t", QUOTA, False, now).passes and not floors.add("t", QUOTA, False, now).passes
+    assert floors.refund("t", QUOTA, counted_at, now) == 1
+    assert (
+        floors.count_request("t", QUOTA, False, now).passes and not floors.count_request("t", QUOTA, False, now).passes
+    )
 
 
 def test_a_message_counts_once_and_for_the_life_that_counted() -> None:
-    sender, counter = Returns("g", "life"), Returns("h", "other")
-    body = sender.packed("t", "this", 5)
-    assert counter.taken(body, "next", 0) is None, "a counter that knows nothing of it"
-    assert counter.taken(body, "this", 0) == ("t", 5)
-    assert counter.taken(body, "this", 1) is None
-    assert counter.taken(sender.packed("t", "this", 5), "this", 2) == ("t", 5)
+    sender, counter = RefundLog("g", "life"), RefundLog("h", "other")
+    body = sender.encode("t", "this", 5)
+    assert counter.accept(body, "next", 0) is None, "a counter that knows nothing of it"
+    assert counter.accept(body, "this", 0) == ("t", 5)
+    assert counter.accept(body, "this", 1) is None
+    assert counter.accept(sender.encode("t", "this", 5), "this", 2) == ("t", 5)
     for n in range(5):
-        counter.taken(sender.packed("t", "this", 5), "this", REMEMBERED_US + 3 + n)
-    assert len(counter._taken) == 5
+        counter.accept(sender.encode("t", "this", 5), "this", REFUND_MEMORY_US + 3 + n)
+    assert len(counter._accepted) == 5
 
 
 def test_a_receipt_is_good_once_at_whatever_gateway_it_was_counted() -> None:
@@ -81,15 +83,15 @@
         for tenant in ("a", "b", "c"):
             fleet.tenants.setdefault(tenant, idle_tenant(tenant, fleet.now))
             receipt = Receipt()
-            rate_limiter.ask(tenant, False, lambda *_: None, 0, receipt)
+            rate_limiter.count_request(tenant, False, lambda *_: None, 0, receipt)
             fleet.run(20 * MS)
             before = level(fleet, tenant)
-            assert receipt.counter and before > 0
-            rate_limiter.give_back(receipt)
+            assert receipt.counter_id and before > 0
+            rate_limiter.refund(receipt)
             fleet.run(5 * MS)
             after = level(fleet, tenant)
             assert after < before - 0.3
-            rate_limiter.give_back(receipt)
+            rate_limiter.refund(receipt)
             fleet.run(5 * MS)
             assert level(fleet, tenant) >= after - 5 * MS * 21 / SECOND
             fleet.run(500 * MS)
@@ -114,7 +116,7 @@
 
 def test_a_client_that_leaves_before_any_attempt_gives_the_count_back_once(gate: Gate) -> None:
     named = []
-    gate.router.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): named.append(then)  # type: ignore[method-assign]
+    gate.router.boards.select = lambda service, wait, then, facts=None, without=frozenset(): named.append(then)  # type: ignore[method-assign]
     client = gate.say()
     gate.until(lambda: named)
     client.close(reset=True)
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -10,7 +10,7 @@
 
 from oakvale.dataplane.routes import Picture
 from oakvale.failover.chains import Chains
-from oakvale.loadbalancing.board_service import Pick, Turned
+from oakvale.loadbalancing.board_service import Rejected, Selection
 from oakvale.ratelimit.quotas import Quota
 from tests.data_plane import CONFIG, KEY, Gate, sealed
 from tests.node import MS, answer
@@ -116,8 +116,8 @@
     backend.send(sealed())
     gate.reads(first, b"ok")
     gate.pass_time(300 * MS)
-    gate.router.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
-        Pick(service, "i-1", 1, "gauge/0", youth)
+    gate.router.boards.select = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
+        Selection(service, "i-1", 1, "gauge/0", youth)
     )
     gate.say(path, rid="a2")
     if kept:
@@ -129,10 +129,10 @@
 def test_a_connection_that_breaks_on_its_next_request_is_told_of_with_its_idle_time(gate: Gate) -> None:
     gate.show(gone=("i-2",))
     told: list[int] = []
-    gate.router.boards.ask = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
-        Pick(service, "i-1", 1, "gauge/0")
+    gate.router.boards.select = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
+        Selection(service, "i-1", 1, "gauge/0")
     )
-    gate.router.boards.done = lambda pick, route, latency, outcome, dropped=0, kept=0: told.append(  # type: ignore[method-assign]
+    gate.router.boards.report_attempt = lambda pick, route, latency, outcome, dropped=0, kept=0: told.append(  # type: ignore[method-assign]
         dropped
     )
     for rid, ends in (("a1", False), ("a2", True), ("a3", False), ("a4", True)):
@@ -303,7 +303,7 @@
     client = gate.say("/b/x", method="POST", body=b"order")
     name, backend, _ = gate.at_backend()
     gate.turns(4)
-    gate.router.boards.on_closed("one", frozenset({zone_of(name)}))
+    gate.router.boards.on_zones_closed("one", frozenset({zone_of(name)}))
     assert gate.status(client) == 502
     gate.turns(10)
     assert gate.first.take() is None and gate.second.take() is None
@@ -314,7 +314,7 @@
     client = gate.say()
     name, _, _ = gate.at_backend()
     gate.turns(4)
-    gate.router.boards.on_closed("one", frozenset({zone_of(name)}))
+    gate.router.boards.on_zones_closed("one", frozenset({zone_of(name)}))
     other, backend, _ = gate.at_backend()
     assert other != name
     backend.send(sealed())
@@ -325,7 +325,7 @@
         assert there == other
         backend.send(sealed(f"c{n}"))
         assert gate.status(again) == 200
-    gate.router.boards.on_closed("one", frozenset({"y", "z"}))  # all out: better tried than refused
+    gate.router.boards.on_zones_closed("one", frozenset({"y", "z"}))  # all out: better tried than refused
     again = gate.say(rid="d")
     _, backend, _ = gate.at_backend()
     backend.send(sealed("d"))
@@ -334,7 +334,7 @@
 
 def test_what_no_place_has_room_for_is_refused_with_a_time_to_come_back_and_never_runs(gate: Gate) -> None:
     boards: Any = gate.router.boards
-    boards.ask = lambda service, wait, then, facts=None, without=frozenset(): then(Turned(120 * MS))
+    boards.select = lambda service, wait, then, facts=None, without=frozenset(): then(Rejected(120 * MS))
     text = gate.reads(gate.say("/b/x", method="POST", body=b"order"))
     assert text.split()[1] == b"503" and b"retry-after: 0.12" in text.lower()
     gate.turns(10)
@@ -357,11 +357,11 @@
     backend.send(sealed())
     assert gate.status(client) == 200
     assert [len(body) for body in said] == [4, 9]
-    gate.router.boards.show(Chains())
+    gate.router.boards.set_chains(Chains())
     client = gate.say(rid="a2")
     _, backend, _ = gate.at_backend()
     backend.send(sealed("a2"))
     assert gate.status(client) == 200
     assert [len(body) for body in said[2:]] == [5, 10]
-    gate.router.boards.show(None)
+    gate.router.boards.set_chains(None)
     assert gate.router.boards.flows() == []
--- a/tests/test_voter.py
+++ b/tests/test_voter.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oakvale.controlplane.voter import VoterService
-from oakvale.election.voting import SPAN
+from oakvale.election.voting import VOTE_DURATION_US
 from tests.ratelimit_simulation import Fleet
 from tests.simulated_processes import MS, SECOND
 
@@ -27,11 +27,11 @@
     for gateway in others:
         gateway.start()
     fleet.run(2 * SECOND)
-    assert holder.rate_limiter is not None and len(holder.rate_limiter.held()) == 4
+    assert holder.rate_limiter is not None and len(holder.rate_limiter.held_duties()) == 4
     fleet.cut([holder], [*others, only_others], 60 * SECOND, True)
     fleet.cut(others, [only_holder], 60 * SECOND, True)
-    fleet.run(SPAN + 300 * MS)
-    assert len(holder.rate_limiter.held()) == 4
+    fleet.run(VOTE_DURATION_US + 300 * MS)
+    assert len(holder.rate_limiter.held_duties()) == 4
     both.wipe()
     fleet.run(50 * MS)
     both.start()
@@ -41,7 +41,7 @@
 def test_a_voter_that_lost_its_disk_gives_no_second_vote_while_the_first_binds() -> None:
     fleet = holder_with_a_bare_majority()
     fleet.run(5 * SECOND)  # the fleet looks all the while whether a duty is counted twice
-    held = [duty for gateway in fleet.gates if gateway.rate_limiter for duty in gateway.rate_limiter.held()]
+    held = [duty for gateway in fleet.gates if gateway.rate_limiter for duty in gateway.rate_limiter.held_duties()]
     assert len(held) == 4, "counted again once the lost votes bind no longer"
 
 
@@ -97,21 +97,21 @@
 def test_an_empty_disk_says_nothing_for_a_span_also_not_that_a_duty_is_vacant() -> None:
     process = Process(None)
     voter(process, first_start=False)
-    process.run(SPAN - 1)
+    process.run(VOTE_DURATION_US - 1)
     assert not process.votes("a") and not process.answers("who", ["d", "2.2.2.2:2", "a"])
-    process.run(SPAN)
+    process.run(VOTE_DURATION_US)
     assert process.votes("a") and process.answers("who", ["d", "2.2.2.2:2", "a"])
 
 
 def test_a_start_within_the_span_begins_it_anew() -> None:
     process = Process(None)
     voter(process, first_start=False)
-    process.run(SPAN - 1)
+    process.run(VOTE_DURATION_US - 1)
     voter(process, first_start=False)  # killed: nothing was written, so nothing vouches for it yet
     process.due = process.due[-1:]
-    process.run(SPAN)
+    process.run(VOTE_DURATION_US)
     assert not process.votes("a")
-    process.run(2 * SPAN)
+    process.run(2 * VOTE_DURATION_US)
     assert process.votes("a")
 
 
@@ -125,13 +125,13 @@
 def test_a_machine_that_a_view_lets_in_waits_for_a_span_and_one_that_is_let_go_is_silent() -> None:
     process, witness = Process({}), [False]
     voter(process, first_start=False, is_voter=lambda: witness[0])
-    process.run(10 * SPAN)
+    process.run(10 * VOTE_DURATION_US)
     assert not process.votes("a"), "no witness, no vote"
     witness[0] = True
     assert not process.votes("a"), "whose place it takes may have voted just before"
-    process.run(11 * SPAN - 1)
+    process.run(11 * VOTE_DURATION_US - 1)
     assert not process.votes("a")
-    process.run(11 * SPAN)
+    process.run(11 * VOTE_DURATION_US)
     assert process.votes("a")
     witness[0] = False
     assert not process.votes("a")
