--- a/oakvale/loadbalancing/load_board.py
+++ b/oakvale/loadbalancing/load_board.py
@@ -1,9 +1,9 @@
-"""The board of a service: what is open at each of its backends, over all gateways, and how fast each works.
+"""The load board of a service: the open attempts at each of its backends, over all gateways, and each one's speed.
 
-No I/O and no clock. A gateway alone sees a small part of what a backend holds; who keeps the board is asked
-before each first attempt and names the backend that will likely answer first. It only advises: a gateway sends
-to backends that its own news allow, and chooses by itself when nobody answers. What one gateway learns of a
-slow, full or failing backend so helps all.
+No I/O and no clock. A single gateway sees only a small part of a backend's load, so it asks the board holder before
+each first attempt, which names the backend that will likely answer first. This is advice: a gateway sends only to
+backends that its own state updates allow, and selects one itself when the holder does not respond. What one gateway
+learns of a slow, full or failing backend helps all of them.
 """
 
 from __future__ import annotations
@@ -18,202 +18,210 @@
 from oakvale.dissemination.tree import place
 from oakvale.loadbalancing.idle_timeout import IdleTimeoutEstimate
 
-SAMPLE_WEIGHT = 0.15  # weight of the newest sample in moving averages
-FAILURE_DECAY_US = 30_000_000  # microseconds after which a third is left of what failures cost: it is tried again
-FAILURE_COST = 6.0  # a backend that fails everything looks so much slower, and one more
-REMOTE_ZONE_COST = 1.4  # another zone's: its bytes are paid for; still before one that would have it wait
-WARM_CONNECTION_COST = 0.7  # where the asker has an idle connection: a new one costs the backend, and a round trip
-MAX_WARM_CONNECTIONS = 4  # such connections of one asker to one backend that are remembered
-AFFINITY_WEIGHT = 0.4  # each gateway leans to backends of its own: fewer connections serve it, and they stay warm
-DEFAULT_LATENCY_US = 300_000  # microseconds that an answer is reckoned with before one came
-SUSPECT_LOSS_RATE = (
-    0.5  # a gateway that loses more than this of what it sends, and twice what others do, is itself at fault
-)
-MAX_GATEWAYS = 4_096  # gateways whose losses are remembered
-NEAR_CANDIDATES = 32  # backends that are kept in the order of each asker
-MAX_CACHED_ORDERS = 1_000  # askers whose order is kept
-MAX_PAUSE_STEPS = 4  # doublings of the pause of one that fails again and again
+SAMPLE_WEIGHT = 0.15  # of the newest sample in moving averages
+FAILURE_DECAY_US = 30_000_000  # the failure rate decays by 1/e in this time, so that a failing backend is tried again
+FAILURE_COST = 6.0  # a backend that fails all its attempts costs this much more
+REMOTE_ZONE_COST = 1.4  # cross-zone traffic is paid for; still preferred to queueing
+WARM_CONNECTION_COST = 0.7  # with an idle connection; a new one costs the backend work and a round trip
+MAX_WARM_CONNECTIONS = 4  # remembered per gateway and backend
+AFFINITY_WEIGHT = 0.4  # each gateway prefers some backends: it needs fewer connections, and they stay warm
+DEFAULT_LATENCY_US = 300_000  # assumed before the first answer
+SUSPECT_LOSS_RATE = 0.5  # a gateway that loses a larger share, and twice that of the others, is itself at fault
+MAX_GATEWAYS = 4_096  # whose losses are remembered
+NEAR_CANDIDATES = 32  # backends in the cached order of each gateway
+MAX_CACHED_ORDERS = 1_000  # gateways whose order is cached
+MAX_PAUSE_STEPS = 4  # doublings of the pause of a backend that fails repeatedly
 
 
 @dataclass(slots=True, frozen=True)
 class BackendCandidate:
-    """A backend that may be named."""
+    """A backend that may be selected."""
 
     id: str
     zone: str
     slots: float
-    warmup_us: int  # microseconds that it stays slow from when it is first seen
+    warmup_us: int  # it is slow for this long from when it is first seen
 
 
 @dataclass(slots=True)
 class BackendLoad:
+    """Open attempts and recent behaviour of one backend."""
+
     cold_until: int
-    speed: float = 1.0  # its latency against the mean of the route's
-    bad: float = 0.0  # share of attempts that failed, lately, as it stood at `bad_at`
-    bad_at: int = 0
-    fails: int = 0
-    out_until: int = 0
-    open: dict[int, int] = field(default_factory=dict)  # ticket -> when it is over in any case
-    free: set[int] = field(default_factory=set)  # tickets that found a free slot: their time is its speed
+    speed: float = 1.0  # its latency relative to the route's mean; lower is faster
+    failure_rate: float = 0.0  # moving average of failed attempts, as of `failure_rate_at`
+    failure_rate_at: int = 0
+    failures: int = 0
+    paused_until: int = 0
+    open: dict[int, int] = field(default_factory=dict)  # ticket -> when it expires
+    free_slot_tickets: set[int] = field(default_factory=set)  # of attempts without queueing: these measure the speed
 
-    def badness(self, now: int) -> float:
-        return self.bad * exp((self.bad_at - now) / FAILURE_DECAY_US) if self.bad else 0.0
+    def current_failure_rate(self, now: int) -> float:
+        return self.failure_rate * exp((self.failure_rate_at - now) / FAILURE_DECAY_US) if self.failure_rate else 0.0
 
 
-RankedCandidate = tuple[
-    float, BackendCandidate, BackendLoad
-]  # how it lies for an asker: 1 or more, the less the better
+RankedCandidate = tuple[float, BackendCandidate, BackendLoad]  # relative cost for one gateway, at least 1
 
 
 @lru_cache(32768)
-def affinity(asker: str, backend: str) -> float:
-    """0 to 1, drawn once for each pair by their names."""
-    return place(f"{asker} {backend}") / 2.0**64
+def affinity(gateway: str, backend: str) -> float:
+    """0 to 1, by a hash of the two names."""
+    return place(f"{gateway} {backend}") / 2.0**64
 
 
 class LoadBoard:
-    def __init__(self, draw: Callable[[], float]) -> None:
-        self._draw = draw
+    """The load of one service's backends."""
+
+    def __init__(self, random: Callable[[], float]) -> None:
+        self._random = random
         self._loads: dict[str, BackendLoad] = {}
         self._means: dict[str, float] = {}  # route -> microseconds
         self._ticket = 0
-        self._offers: Sequence[BackendCandidate] | None = None
-        self._orders: dict[tuple[str, str], list[RankedCandidate]] = {}  # by asker and its zone
-        self._kept: dict[str, dict[str, list[int]]] = {}  # asker -> backend -> when its idle connections end
-        self._least = 1.0  # speed of the fastest, or less
+        self._candidates: Sequence[BackendCandidate] | None = None
+        self._orders: dict[tuple[str, str], list[RankedCandidate]] = {}  # by gateway and its zone
+        # gateway -> backend -> when its idle connections expire
+        self._warm_connections: dict[str, dict[str, list[int]]] = {}
+        self._min_speed = 1.0  # lower bound of the speeds
         self.idle_timeout = IdleTimeoutEstimate()
-        self._losses: dict[str, float] = {}  # asker -> share of its attempts that were lost, lately
-        self._lost = 0.0  # their sum
+        self._losses: dict[str, float] = {}  # gateway -> moving average of its lost attempts
+        self._loss_sum = 0.0  # sum of `_losses`
 
     def select(
         self,
-        offers: Sequence[BackendCandidate],
-        asker: str,
+        candidates: Sequence[BackendCandidate],
+        gateway: str,
         zone: str,
         until: int,
         now: int,
         within: frozenset[str] | None = None,
         without: frozenset[str] = frozenset(),
     ) -> tuple[str, int] | None:
-        """The backend that will likely answer first, and a ticket that is to be handed back. Few are looked at as a
-        rule: those that lie best for the asker first, until not even the fastest, free, would do any more.
-        `within`: zones that it may stand in, None for all; `without`: backends not to be named."""
-        if offers is not self._offers:
-            self._take(offers, now)
-        near = self._orders.get((asker, zone))
+        """The backend that will likely answer first, and a ticket that `record_attempt` takes back. Candidates are
+        examined in the gateway's order of preference until even the fastest idle backend could not cost less.
+        `until`: when the ticket expires; `within`: allowed zones, None for all; `without`: excluded backends."""
+        if candidates is not self._candidates:
+            self._replace_candidates(candidates, now)
+        near = self._orders.get((gateway, zone))
         if near is None:
-            near = self._order(asker, zone)
-        fastest, best, found = sqrt(self._least), 0.0, None
-        kept = self._kept.get(asker, {})
-        for lies, offer, spot in self._warm(kept, near, asker, zone, now) if kept else ():
-            if offer.id in without or within is not None and offer.zone not in within:
+            near = self._near_candidates(gateway, zone)
+        fastest, best, found = sqrt(self._min_speed), 0.0, None
+        kept = self._warm_connections.get(gateway, {})
+        for preference, candidate, load in self._warm_candidates(kept, near, gateway, zone, now) if kept else ():
+            if candidate.id in without or within is not None and candidate.zone not in within:
                 continue
-            cost = lies * self._cost(offer, spot, now)
-            if len(spot.open) < offer.slots and (found is None or cost < best):  # none is worth a wait
-                best, found = cost, (offer, spot)
-        for lies, offer, spot in chain(near, self._far(asker, zone)):
-            if found is not None and lies * fastest >= best:
+            cost = preference * self._cost(candidate, load, now)
+            # a warm connection is not worth queueing
+            if len(load.open) < candidate.slots and (found is None or cost < best):
+                best, found = cost, (candidate, load)
+        for preference, candidate, load in chain(near, self._far_candidates(gateway, zone)):
+            if found is not None and preference * fastest >= best:
                 break
-            if offer.id in without or within is not None and offer.zone not in within:
+            if candidate.id in without or within is not None and candidate.zone not in within:
                 continue
-            cost = lies * self._cost(offer, spot, now)
+            cost = preference * self._cost(candidate, load, now)
             if found is None or cost < best:
-                best, found = cost, (offer, spot)
+                best, found = cost, (candidate, load)
         if found is None:
             return None
-        offer, spot = found
-        if kept.get(offer.id):
-            kept[offer.id].pop()
+        candidate, load = found
+        if kept.get(candidate.id):
+            kept[candidate.id].pop()
         self._ticket += 1
-        if len(spot.open) < offer.slots:
-            spot.free.add(self._ticket)
-        spot.open[self._ticket] = until
-        return offer.id, self._ticket
+        if len(load.open) < candidate.slots:
+            load.free_slot_tickets.add(self._ticket)
+        load.open[self._ticket] = until
+        return candidate.id, self._ticket
 
-    # ---- what a crest asks (oakvale/failover)
+    # ---- queries of the spill controller (oakvale/failover)
 
     def typical_latency(self) -> int:
-        """Microseconds that an answer takes, of the slowest route."""
+        """Mean latency of the slowest route, in microseconds."""
         return int(max(self._means.values(), default=DEFAULT_LATENCY_US))
 
     def request_cost(self, route: str) -> float:
-        """Slot-seconds that a request of a route takes at mean speed."""
+        """Slot-seconds that a request of a route takes at a backend of mean speed."""
         return self._means.get(route, float(self.typical_latency())) / 1_000_000
 
     def mark_suspect(self, names: Iterable[str], now: int) -> None:
-        """Their place failed: those that start anew there go before these, which may be listed and dead."""
+        """The zone of these backends failed: they may be listed but dead, so restarted ones are preferred to them."""
         for name in names:
             if name in self._loads:
-                self._loads[name].bad, self._loads[name].bad_at = 0.5, now
+                self._loads[name].failure_rate, self._loads[name].failure_rate_at = 0.5, now
 
-    def zone_load(self, offers: Iterable[BackendCandidate]) -> dict[str, tuple[int, float]]:
+    def zone_load(self, candidates: Iterable[BackendCandidate]) -> dict[str, tuple[int, float]]:
         """Zone -> open attempts and slots."""
         found: dict[str, tuple[int, float]] = {}
-        for offer in offers:
-            spot, (out, slots) = self._loads.get(offer.id), found.get(offer.zone, (0, 0.0))
-            found[offer.zone] = (out + (len(spot.open) if spot else 0), slots + offer.slots)
+        for candidate in candidates:
+            load, (out, slots) = self._loads.get(candidate.id), found.get(candidate.zone, (0, 0.0))
+            found[candidate.zone] = (out + (len(load.open) if load else 0), slots + candidate.slots)
         return found
 
-    def zone_capacity(self, offers: Iterable[BackendCandidate]) -> dict[str, float]:
-        """Zone -> slots of mean speed, as answers were measured."""
+    def zone_capacity(self, candidates: Iterable[BackendCandidate]) -> dict[str, float]:
+        """Zone -> slots weighted by measured speed."""
         found: dict[str, float] = {}
-        for offer in offers:
-            spot = self._loads.get(offer.id)
-            found[offer.zone] = found.get(offer.zone, 0.0) + offer.slots / max(spot.speed if spot else 1.0, 0.1)
+        for candidate in candidates:
+            load = self._loads.get(candidate.id)
+            found[candidate.zone] = found.get(candidate.zone, 0.0) + candidate.slots / max(
+                load.speed if load else 1.0, 0.1
+            )
         return found
 
-    def _take(self, offers: Sequence[BackendCandidate], now: int) -> None:
-        """Others are on offer."""
-        self._offers = offers
-        self._loads = {offer.id: self._loads.get(offer.id) or BackendLoad(now + offer.warmup_us) for offer in offers}
+    def _replace_candidates(self, candidates: Sequence[BackendCandidate], now: int) -> None:
+        """Replaces the set of candidates."""
+        self._candidates = candidates
+        self._loads = {
+            candidate.id: self._loads.get(candidate.id) or BackendLoad(now + candidate.warmup_us)
+            for candidate in candidates
+        }
         self._orders.clear()
-        self._least = min((spot.speed for spot in self._loads.values()), default=1.0)
+        self._min_speed = min((load.speed for load in self._loads.values()), default=1.0)
 
-    def _warm(
-        self, kept: dict[str, list[int]], near: list[RankedCandidate], asker: str, zone: str, now: int
+    def _warm_candidates(
+        self, kept: dict[str, list[int]], near: list[RankedCandidate], gateway: str, zone: str, now: int
     ) -> list[RankedCandidate]:
-        """Those to which the asker has an idle connection."""
+        """The candidates that the gateway has an idle connection to."""
         for name in [name for name, until in kept.items() if not until or until[-1] <= now or name not in self._loads]:
             del kept[name]
-        found = [place for place in near if place[1].id in kept]
+        found = [entry for entry in near if entry[1].id in kept]
         if len(found) < len(kept):
-            found = [place for place in self._lying(asker, zone) if place[1].id in kept]
-        return [(WARM_CONNECTION_COST * lies, offer, spot) for lies, offer, spot in found]
+            found = [entry for entry in self._ranked(gateway, zone) if entry[1].id in kept]
+        return [(WARM_CONNECTION_COST * preference, candidate, load) for preference, candidate, load in found]
 
-    def _lying(self, asker: str, zone: str) -> list[RankedCandidate]:
-        made = [
+    def _ranked(self, gateway: str, zone: str) -> list[RankedCandidate]:
+        ranked = [
             (
-                (1 + AFFINITY_WEIGHT * affinity(asker, offer.id)) * (REMOTE_ZONE_COST if offer.zone != zone else 1.0),
-                offer,
-                self._loads[offer.id],
+                (1 + AFFINITY_WEIGHT * affinity(gateway, candidate.id))
+                * (REMOTE_ZONE_COST if candidate.zone != zone else 1.0),
+                candidate,
+                self._loads[candidate.id],
             )
-            for offer in self._offers or ()
+            for candidate in self._candidates or ()
         ]
-        made.sort(key=itemgetter(0))
-        return made
+        ranked.sort(key=itemgetter(0))
+        return ranked
 
-    def _order(self, asker: str, zone: str) -> list[RankedCandidate]:
+    def _near_candidates(self, gateway: str, zone: str) -> list[RankedCandidate]:
         if len(self._orders) >= MAX_CACHED_ORDERS:
             self._orders.clear()
-        made = self._orders[asker, zone] = self._lying(asker, zone)[:NEAR_CANDIDATES]
-        return made
+        ranked = self._orders[gateway, zone] = self._ranked(gateway, zone)[:NEAR_CANDIDATES]
+        return ranked
 
-    def _far(self, asker: str, zone: str) -> Iterator[RankedCandidate]:
-        """Those behind the near ones; worked out only where none of these will do."""
+    def _far_candidates(self, gateway: str, zone: str) -> Iterator[RankedCandidate]:
+        """The candidates behind the cached ones; computed only when none of those will do."""
         if len(self._loads) > NEAR_CANDIDATES:
-            yield from self._lying(asker, zone)[NEAR_CANDIDATES:]
-
-    def _cost(self, offer: BackendCandidate, spot: BackendLoad, now: int) -> float:
-        if spot.open and min(spot.open.values()) <= now:
-            for ticket in [t for t, until in spot.open.items() if until <= now]:
-                del spot.open[ticket]
-                spot.free.discard(ticket)
-        waits = max(0.0, len(spot.open) + 1 - offer.slots) / max(offer.slots, 1.0)
-        # a free slot is what counts; among free ones the faster goes first, but not at any price
-        cost = sqrt(spot.speed) * (1 + 2 * waits) * (1 + FAILURE_COST * spot.badness(now))
-        cost *= 2.0 if now < spot.cold_until else 1.0
-        cost += 100.0 if now < spot.out_until else 0.0  # only where all others are out too
-        return cost * (1 + 0.02 * self._draw())
+            yield from self._ranked(gateway, zone)[NEAR_CANDIDATES:]
+
+    def _cost(self, candidate: BackendCandidate, load: BackendLoad, now: int) -> float:
+        if load.open and min(load.open.values()) <= now:
+            for ticket in [t for t, until in load.open.items() if until <= now]:
+                del load.open[ticket]
+                load.free_slot_tickets.discard(ticket)
+        queue_length = max(0.0, len(load.open) + 1 - candidate.slots) / max(candidate.slots, 1.0)
+        # a free slot matters most; among free ones speed counts by its square root
+        cost = sqrt(load.speed) * (1 + 2 * queue_length) * (1 + FAILURE_COST * load.current_failure_rate(now))
+        cost *= 2.0 if now < load.cold_until else 1.0
+        cost += 100.0 if now < load.paused_until else 0.0  # chosen only if all others are paused too
+        return cost * (1 + 0.02 * self._random())
 
     def record_attempt(
         self,
@@ -224,53 +232,53 @@
         outcome: str,
         now: int,
         dropped: int = 0,
-        asker: str = "",
+        gateway: str = "",
         kept: int = 0,
     ) -> None:
-        """How an attempt ended: `served`, `error` (its own failure), `full`, `lost`, or `none` (never made).
-        `dropped`: it was lost as a connection that had been idle for so many microseconds was written to; `kept`: its
-        connection stays with the asker for so many."""
+        """How an attempt ended: `served`, `error` (the backend's own failure), `full`, `lost`, or `none` (not made).
+        `dropped`: microseconds that its connection had been idle, if that was reset by the first write; `kept`:
+        microseconds for which the gateway keeps the connection open."""
         if kept:
-            if len(self._kept) >= MAX_GATEWAYS:
-                self._kept.clear()
-            ends = self._kept.setdefault(asker, {}).setdefault(name, [])
+            if len(self._warm_connections) >= MAX_GATEWAYS:
+                self._warm_connections.clear()
+            ends = self._warm_connections.setdefault(gateway, {}).setdefault(name, [])
             ends.append(now + kept)
             del ends[:-MAX_WARM_CONNECTIONS]
-        believed = outcome == "none" or self._believes(asker, outcome == "lost")
-        spot = self._loads.get(name)
-        if spot is None:
+        trusted = outcome == "none" or self._trusts_report(gateway, outcome == "lost")
+        load = self._loads.get(name)
+        if load is None:
             return
-        spot.open.pop(ticket, None)
-        alone = ticket in spot.free
-        spot.free.discard(ticket)
-        if dropped and alone:  # a full backend may reset what it is sent, too
+        load.open.pop(ticket, None)
+        had_free_slot = ticket in load.free_slot_tickets
+        load.free_slot_tickets.discard(ticket)
+        if dropped and had_free_slot:  # a full backend may also reset connections
             self.idle_timeout.record_loss(dropped, now)
-        if outcome == "none" or outcome == "lost" and not believed:
+        if outcome == "none" or outcome == "lost" and not trusted:
             return
         failed = outcome in ("lost", "full", "error")
         if outcome != "full":
-            was = spot.badness(now)
-            spot.bad, spot.bad_at = was + SAMPLE_WEIGHT * (failed - was), now
+            was = load.current_failure_rate(now)
+            load.failure_rate, load.failure_rate_at = was + SAMPLE_WEIGHT * (failed - was), now
         if outcome == "served":
-            spot.fails = max(0, spot.fails - 1)
-            if alone:
+            load.failures = max(0, load.failures - 1)
+            if had_free_slot:
                 mean = self._means.get(route, float(latency))
                 self._means[route] = mean + SAMPLE_WEIGHT / 3 * (latency - mean)
-                spot.speed += SAMPLE_WEIGHT * (min(latency / max(mean, 1.0), 4.0) - spot.speed)
-                self._least = min(self._least, spot.speed)
+                load.speed += SAMPLE_WEIGHT * (min(latency / max(mean, 1.0), 4.0) - load.speed)
+                self._min_speed = min(self._min_speed, load.speed)
         elif outcome in ("lost", "full"):
             mean = max(self._means.values(), default=0.0) or 100_000.0
-            spot.fails = min(spot.fails + 1, MAX_PAUSE_STEPS)
-            spot.out_until = now + int(mean * 2 ** (spot.fails - 3))
+            load.failures = min(load.failures + 1, MAX_PAUSE_STEPS)
+            load.paused_until = now + int(mean * 2 ** (load.failures - 3))
 
-    def _believes(self, asker: str, lost: bool) -> bool:
-        """Whether what an asker lost tells of backends: one whose own link is bad loses at all of them, and would
-        have the others sent away from each in turn."""
+    def _trusts_report(self, gateway: str, lost: bool) -> bool:
+        """Whether a gateway's losses are attributed to the backends. A gateway with a bad network link loses attempts
+        everywhere, and would get every backend paused for all gateways."""
         if len(self._losses) >= MAX_GATEWAYS:
             self._losses.clear()
-            self._lost = 0.0
-        was = self._losses.get(asker, 0.0)
-        own = self._losses[asker] = was + SAMPLE_WEIGHT * (lost - was)
-        self._lost += own - was
-        others = (self._lost - own) / max(1, len(self._losses) - 1)
+            self._loss_sum = 0.0
+        was = self._losses.get(gateway, 0.0)
+        own = self._losses[gateway] = was + SAMPLE_WEIGHT * (lost - was)
+        self._loss_sum += own - was
+        others = (self._loss_sum - own) / max(1, len(self._losses) - 1)
         return own < SUSPECT_LOSS_RATE or len(self._losses) < 2 or others > own / 2
--- a/tests/test_load_board.py
+++ b/tests/test_load_board.py
@@ -158,7 +158,7 @@
         found = one.select(HERE, asker, "z", 10**9, now)
         assert found is not None
         one.record_attempt(*found, "r", 100 * MS, "lost" if asker == "g0" else "served", now + 1, 0, asker)
-        rested += at > 200 and sum(spot.out_until > now for spot in one._loads.values())
+        rested += at > 200 and sum(spot.paused_until > now for spot in one._loads.values())
     assert rested == 0
     for at in range(400, 420):  # what all lose there is the backend's
         found = one.select(HERE, f"g{at % 8}", "z", 10**9, at * 10 * MS)
@@ -166,7 +166,7 @@
         one.record_attempt(
             *found, "r", 100 * MS, "lost" if found[0] == "b1" else "served", at * 10 * MS, 0, f"g{at % 8}"
         )
-    assert one._loads["b1"].out_until > 4 * SECOND > one._loads["b2"].out_until
+    assert one._loads["b1"].paused_until > 4 * SECOND > one._loads["b2"].paused_until
 
 
 def test_one_that_failed_is_tried_again_though_others_are_free() -> None:
@@ -190,7 +190,7 @@
     def cost(offer: BackendCandidate) -> float:
         one._cost(offer, one._loads[offer.id], now)  # forgets what is over
         lies = (1 + AFFINITY_WEIGHT * affinity(asker, offer.id)) * (REMOTE_ZONE_COST if offer.zone != zone else 1.0)
-        warm = [end for end in one._kept.get(asker, {}).get(offer.id, []) if end > now]
+        warm = [end for end in one._warm_connections.get(asker, {}).get(offer.id, []) if end > now]
         lies *= WARM_CONNECTION_COST if warm and len(one._loads[offer.id].open) < offer.slots else 1.0
         return lies * one._cost(offer, one._loads[offer.id], now)
 
--- a/tests/test_refunds.py
+++ b/tests/test_refunds.py
@@ -116,7 +116,9 @@
 
 def test_a_client_that_leaves_before_any_attempt_gives_the_count_back_once(gate: Gate) -> None:
     named = []
-    gate.router.boards.select = lambda service, wait, then, facts=None, without=frozenset(): named.append(then)  # type: ignore[method-assign]
+    gate.router.boards.select = (  # type: ignore[method-assign]
+        lambda service, wait, on_selected, facts=None, without=frozenset(): named.append(on_selected)
+    )
     client = gate.say()
     gate.until(lambda: named)
     client.close(reset=True)
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -116,7 +116,7 @@
     backend.send(sealed())
     gate.reads(first, b"ok")
     gate.pass_time(300 * MS)
-    gate.router.boards.select = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
+    gate.router.boards.select = lambda service, wait, on_selected, facts=None, without=frozenset(): on_selected(  # type: ignore[method-assign]
         Selection(service, "i-1", 1, "gauge/0", youth)
     )
     gate.say(path, rid="a2")
@@ -129,7 +129,7 @@
 def test_a_connection_that_breaks_on_its_next_request_is_told_of_with_its_idle_time(gate: Gate) -> None:
     gate.show(gone=("i-2",))
     told: list[int] = []
-    gate.router.boards.select = lambda service, wait, then, facts=None, without=frozenset(): then(  # type: ignore[method-assign]
+    gate.router.boards.select = lambda service, wait, on_selected, facts=None, without=frozenset(): on_selected(  # type: ignore[method-assign]
         Selection(service, "i-1", 1, "gauge/0")
     )
     gate.router.boards.report_attempt = lambda pick, route, latency, outcome, dropped=0, kept=0: told.append(  # type: ignore[method-assign]
@@ -334,7 +334,7 @@
 
 def test_what_no_place_has_room_for_is_refused_with_a_time_to_come_back_and_never_runs(gate: Gate) -> None:
     boards: Any = gate.router.boards
-    boards.select = lambda service, wait, then, facts=None, without=frozenset(): then(Rejected(120 * MS))
+    boards.select = lambda service, wait, on_selected, facts=None, without=frozenset(): on_selected(Rejected(120 * MS))
     text = gate.reads(gate.say("/b/x", method="POST", body=b"order"))
     assert text.split()[1] == b"503" and b"retry-after: 0.12" in text.lower()
     gate.turns(10)
