--- a/oakvale/ratelimit/counter_state.py
+++ b/oakvale/ratelimit/counter_state.py
@@ -1,4 +1,4 @@
-"""What is told of a counter: its state, as one holder gives it to the next; where and when it counted one request."""
+"""Data that leaves a counter: its state, handed to the next holder, and the receipt of a counted request."""
 
 from __future__ import annotations
 
@@ -8,21 +8,19 @@
 
 @dataclass(slots=True, frozen=True)
 class CounterState:
-    """What a counter knows, with ages in microseconds, so that it means the same by another clock."""
+    """A counter's state. Times are ages in microseconds, so that they are valid by another machine's clock."""
 
     levels: dict[str, float]
-    unknown_age: int  # since what it does not know was a full burst
-    absences: tuple[tuple[float, int], ...] = ()  # shares of gateways out of reach, and for how long they are back
-    stamp_ages: dict[str, int] = field(
-        default_factory=dict
-    )  # gateways in reach: age of the latest stamp they told back
+    unknown_age: int  # since unknown usage was taken for a full burst
+    absences: tuple[tuple[float, int], ...] = ()  # share of unreachable gateways, and age of its end
+    stamp_ages: dict[str, int] = field(default_factory=dict)  # gateway -> age of the latest stamp it echoed
 
     def encode(self) -> list[Any]:
         return [self.levels, self.unknown_age, [list(absence) for absence in self.absences], self.stamp_ages]
 
     @classmethod
     def decode(cls, body: Any) -> CounterState:
-        """Raises TypeError, ValueError or IndexError where the message is not one."""
+        """Raises TypeError, ValueError, IndexError or AttributeError where the body is not a counter state."""
         levels, unknown_age, absences, stamp_ages = body
         return cls(
             {str(tenant): float(level) for tenant, level in levels.items()},
@@ -34,8 +32,8 @@
 
 @dataclass(slots=True)
 class Receipt:
-    """Of one request that was counted. It is given back once at most, and to the very counter that counted it."""
+    """Where and when a request was counted. It is refunded at most once, and only to the counter that counted it."""
 
     tenant: str = ""
-    counter_id: str = ""  # its life; empty while the request was not counted, and once it was given back
+    counter_id: str = ""  # its incarnation; empty before the request is counted and after a refund
     counted_at: int = 0  # by the clock of that counter
--- a/oakvale/ratelimit/handover.py
+++ b/oakvale/ratelimit/handover.py
@@ -1,12 +1,12 @@
-"""Handing duties on, so that a duty whose holder stops is counted again within a few round trips.
+"""Duty handover: a duty whose holder shuts down is counted again within a few round trips.
 
-A gateway that is told to end asks those who stand next for each of its duties whether one will take it. Once that is
-known of all, the holder stops counting, frees its votes, and tells everyone who comes next. The successor stands for
-the duty at once, and asks the holder, which lives on for a while, for the state of its counter. A holder whose votes
-run out does the same without the question, as it may not go on.
+A gateway that shuts down asks the next candidates for each of its duties for consent to take it. When all duties have
+a successor, the holder stops counting, releases its votes, and announces the successors to all gateways. A successor
+starts an election at once, and asks the former holder, which keeps running for a while, for its counter's state. A
+holder whose lease expires does the same without asking for consent, as it must stop immediately.
 
-Nothing here is needed for safety: a successor counts only once a majority has voted for it, and the votes of the one
-before have been freed or have run out. All that is lost with a message is time.
+Safety doesn't depend on this: a successor counts only once a majority has voted for it, which requires that the former
+holder's votes were released or have expired. A lost message only costs time.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from oakvale.ratelimit.counter_state import CounterState
 from oakvale.transport.links import Answer, Connection, Transport
 
-CONSENT_TIMEOUT_US = 150_000  # for one gateway to say whether it takes a duty
-CONSENT_RETRY_US = 200_000  # where nobody takes a duty, since all are told to end
-SUCCESSOR_PRIORITY_US = 2_000_000  # a successor stands as if the duty were vacant for so long
-SUCCESSOR_HOLDOFF_US = 400_000  # for so long nobody else stands for a duty that was handed on
-STATE_RETENTION_US = 5_000_000  # a former holder answers for the state of its counter
+CONSENT_TIMEOUT_US = 150_000  # for one gateway to answer
+CONSENT_RETRY_US = 200_000  # where no gateway consents, because all are shutting down
+SUCCESSOR_PRIORITY_US = 2_000_000  # a successor treats the duty as vacant for this long
+SUCCESSOR_HOLDOFF_US = 400_000  # other gateways are no candidates for this long
+STATE_RETENTION_US = 5_000_000  # how long a former holder serves its counter's state
 
 log_event = EventLogger(__name__)
 
 
 class Handover:
-    """One gateway's part: as holder, as successor, and as one who hears of it."""
+    """One gateway's part: as holder, as successor, and as recipient of announcements."""
 
     def __init__(
         self,
         loop: Loop,
         transport: Transport,
-        own: str,
+        self_address: str,
         successors: Callable[[str], list[Member]],
         others: Callable[[], list[Address]],
         stand: Callable[[str, int], None],
@@ -45,38 +45,38 @@
         state: Callable[[str], CounterState | None],
         lost: Callable[[str, Address], None],
     ) -> None:
-        """`successors`: who stands next for a duty, the first first; `stand`: stand for it at once, in a round above
-        one that voters may have promised the former holder; `highest_round`: that any voter is known to have heard
-        of; `state`: of the counter of a duty that was held here; `lost`: the holder of a duty gave it up.
+        """`successors`: the next candidates for a duty, in order; `stand`: starts an election for a duty in a round
+        above the given one, which voters may have promised to the former holder; `highest_round`: the highest known;
+        `state`: counter state of a duty that was held here; `lost`: called when the holder of a duty gave it up.
         """
-        self._loop, self._transport, self._own = loop, transport, own
+        self._loop, self._transport, self._self_address = loop, transport, self_address
         self._successors, self._others = successors, others
         self._stand, self._highest_round, self._state, self._lost = stand, highest_round, state, lost
-        self.ending = False
-        self._taken_from: dict[str, tuple[Address, int]] = {}  # duty -> its former holder, and when it was handed here
-        self._held_back: dict[str, int] = {}  # duty -> until when others leave it to its successor
-        transport.handlers["will you take"] = self._asked_for_consent
-        transport.handlers["handed"] = self._handed
-        transport.handlers["counter state"] = self._asked_for_state
+        self.shutting_down = False
+        self._taken_from: dict[str, tuple[Address, int]] = {}  # duty -> its former holder, and time of the handover
+        self._held_off_until: dict[str, int] = {}  # duty -> until when it is left to its successor
+        transport.handlers["will you take"] = self._on_consent_request
+        transport.handlers["handed"] = self._on_handed
+        transport.handlers["counter state"] = self._on_state_request
 
     def is_successor(self, duty: str) -> bool:
-        """Whether the duty was lately handed to this gateway."""
+        """Whether the duty was recently handed to this gateway."""
         at = self._taken_from.get(duty, (None, -SUCCESSOR_PRIORITY_US))[1]
-        return self._loop.now - at < SUCCESSOR_PRIORITY_US and not self.ending
+        return self._loop.now - at < SUCCESSOR_PRIORITY_US and not self.shutting_down
 
     def yields_to_successor(self, duty: str) -> bool:
-        """Whether another gateway was lately named as successor and is left the duty."""
-        return self._loop.now < self._held_back.get(duty, 0)
+        """Whether another gateway was recently announced as successor, so that this one must not be a candidate."""
+        return self._loop.now < self._held_off_until.get(duty, 0)
 
     def take_former_holder(self, duty: str) -> Address | None:
-        """The duty is held here now. The former holder, where it lately handed the duty to this gateway."""
+        """Called when the duty is won: the former holder, if it recently handed the duty to this gateway."""
         holder, at = self._taken_from.pop(duty, (None, 0))
         return holder if holder is not None and self._loop.now - at < SUCCESSOR_PRIORITY_US else None
 
     def request_state(
-        self, holder: Address, duty: str, timeout: int, then: Callable[[CounterState, int], None]
+        self, holder: Address, duty: str, timeout: int, on_state: Callable[[CounterState, int], None]
     ) -> None:
-        """`then` hears the state, and when it was asked for: its ages are at least as long since then."""
+        """Calls `on_state` with the state and the time of the request, which its ages are subtracted from."""
         asked = self._loop.now
 
         def answered(answer: Any) -> None:
@@ -86,81 +86,83 @@
                 state = CounterState.decode(answer)
             except (TypeError, ValueError, IndexError, AttributeError):
                 return log_event("counter state not understood", "warning", duty=duty)
-            then(state, asked)
+            on_state(state, asked)
 
         self._transport.ask(holder, "counter state", duty, timeout, answered)
 
     # ---- as holder
 
     def find_successors(self, duties: Iterable[str], found: Callable[[dict[str, Address]], None]) -> None:
-        """`found` hears who takes each duty, once that is known of all: who agreed to take it, or else who agreed to
-        take another. While nobody agrees to any, all are asked again and again.
+        """Calls `found` with a successor for each duty, once all requests are answered: the gateway that consented to
+        take it, or else one that consented to take another. While none consents, the requests are repeated.
         """
-        wanted, agreed = list(duties), dict[str, Address | None]()
+        duties_to_place, agreed = list(duties), dict[str, Address | None]()
 
-        def told(duty: str, successor: Address | None) -> None:
+        def on_consent(duty: str, successor: Address | None) -> None:
             agreed[duty] = successor
-            if len(agreed) < len(wanted):
+            if len(agreed) < len(duties_to_place):
                 return
-            anyone = next((address for address in agreed.values() if address is not None), None)
-            if anyone is not None:
-                found({each: address or anyone for each, address in agreed.items()})
+            any_successor = next((address for address in agreed.values() if address is not None), None)
+            if any_successor is not None:
+                found({each: address or any_successor for each, address in agreed.items()})
             else:
-                self._loop.at(self._loop.now + CONSENT_RETRY_US, lambda _: self.find_successors(wanted, found))
+                self._loop.at(self._loop.now + CONSENT_RETRY_US, lambda _: self.find_successors(duties_to_place, found))
 
-        if not wanted:
+        if not duties_to_place:
             found({})
-        for duty in wanted:
-            self._ask_next(duty, self._addresses(duty), told)
+        for duty in duties_to_place:
+            self._request_consent(duty, self._addresses(duty), on_consent)
 
     def announce_successor(self, duty: str, successor: Address | None) -> None:
-        """The duty is not held here any more: all are told who comes next, the successor first."""
+        """Announces to all gateways, the successor first, that the duty is not held here any more."""
         log_event("handed on", duty=duty, to=successor[0] if successor else "nobody")
-        body = [duty, self._own, None if successor is None else list(successor), self._highest_round()]
+        body = [duty, self._self_address, None if successor is None else list(successor), self._highest_round()]
         first = [] if successor is None else [successor]
         for address in first + [other for other in self._others() if other != successor]:
             self._transport.tell(address, "handed", body)
 
     def first_successor(self, duty: str) -> Address | None:
-        """Who would be told to take it without being asked."""
+        """The first candidate, whose consent was not asked for."""
         return next(iter(self._addresses(duty)), None)
 
     def _addresses(self, duty: str) -> list[Address]:
         found = [parse_address(member.address) for member in self._successors(duty)]
         return [address for address in found if address is not None]
 
-    def _ask_next(self, duty: str, left: list[Address], found: Callable[[str, Address | None], None]) -> None:
-        if not left:
+    def _request_consent(
+        self, duty: str, candidates: list[Address], found: Callable[[str, Address | None], None]
+    ) -> None:
+        if not candidates:
             return found(duty, None)
 
         def answered(answer: Any) -> None:
             if answer is True:
-                found(duty, left[0])
+                found(duty, candidates[0])
             else:
-                self._ask_next(duty, left[1:], found)
+                self._request_consent(duty, candidates[1:], found)
 
-        self._transport.ask(left[0], "will you take", duty, CONSENT_TIMEOUT_US, answered)
+        self._transport.ask(candidates[0], "will you take", duty, CONSENT_TIMEOUT_US, answered)
 
-    def _asked_for_state(self, conn: Connection, body: Any, answer: Answer) -> None:
+    def _on_state_request(self, conn: Connection, body: Any, answer: Answer) -> None:
         state = self._state(str(body))
         answer(None if state is None else state.encode())
 
-    # ---- as successor, and as one who hears of it
+    # ---- as successor, and as recipient of announcements
 
-    def _asked_for_consent(self, conn: Connection, body: Any, answer: Answer) -> None:
-        answer(not self.ending)
+    def _on_consent_request(self, conn: Connection, body: Any, answer: Answer) -> None:
+        answer(not self.shutting_down)
 
-    def _handed(self, conn: Connection, body: Any, _: Answer) -> None:
+    def _on_handed(self, conn: Connection, body: Any, _: Answer) -> None:
         duty, holder = str(body[0]), parse_address(str(body[1]))
-        if holder is None or str(body[1]) == self._own:
+        if holder is None or str(body[1]) == self._self_address:
             return
         self._lost(duty, holder)
         successor = None if body[2] is None else (str(body[2][0]), int(body[2][1]))
         if successor is None:
             return
-        if successor == parse_address(self._own):
-            if not self.ending:
+        if successor == parse_address(self._self_address):
+            if not self.shutting_down:
                 self._taken_from[duty] = (holder, self._loop.now)
                 self._stand(duty, int(body[3]))
         else:
-            self._held_back[duty] = self._loop.now + SUCCESSOR_HOLDOFF_US
+            self._held_off_until[duty] = self._loop.now + SUCCESSOR_HOLDOFF_US
--- a/oakvale/ratelimit/presence.py
+++ b/oakvale/ratelimit/presence.py
@@ -1,7 +1,7 @@
-"""The gateways of the list as a counter sees them: who lately heard from it, who has ended, who is out of reach.
+"""The listed gateways as a counter sees them: present, unreachable, or proven to have ended.
 
-A counter stamps its answers and is told its latest stamp back; for a while from then it reckons with that gateway. One
-that it does not reckon with may pass a share of the quota alone, unless it is proven to have ended.
+A counter stamps its answers, and gateways echo the latest stamp. A gateway is present for `PRESENT_US` from the time of
+its stamp. One that is not present may be using its local share of the quota, unless it is proven to have ended.
 """
 
 from __future__ import annotations
@@ -15,31 +15,41 @@
 from oakvale.dissemination.tree import Member, Members
 from oakvale.transport.links import Transport
 
-PRESENT_US = 900_000  # a counter reckons with who has heard from it this lately, as far as it knows
-ABSENT_US = PRESENT_US + 100_000  # after so long without hearing from it, a gateway knows that none reckons with it
-MEMBER_RETENTION_US = 10_000_000  # one that left the list may still pass its share, unless it is proven to have ended
-SHARE_CACHE_US = 10_000  # the share of gateways that is present is worked out anew after this
-REACHABLE_US = 2_000_000  # answers of other gateways this lately show that it is not this one that is cut off
-PROBE_TIMEOUT_US = 150_000  # microseconds for a gateway to say which life it is
+PRESENT_US = 900_000  # from the stamp that a gateway echoed
+ABSENT_US = PRESENT_US + 100_000  # without an answer for this long, a gateway knows that it is not present
+MEMBER_RETENTION_US = 10_000_000  # a gateway off the list may still use its share this long
+SHARE_CACHE_US = 10_000  # how long the computed share is reused
+REACHABLE_US = 2_000_000  # a gateway that answered this recently is reachable
+PROBE_TIMEOUT_US = 150_000  # for a gateway to report its incarnation
 
 
 class Presence:
-    def __init__(self, loop: Loop, transport: Transport, node: str, life: str, members: Callable[[], Members]) -> None:
-        self._loop, self._transport, self._node, self._life, self._members = loop, transport, node, life, members
-        self.last_stamps: dict[str, int] = {}  # gateway -> the latest stamp that it told back
-        self.recent_members: dict[str, Member] = {}  # gateways that are on the list, or were lately
-        self.proven_ended: dict[str, str] = {}  # gateway -> its life that is proven to have ended
-        self._listed = Members()  # as last looked at, and when that was
-        self._looked = loop.now
-        self._left: dict[str, int] = {}  # of those no longer on it: when they were last seen there
+    """One gateway's view of the other gateways."""
+
+    def __init__(
+        self, loop: Loop, transport: Transport, node: str, incarnation: str, members: Callable[[], Members]
+    ) -> None:
+        self._loop, self._transport, self._node, self._incarnation, self._members = (
+            loop,
+            transport,
+            node,
+            incarnation,
+            members,
+        )
+        self.last_stamps: dict[str, int] = {}  # gateway -> the latest stamp that it echoed
+        self.recent_members: dict[str, Member] = {}  # on the list, or lately removed from it
+        self.proven_ended: dict[str, str] = {}  # gateway -> its incarnation that is proven to have ended
+        self._listed = Members()  # the list last processed, and when that was
+        self._processed_at = loop.now
+        self._left: dict[str, int] = {}  # gateway off the list -> when it was last seen there
         self._addresses: tuple[Members, list[Address]] = (self._listed, [])
-        self._share = (1.0, -SHARE_CACHE_US)  # of gateways that are present, and when that was worked out
-        self._reached: dict[Address, int] = {}  # gateway -> when it last answered, or was proven to have ended
+        self._share = (1.0, -SHARE_CACHE_US)  # share of gateways that are present, and when it was computed
+        self._contacted_at: dict[Address, int] = {}  # gateway -> when it last answered, or was proven to have ended
 
     # ---- the list
 
     def remember(self) -> None:
-        """Takes in what changed on the list; who left it is known for a while."""
+        """Processes changes of the list; removed gateways are kept for `MEMBER_RETENTION_US`."""
         now = self._loop.now
         listed, known = self._members(), self._listed
         if listed is not known:
@@ -53,9 +63,9 @@
                     self.recent_members[node] = member
                     self._left.pop(node, None)
                 elif node in known:
-                    self._left[node] = self._looked
+                    self._left[node] = self._processed_at
             self._listed = listed
-        self._looked = now
+        self._processed_at = now
         for node in [node for node, at in self._left.items() if now - at > MEMBER_RETENTION_US]:
             del self._left[node], self.recent_members[node]
 
@@ -67,25 +77,25 @@
             self._addresses = listed, [address for address in found if address is not None]
         return self._addresses[1]
 
-    # ---- who reckons with this counter
+    # ---- presence of gateways at this counter
 
     def stamp(self) -> list[Any]:
-        """To be told back by who hears it."""
-        return [self._life, self._loop.now]
+        """Sent with each answer, to be echoed by the gateway that receives it."""
+        return [self._incarnation, self._loop.now]
 
     def record_stamp(self, node: str, stamp: Any) -> None:
-        """A gateway tells back what was the latest that it heard from here: until when it surely waits."""
-        if isinstance(stamp, list) and stamp[0] == self._life:
+        """Processes the stamp that a gateway echoed: the time of the latest answer that it received from here."""
+        if isinstance(stamp, list) and stamp[0] == self._incarnation:
             self.last_stamps[node] = max(self.last_stamps.get(node, 0), int(stamp[1]))
 
     def import_ages(self, ages: dict[str, int], asked: int) -> None:
-        """Who was present at the counter before; the ages are at least as long since it was asked."""
+        """Takes over the stamps of the former counter; the ages refer to when it was asked for them."""
         for node, age in ages.items():
             self.last_stamps[node] = max(self.last_stamps.get(node, 0), asked - age)
         self._share = (1.0, -SHARE_CACHE_US)
 
     def stamp_ages(self) -> dict[str, int]:
-        """Of the stamps of those that are present."""
+        """Present gateways and the ages of their stamps."""
         now = self._loop.now
         return {node: now - at for node, at in self.last_stamps.items() if now - at < PRESENT_US}
 
@@ -93,19 +103,20 @@
         return self._loop.now - self.last_stamps.get(node, -PRESENT_US) < PRESENT_US
 
     def present_share(self) -> float:
-        """The share of gateways that are known to have heard from this one lately. Those that are proven to have
-        ended pass nothing, and leave nothing out."""
+        """The share of gateways that are present. Those proven to have ended pass no requests, and are left out."""
         now = self._loop.now
         if now - self._share[1] >= SHARE_CACHE_US:
-            may = {node for node, member in self.recent_members.items() if self.proven_ended.get(node) != member.life}
-            here = sum(1 for node in may | {self._node} if node == self._node or self.is_present(node))
-            self._share = (min(1.0, here / max(1, len(may | {self._node}))), now)
+            may_pass = {
+                node for node, member in self.recent_members.items() if self.proven_ended.get(node) != member.life
+            }
+            present = sum(1 for node in may_pass | {self._node} if node == self._node or self.is_present(node))
+            self._share = (min(1.0, present / max(1, len(may_pass | {self._node}))), now)
         return self._share[0]
 
-    # ---- who has ended, and who answers
+    # ---- ended and reachable gateways
 
     def probe_absent(self) -> None:
-        """Who is not here may have ended."""
+        """Asks the gateways that are not present for their incarnation, as they may have ended."""
         for node, member in self.recent_members.items():
             address = parse_address(member.address)
             if (
@@ -114,22 +125,22 @@
                 and not self.is_present(node)
                 and self.proven_ended.get(node) != member.life
             ):
-                proven = partial(self.check_incarnation, member, address, self._loop.now)
-                self._transport.ask(address, "life", None, PROBE_TIMEOUT_US, proven)
+                check = partial(self.check_incarnation, member, address, self._loop.now)
+                self._transport.ask(address, "life", None, PROBE_TIMEOUT_US, check)
 
     def check_incarnation(self, member: Member, address: Address, asked: int, answer: Any) -> None:
-        """Its answer to any question tells whether the life on the list has ended."""
+        """Records whether the listed incarnation has ended, by another incarnation's answer or a refused connection."""
         refused = answer is None and self._transport.ended(address, asked)
         if isinstance(answer, str) and answer != member.life or refused:
             self.proven_ended[member.node] = member.life
 
     def record_contact(self, address: Address) -> None:
-        """It answered, or is proven to have ended."""
-        self._reached[address] = self._loop.now
+        """The gateway answered, or is proven to have ended."""
+        self._contacted_at[address] = self._loop.now
 
     def reaches_half(self) -> bool:
-        """Whether half of the others answer. One that is cut off from them is taken from the list, and after a while
-        its share is theirs."""
+        """Whether at least half of the others answer. A gateway that is isolated from them is removed from the list,
+        and its share of the quota passes to them after a while."""
         now = self._loop.now
-        others = [self._reached.get(address, -REACHABLE_US) for address in self.others()]
+        others = [self._contacted_at.get(address, -REACHABLE_US) for address in self.others()]
         return 2 * sum(1 for at in others if now - at < REACHABLE_US) >= len(others)
--- a/oakvale/ratelimit/service.py
+++ b/oakvale/ratelimit/service.py
@@ -1,5 +1,6 @@
-"""A gateway's part in the counting: it asks who counts a tenant, counts those it was elected for, and passes its
-share alone while nobody answers. The decisions are in `floors` and `ballots`; here they meet the mains.
+"""A gateway's part in rate limiting: it asks the counter of a tenant, counts the tenants that it was elected for, and
+passes its local share while no counter answers. The decisions are made in `quotas` and `election.voting`; this module
+connects them to the internal network.
 """
 
 from __future__ import annotations
@@ -28,25 +29,25 @@
 from oakvale.ratelimit.usage_collection import UsageCollection
 from oakvale.transport.links import Answer, Connection, Transport
 
-DUTY_COUNT = 4  # parts that the tenants are counted in
-CANDIDATES_PER_DUTY = 4  # gateways that stand for a duty
-MAX_SUCCESSORS_ASKED = 12  # gateways that are asked, one by one, to take a duty from one that ends
-COUNTER_TIMEOUT_US = 150_000  # microseconds for the counter's answer
+DUTY_COUNT = 4  # the tenants are partitioned into this many duties
+CANDIDATES_PER_DUTY = 4  # gateways
+MAX_SUCCESSORS_ASKED = 12  # gateways that are asked, one by one, to take over a duty
+COUNTER_TIMEOUT_US = 150_000  # for any answer about counting
 TICK_INTERVAL_US = 60_000
-GREETING_INTERVAL_US = 250_000  # without a call to a counter for so long, it is greeted
-COLLECTION_TIMEOUT_US = 100_000  # for what others last read, before a new counter begins
-LATE_ANSWER_TIMEOUT_US = 1_000_000  # what others last read counts for so long, also after it has begun
-VOTE_TIMEOUT_US = VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US  # a vote that comes later binds no longer
-COUNTER_DISCOVERY_TIMEOUT_US = 120_000  # a request waits so long for a counter to be found
-VACANCY_VALID_US = 250_000  # how long a juror's word that nobody does a duty is good
-HOLDER_BACKOFF_US = 80_000  # after an unanswered call, the counter is not waited for
-ISOLATED_AFTER_US = 2_000_000  # without a keeper for so long, a gateway is cut off: another keeper is found sooner
-LONG_ABSENT_US = 3_000_000  # and surely knows it then: its last call was under way for a fraction of a second
-ISOLATED_SHARE = 0.25  # of its even share it uses then: it sees few clients, or is without power
+GREETING_INTERVAL_US = 250_000  # a counter not called for this long is greeted, so that this gateway stays present
+COLLECTION_TIMEOUT_US = 100_000  # a new counter waits this long for the readings of other gateways
+LATE_ANSWER_TIMEOUT_US = 1_000_000  # readings are accepted this long, also after the counter has started
+VOTE_TIMEOUT_US = VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US  # a later vote has expired
+COUNTER_DISCOVERY_TIMEOUT_US = 120_000  # a request waits this long for a counter to be found
+VACANCY_VALID_US = 250_000  # how long a voter's response that a duty is vacant is valid
+HOLDER_BACKOFF_US = 80_000  # for this long after an unanswered call, the counter is not called again
+ISOLATED_AFTER_US = 2_000_000  # without a holder for this long, a gateway is isolated: a new holder is found sooner
+LONG_ABSENT_US = 3_000_000  # after this it surely knows that it is isolated
+ISOLATED_SHARE = 0.25  # of its even share; an isolated gateway has few clients or no power
 
 log_event = EventLogger(__name__)
 
-CountCallback = Callable[[bool, int, bool], None]  # passes, microseconds until one more would, whether it was counted
+CountCallback = Callable[[bool, int, bool], None]  # passes, wait in microseconds, whether it was counted
 
 
 def duty_of(tenant: str) -> str:
@@ -54,121 +55,126 @@
 
 
 class RateLimiter:
+    """Counts requests against the tenants' quotas, here or at the elected counter."""
+
     def __init__(
         self,
         loop: Loop,
         transport: Transport,
         terms: QuotaTerms,
         node: str,
-        life: str,
-        own: str,
+        incarnation: str,
+        self_address: str,
         members: Callable[[], Members],
         voters: Callable[[], list[str]],
         quota: Callable[[str], Quota],
     ) -> None:
         self.loop, self.transport, self._terms = loop, transport, terms
-        self._node, self._life, self._own = node, life, own
+        self._node, self._incarnation, self._self_address = node, incarnation, self_address
         self._members, self._voters, self._quota = members, voters, quota
         self._duties = [f"gauge/{n}" for n in range(DUTY_COUNT)]
-        self._candidate = Candidate(life)
-        self._presence = Presence(loop, transport, node, life, members)
-        self._counters: dict[str, QuotaCounter] = {}  # of the duties held here
-        self._gathering: dict[str, UsageCollection] = {}
-        self._former: dict[str, tuple[QuotaCounter, int]] = {}  # counters of duties that were held here, and until when
+        self._candidate = Candidate(incarnation)
+        self._presence = Presence(loop, transport, node, incarnation, members)
+        self._counters: dict[str, QuotaCounter] = {}  # duty -> counter, of duties held here
+        self._collections: dict[str, UsageCollection] = {}
+        # duty -> counter of a duty formerly held here, and until when it is kept
+        self._former_counters: dict[str, tuple[QuotaCounter, int]] = {}
         self._counts_since = 0  # when a duty was last won
         self._holders: dict[str, Address] = {}
-        self._contact: dict[str, int] = {}  # duty -> when its counter last answered
-        self._called: dict[str, int] = {}
-        self._doubt: dict[str, int] = {}
-        self._asked: dict[str, int] = {}
-        self._vacant: dict[str, dict[Address, int]] = {}  # duty -> juror -> when it last knew of nobody
-        self._ranks: dict[str, int] = {}  # duty -> this gateway's place among those who stand for it
-        self._stamps: dict[Address, Any] = {}  # counter -> its latest stamp, to be told back to it
-        self._born = loop.now
+        self._last_answer: dict[str, int] = {}  # duty -> when its counter last answered
+        self._last_call: dict[str, int] = {}
+        self._unanswered_at: dict[str, int] = {}
+        self._last_search: dict[str, int] = {}
+        self._vacant: dict[str, dict[Address, int]] = {}  # duty -> voter -> when it last reported no holder
+        self._ranks: dict[str, int] = {}  # duty -> this gateway's rank among its candidates
+        self._stamps: dict[Address, Any] = {}  # counter -> its latest stamp, to be echoed
+        self._started_at = loop.now
         self._waiting: dict[str, dict[int, Callable[[], None]]] = {}
-        self._number = 0
+        self._wait_number = 0
         self._readings = UsageReadings()
         self._local_allowance = LocalAllowance(terms, loop.net.rng.random, loop.now)
-        self._tenants: dict[str, None] = {}
-        self._refunds = RefundLog(node, life)
+        self._seen_tenants: dict[str, None] = {}
+        self._refunds = RefundLog(node, incarnation)
         self._handover = Handover(
             loop,
             transport,
-            own,
+            self_address,
             self._successors,
             self._presence.others,
-            self._stand_now,
+            self._start_election,
             self._candidate.highest_round,
-            self._state,
-            self._gave_up,
+            self._former_state,
+            self._on_given_up,
         )
-        transport.handlers["count"] = self._count
-        transport.handlers["greet"] = self._greeted
-        transport.handlers["give back"] = self._given_back
-        transport.handlers["gauge"] = self._announced
-        transport.handlers["counts"] = lambda conn, body, answer: answer([self._known(str(body))])
-        transport.handlers["levels"] = self._levels
-        transport.handlers["life"] = lambda conn, body, answer: answer(life)
+        transport.handlers["count"] = self._on_count
+        transport.handlers["greet"] = self._on_greeting
+        transport.handlers["give back"] = self._on_refund
+        transport.handlers["gauge"] = self._on_announcement
+        transport.handlers["counts"] = lambda conn, body, answer: answer([self._known_holder(str(body))])
+        transport.handlers["levels"] = self._on_levels_request
+        transport.handlers["life"] = lambda conn, body, answer: answer(incarnation)
         loop.at(loop.now + TICK_INTERVAL_US, self._tick)
 
     def held_duties(self) -> list[str]:
         return sorted(duty for duty in self._counters if self._is_counting(duty))
 
     def holds(self, duty: str) -> bool:
-        """Whether this gateway does a duty now."""
+        """Whether this gateway holds the duty and counts."""
         return self._is_counting(duty)
 
     def holder(self, duty: str) -> Address | None:
-        """The other gateway that does it, as far as known."""
+        """The other gateway that holds the duty, as far as known."""
         return self._holders.get(duty)
 
-    # ---- asking
+    # ---- as client of a counter
 
     def count_request(
         self,
         tenant: str,
         again: bool,
-        then: CountCallback,
+        on_counted: CountCallback,
         patience: int = COUNTER_DISCOVERY_TIMEOUT_US,
         receipt: Receipt | None = None,
     ) -> None:
-        """Whether one more request of this tenant passes; `again`: it came back after a refusal. `receipt` is filled in
-        where it was counted, before `then` is called.
+        """Calls `on_counted` with whether one more request of this tenant passes. `again`: the request is a retry after
+        a refusal; `receipt`: filled in before the call if the request was counted.
         """
         quota = self._quota(tenant)
         if quota.rate <= 0:
-            return then(True, 0, True)
-        self._tenants[tenant] = None
+            return on_counted(True, 0, True)
+        self._seen_tenants[tenant] = None
         duty, now = duty_of(tenant), self.loop.now
         if self._is_counting(duty):
             self._counters[duty].set_reachable_share(self._presence.present_share(), now)
-            verdict = self._counters[duty].count_request(tenant, quota, again, now)
-            self._readings.record(tenant, verdict.level, now)
-            if receipt is not None and verdict.passes:
-                receipt.tenant, receipt.counter_id, receipt.counted_at = tenant, self._life, verdict.counted_at
-            return then(verdict.passes, verdict.wait_us, True)
+            decision = self._counters[duty].count_request(tenant, quota, again, now)
+            self._readings.record(tenant, decision.level, now)
+            if receipt is not None and decision.passes:
+                receipt.tenant, receipt.counter_id, receipt.counted_at = tenant, self._incarnation, decision.counted_at
+            return on_counted(decision.passes, decision.wait_us, True)
         holder = self._holders.get(duty)
         if holder is None and patience:
-            return self._wait_for(duty, partial(self.count_request, tenant, again, then, 0, receipt), patience)
-        if holder is None or now - self._doubt.get(duty, -HOLDER_BACKOFF_US) < HOLDER_BACKOFF_US:
-            return self._pass_alone(tenant, quota, then)
+            return self._wait_for_counter(
+                duty, partial(self.count_request, tenant, again, on_counted, 0, receipt), patience
+            )
+        if holder is None or now - self._unanswered_at.get(duty, -HOLDER_BACKOFF_US) < HOLDER_BACKOFF_US:
+            return self._pass_locally(tenant, quota, on_counted)
 
         def answered(answer: Any) -> None:
             if not isinstance(answer, list):
-                self._unanswered(duty, holder)
-                if patience and self._holders.get(duty) != holder:  # it has just handed the duty on, or has ended
-                    once_more = partial(self.count_request, tenant, again, then, 0, receipt)
-                    return once_more() if duty in self._holders else self._wait_for(duty, once_more, patience)
-                return self._pass_alone(tenant, quota, then)
-            self._doubt.pop(duty, None)
-            self._contact[duty], self._stamps[holder] = self.loop.now, answer[3]
+                self._on_unanswered(duty, holder)
+                if patience and self._holders.get(duty) != holder:  # it has just handed over the duty, or has ended
+                    retry = partial(self.count_request, tenant, again, on_counted, 0, receipt)
+                    return retry() if duty in self._holders else self._wait_for_counter(duty, retry, patience)
+                return self._pass_locally(tenant, quota, on_counted)
+            self._unanswered_at.pop(duty, None)
+            self._last_answer[duty], self._stamps[holder] = self.loop.now, answer[3]
             passes, level, wait = bool(answer[0]), float(answer[1]), int(answer[2])
             self._readings.record(tenant, level, self.loop.now)
-            if receipt is not None and passes and len(answer) > 4:  # the version before tells no time
+            if receipt is not None and passes and len(answer) > 4:  # the previous version sends no time
                 receipt.tenant, receipt.counter_id, receipt.counted_at = tenant, str(answer[3][0]), int(answer[4])
-            then(passes, wait, True)
+            on_counted(passes, wait, True)
 
-        self._called[duty] = now
+        self._last_call[duty] = now
         self.transport.ask(
             holder,
             "count",
@@ -178,30 +184,31 @@
         )
 
     def refund(self, receipt: Receipt) -> None:
-        """The request surely never ran. A second call does nothing, nor does one for a counter that counts no more."""
+        """Takes back the count of a request that surely never ran. Does nothing when called again, or if the counter
+        has stopped counting."""
         counter, receipt.counter_id = receipt.counter_id, ""
         if not counter:
             return
         duty = duty_of(receipt.tenant)
-        if counter == self._life:
-            self._take_back(receipt.tenant, receipt.counted_at)
+        if counter == self._incarnation:
+            self._apply_refund(receipt.tenant, receipt.counted_at)
         elif (holder := self._holders.get(duty)) is not None:
             self.transport.tell(holder, "give back", self._refunds.encode(receipt.tenant, counter, receipt.counted_at))
 
-    def _given_back(self, conn: Connection, body: Any, _: Answer) -> None:
-        given = self._refunds.accept(body, self._life, self.loop.now)
+    def _on_refund(self, conn: Connection, body: Any, _: Answer) -> None:
+        given = self._refunds.accept(body, self._incarnation, self.loop.now)
         if given is not None:
-            self._take_back(*given)
+            self._apply_refund(*given)
 
-    def _take_back(self, tenant: str, counted_at: int) -> None:
+    def _apply_refund(self, tenant: str, counted_at: int) -> None:
         duty = duty_of(tenant)
         if self._is_counting(duty):
             self._counters[duty].refund(tenant, self._quota(tenant), counted_at, self.loop.now)
 
-    def _wait_for(self, duty: str, call: Callable[[], None], patience: int) -> None:
-        """Nobody is known to count yet: a moment is given to the ballots."""
+    def _wait_for_counter(self, duty: str, call: Callable[[], None], patience: int) -> None:
+        """Delays a call until a counter is found, at most by `patience`."""
         waiting = self._waiting.setdefault(duty, {})
-        number = self._number = self._number + 1
+        number = self._wait_number = self._wait_number + 1
         waiting[number] = call
 
         def late(_: Any) -> None:
@@ -210,105 +217,107 @@
 
         self.loop.at(self.loop.now + patience, late)
 
-    def _found(self, duty: str) -> None:
+    def _resume_waiting(self, duty: str) -> None:
         waiting = self._waiting.pop(duty, {})
         while waiting:
             waiting.pop(next(iter(waiting)))()
 
-    def _unanswered(self, duty: str, holder: Address) -> None:
+    def _on_unanswered(self, duty: str, holder: Address) -> None:
         if self._holders.get(duty) == holder:
-            self._doubt[duty] = self.loop.now
+            self._unanswered_at[duty] = self.loop.now
             if self.transport.ended(holder):
                 del self._holders[duty]
-        self._find(duty, suspects=True)
+        self._find_holder(duty, suspects=True)
 
-    def _pass_alone(self, tenant: str, quota: Quota, then: CountCallback) -> None:
+    def _pass_locally(self, tenant: str, quota: Quota, on_counted: CountCallback) -> None:
         now = self.loop.now
-        absent = now - max(self._contact.get(duty_of(tenant), 0), self._born) - ABSENT_US
+        absent = now - max(self._last_answer.get(duty_of(tenant), 0), self._started_at) - ABSENT_US
         if absent > MEMBER_RETENTION_US - 2 * SECOND and not self._presence.reaches_half():
             absent = 0
         passes = self._local_allowance.allows(tenant, quota, len(self._presence.recent_members), max(0, absent), now)
         if passes:
             self._readings.record_uncounted(tenant, now)
-        then(passes, 200_000, False)
+        on_counted(passes, 200_000, False)
 
     def unreachable_gateways(self, gateways: frozenset[str]) -> float:
-        """How many of them are not known to have heard from this one lately, nor to have ended: each of those may hold
-        itself to be `cut`. Those of long ago count in part."""
-        now, lives = self.loop.now, {node: member.life for node, member in self._presence.recent_members.items()}
+        """How many of these gateways are neither present nor known to have ended: each may be using its isolated share.
+        Those absent for long count in part."""
+        now, incarnations = self.loop.now, {node: member.life for node, member in self._presence.recent_members.items()}
         return sum(
             ISOLATED_SHARE if now - self._presence.last_stamps.get(node, self._counts_since) >= LONG_ABSENT_US else 1.0
             for node in gateways
             if node != self._node
             and not self._presence.is_present(node)
-            and (node not in lives or self._presence.proven_ended.get(node) != lives[node])
+            and (node not in incarnations or self._presence.proven_ended.get(node) != incarnations[node])
         )
 
     def isolated_share(self, duty: str) -> float:
-        """Of its even share, what this gateway may use, as who does this duty reckons with it no longer."""
-        silent = self.loop.now - max(self._contact.get(duty, 0), self._born)
+        """What this gateway may use of its even share, as the duty's holder no longer counts it as present."""
+        silent = self.loop.now - max(self._last_answer.get(duty, 0), self._started_at)
         return 0.0 if silent < ABSENT_US else 1.0 if silent < ISOLATED_AFTER_US else ISOLATED_SHARE
 
-    def _find(self, duty: str, suspects: bool = False) -> None:
-        """Asks the jurors, and a gateway or two for those who can't reach them, who counts. `suspects`: the holder did
-        not answer, and the jurors are to look whether it has ended.
+    def _find_holder(self, duty: str, suspects: bool = False) -> None:
+        """Asks the voters who counts, and up to two gateways in case no voter is reachable. `suspects`: the holder did
+        not answer, so the voters check whether it has ended.
         """
         now = self.loop.now
-        if now - self._asked.get(duty, -HOLDER_BACKOFF_US) < HOLDER_BACKOFF_US:
+        if now - self._last_search.get(duty, -HOLDER_BACKOFF_US) < HOLDER_BACKOFF_US:
             return
-        self._asked[duty] = now
-        for address in self._voter_service():
+        self._last_search[duty] = now
+        for address in self._voter_addresses():
             self.transport.ask(
                 address,
                 "who",
-                [duty, self._own, self._life, suspects],
+                [duty, self._self_address, self._incarnation, suspects],
                 COUNTER_TIMEOUT_US,
-                partial(self._juror_said, duty, address),
+                partial(self._on_voter_report, duty, address),
             )
         others = self._presence.others()
         for address in self.loop.net.rng.sample(others, min(2, len(others))):
-            self.transport.ask(address, "counts", duty, COUNTER_TIMEOUT_US, partial(self._told_by, duty, address))
+            self.transport.ask(
+                address, "counts", duty, COUNTER_TIMEOUT_US, partial(self._on_gateway_report, duty, address)
+            )
 
-    def _juror_said(self, duty: str, voter: Address, answer: Any) -> None:
+    def _on_voter_report(self, duty: str, voter: Address, answer: Any) -> None:
         if isinstance(answer, list):
-            self._heard_of(duty, answer[0])
+            self._learn_holder(duty, answer[0])
             self._vacant.setdefault(duty, {})[voter] = self.loop.now if answer[0] is None else -VACANCY_VALID_US
             if self._is_vacant(duty):
-                self._stand(duty)
+                self._run_election(duty)
 
     def _is_vacant(self, duty: str) -> bool:
-        """Most jurors just said that nobody has their vote: a holder's silence need not be waited for."""
-        said = sum(1 for at in self._vacant.get(duty, {}).values() if self.loop.now - at < VACANCY_VALID_US)
-        return said > len(self._voters()) // 2
+        """Whether a majority of voters just reported no holder, so that an election need not wait."""
+        reports = sum(1 for at in self._vacant.get(duty, {}).values() if self.loop.now - at < VACANCY_VALID_US)
+        return reports > len(self._voters()) // 2
 
-    def _told_by(self, duty: str, address: Address, answer: Any) -> None:
+    def _on_gateway_report(self, duty: str, address: Address, answer: Any) -> None:
         if isinstance(answer, list) or self.transport.ended(address):
             self._presence.record_contact(address)
-        self._heard_of(duty, answer[0] if isinstance(answer, list) else None)
+        self._learn_holder(duty, answer[0] if isinstance(answer, list) else None)
 
-    def _heard_of(self, duty: str, answer: Any) -> None:
+    def _learn_holder(self, duty: str, answer: Any) -> None:
         address = parse_address(answer) if answer else None
-        if address is None or answer == self._own or self.transport.ended(address):
+        if address is None or answer == self._self_address or self.transport.ended(address):
             return
         if self._holders.get(duty) != address:
             self._holders[duty] = address
-            self._doubt.pop(duty, None)
+            self._unanswered_at.pop(duty, None)
             self._greet(address)
-            self._found(duty)
+            self._resume_waiting(duty)
 
-    def _known(self, duty: str) -> str | None:
+    def _known_holder(self, duty: str) -> str | None:
         if self._is_counting(duty):
-            return self._own
+            return self._self_address
         holder = self._holders.get(duty)
-        fresh = self.loop.now - self._contact.get(duty, -ABSENT_US) < ABSENT_US
+        fresh = self.loop.now - self._last_answer.get(duty, -ABSENT_US) < ABSENT_US
         return spelled(holder) if holder and fresh else None
 
-    # ---- counting
+    # ---- as counter
 
     def _is_counting(self, duty: str) -> bool:
         return duty in self._counters and self._candidate.holds(duty, self.loop.now)
 
-    def _count(self, conn: Connection, body: Any, answer: Answer) -> None:
+    def _on_count(self, conn: Connection, body: Any, answer: Answer) -> None:
         tenant = str(body[0])
         duty = duty_of(tenant)
         if not self._is_counting(duty):
@@ -316,108 +325,118 @@
         self._presence.record_stamp(str(body[3]), body[5])
         quota = self._quota(tenant)
         if quota.rate <= 0:
-            quota = Quota(float(body[1]), float(body[2]))  # news of it have not come here yet
+            quota = Quota(float(body[1]), float(body[2]))  # state updates of it have not arrived here yet
         self._counters[duty].set_reachable_share(self._presence.present_share(), self.loop.now)
-        verdict = self._counters[duty].count_request(tenant, quota, bool(body[4]), self.loop.now)
-        answer([verdict.passes, verdict.level, verdict.wait_us, self._presence.stamp(), verdict.counted_at])
+        decision = self._counters[duty].count_request(tenant, quota, bool(body[4]), self.loop.now)
+        answer([decision.passes, decision.level, decision.wait_us, self._presence.stamp(), decision.counted_at])
 
     def _greet(self, address: Address) -> None:
-        """Who calls seldom is reckoned with all the same."""
+        """Calls a counter so that it counts this gateway as present although it sends few requests."""
         asked = [duty for duty, holder in self._holders.items() if holder == address]
         for duty in asked:
-            self._called[duty] = self.loop.now
+            self._last_call[duty] = self.loop.now
 
         def answered(answer: Any) -> None:
             for duty in asked:
                 if isinstance(answer, list) and duty in answer[0]:
-                    self._contact[duty], self._stamps[address] = self.loop.now, answer[1]
+                    self._last_answer[duty], self._stamps[address] = self.loop.now, answer[1]
                 elif self._holders.get(duty) == address:
-                    self._unanswered(duty, address)
+                    self._on_unanswered(duty, address)
 
         self.transport.ask(address, "greet", [self._node, self._stamps.get(address)], COUNTER_TIMEOUT_US, answered)
 
-    def _greeted(self, conn: Connection, body: Any, answer: Answer) -> None:
+    def _on_greeting(self, conn: Connection, body: Any, answer: Answer) -> None:
         self._presence.record_stamp(str(body[0]), body[1])
         answer([self.held_duties(), self._presence.stamp()])
 
-    def _levels(self, conn: Connection, body: Any, answer: Answer) -> None:
-        """What was last read here, and for how long this gateway has lived. Who asks is elected and reckons with
-        this gateway from now on."""
+    def _on_levels_request(self, conn: Connection, body: Any, answer: Answer) -> None:
+        """Answers a new counter with the last readings and the age of this gateway, which is present there from now
+        on."""
         duty = str(body[0])
-        self._contact[duty] = self.loop.now
-        levels = self._readings.aged(self._of(duty), len(self._presence.recent_members), self.loop.now)
+        self._last_answer[duty] = self.loop.now
+        levels = self._readings.aged(self._quotas_of(duty), len(self._presence.recent_members), self.loop.now)
         answer(
-            [{tenant: list(known) for tenant, known in levels.items()}, self.loop.now - self._born, self._node, body[1]]
+            [
+                {tenant: list(known) for tenant, known in levels.items()},
+                self.loop.now - self._started_at,
+                self._node,
+                body[1],
+            ]
         )
 
-    def _of(self, duty: str) -> list[tuple[str, Quota]]:
-        return [(tenant, self._quota(tenant)) for tenant in self._tenants if duty_of(tenant) == duty]
+    def _quotas_of(self, duty: str) -> list[tuple[str, Quota]]:
+        return [(tenant, self._quota(tenant)) for tenant in self._seen_tenants if duty_of(tenant) == duty]
 
-    def _begin(self, duty: str) -> None:
-        """Elected: what the others last read is gathered, and the state of the holder before where it handed the duty
-        to this gateway; then all are told. It waits for either no longer than `GATHER`.
+    def _start_collection(self, duty: str) -> None:
+        """Called when elected: collects the readings of the others, and the former holder's state if it handed the
+        duty to this gateway, for at most `COLLECTION_TIMEOUT_US`; then starts to count and announces it.
         """
         now = self.loop.now
         counter = QuotaCounter(self._terms, now)
-        gathering = self._gathering[duty] = UsageCollection(counter, len(self._presence.others()), now - self._born)
-        for tenant, known in self._readings.aged(self._of(duty), len(self._presence.recent_members), now).items():
+        collection = self._collections[duty] = UsageCollection(
+            counter, len(self._presence.others()), now - self._started_at
+        )
+        for tenant, known in self._readings.aged(
+            self._quotas_of(duty), len(self._presence.recent_members), now
+        ).items():
             counter.merge_reading(tenant, *known, now)
 
-        def gathered(member: Member, address: Address, answer: Any) -> None:
-            if not gathering.is_open():
+        def on_reading(member: Member, address: Address, answer: Any) -> None:
+            if not collection.is_open():
                 return
             self._presence.check_incarnation(member, address, now, answer)
             if isinstance(answer, list):
                 self._presence.record_stamp(str(answer[2]), answer[3])
-                gathering.record_answer(answer[0], int(answer[1]), self.loop.now)
+                collection.record_answer(answer[0], int(answer[1]), self.loop.now)
             else:
-                gathering.record_failure()
-            if gathering.is_complete():
-                self._begin_counting(duty, gathering)
+                collection.record_failure()
+            if collection.is_complete():
+                self._start_counting(duty, collection)
 
-        def handed(state: CounterState, asked: int) -> None:
-            if not gathering.is_open():
+        def on_state(state: CounterState, asked: int) -> None:
+            if not collection.is_open():
                 return
             counter.import_state(state, self.loop.now)
             self._presence.import_ages(state.stamp_ages, asked)
-            self._begin_counting(duty, gathering)
+            self._start_counting(duty, collection)
 
         former = self._handover.take_former_holder(duty)
         if former is not None:
-            self._handover.request_state(former, duty, LATE_ANSWER_TIMEOUT_US, handed)
+            self._handover.request_state(former, duty, LATE_ANSWER_TIMEOUT_US, on_state)
         for member in self._members().values():
             address = parse_address(member.address)
             if address is not None and member.node != self._node:
-                heard = partial(gathered, member, address)
-                self.transport.ask(address, "levels", [duty, self._presence.stamp()], LATE_ANSWER_TIMEOUT_US, heard)
-        self.loop.at(now + COLLECTION_TIMEOUT_US, lambda _: self._begin_counting(duty, gathering))
+                on_answer = partial(on_reading, member, address)
+                self.transport.ask(address, "levels", [duty, self._presence.stamp()], LATE_ANSWER_TIMEOUT_US, on_answer)
+        self.loop.at(now + COLLECTION_TIMEOUT_US, lambda _: self._start_counting(duty, collection))
 
-    def _begin_counting(self, duty: str, gathering: UsageCollection) -> None:
-        if self._gathering.get(duty) is not gathering:
+    def _start_counting(self, duty: str, collection: UsageCollection) -> None:
+        if self._collections.get(duty) is not collection:
             return
-        del self._gathering[duty]
+        del self._collections[duty]
         if not self._candidate.holds(duty, self.loop.now):
-            return gathering.close()
-        self._counters[duty] = gathering.counter
+            return collection.close()
+        self._counters[duty] = collection.counter
         self._counts_since = self.loop.now
         self._holders.pop(duty, None)
-        self._found(duty)
+        self._resume_waiting(duty)
         log_event("counting", duty=duty)
         for address in self._presence.others():
-            self.transport.tell(address, "gauge", [duty, self._own])
+            self.transport.tell(address, "gauge", [duty, self._self_address])
 
-    def _announced(self, conn: Connection, body: Any, _: Answer) -> None:
+    def _on_announcement(self, conn: Connection, body: Any, _: Answer) -> None:
         duty, where = str(body[0]), str(body[1])
         address = parse_address(where)
-        if address is not None and where != self._own:
+        if address is not None and where != self._self_address:
             self._holders[duty] = address
-            self._doubt.pop(duty, None)
+            self._unanswered_at.pop(duty, None)
             self._greet(address)
-            self._found(duty)
+            self._resume_waiting(duty)
 
-    # ---- ballots
+    # ---- elections
 
     def members_changed(self) -> None:
+        """Called when the list of gateways has changed."""
         self._presence.remember()
         members = self._members()
         self._ranks = {}
@@ -426,7 +445,7 @@
                 if member.node == self._node:
                     self._ranks[duty] = rank
 
-    def _voter_service(self) -> list[Address]:
+    def _voter_addresses(self) -> list[Address]:
         found = [parse_address(address) for address in self._voters()]
         return [address for address in found if address is not None]
 
@@ -444,46 +463,48 @@
                 self._handover.announce_successor(duty, self._handover.first_successor(duty))
             elif duty in self._counters:
                 self._counters[duty].set_reachable_share(self._presence.present_share(), now)
-            self._stand(duty)
+            self._run_election(duty)
             holder = self._holders.get(duty)
             if duty in self._counters:
                 continue
             if holder is None:
-                self._find(duty)
-            elif holder not in greeted and now - self._called.get(duty, 0) > GREETING_INTERVAL_US:
+                self._find_holder(duty)
+            elif holder not in greeted and now - self._last_call.get(duty, 0) > GREETING_INTERVAL_US:
                 greeted.add(holder)
                 self._greet(holder)
 
-    def _stand(self, duty: str) -> None:
-        """Renews the votes for a duty that is held, or stands for one that is vacant."""
+    def _run_election(self, duty: str) -> None:
+        """Renews the votes for a duty that is held here, or starts an election for a vacant one."""
         now, holds = self.loop.now, duty in self._counters
-        first = self._handover.is_successor(duty)
-        stands = (
-            (first or duty in self._ranks)
-            and not self._handover.ending
+        is_successor = self._handover.is_successor(duty)
+        is_candidate = (
+            (is_successor or duty in self._ranks)
+            and not self._handover.shutting_down
             and not self._handover.yields_to_successor(duty)
         )
-        if not holds and not stands:
+        if not holds and not is_candidate:
             return
-        silent = max(self._contact.get(duty, 0), self._born)
-        if first or self._is_vacant(duty):
+        silent = max(self._last_answer.get(duty, 0), self._started_at)
+        if is_successor or self._is_vacant(duty):
             silent = min(silent, now - HOLDER_SILENCE_US)
-        self._put(
-            self._candidate.next_request(duty, silent, 0 if first else self._ranks.get(duty, CANDIDATES_PER_DUTY), now)
+        self._send_to_voters(
+            self._candidate.next_request(
+                duty, silent, 0 if is_successor else self._ranks.get(duty, CANDIDATES_PER_DUTY), now
+            )
         )
 
-    def _put(self, ask: VoteRequest | None) -> None:
-        """A question to the whole jury."""
-        if ask is None:
+    def _send_to_voters(self, request: VoteRequest | None) -> None:
+        """Sends a request to all voters."""
+        if request is None:
             return
-        voters = self._voter_service()
+        voters = self._voter_addresses()
 
         def answered(answer: Any, voter: Address) -> None:
             if isinstance(answer, list):
                 kind, number, yes, known, holder, where, left = answer
-                self._hear(
+                self._on_vote(
                     VoteResponse(
-                        ask.duty,
+                        request.duty,
                         str(kind),
                         (int(number[0]), str(number[1])),
                         bool(yes),
@@ -500,61 +521,61 @@
             self.transport.ask(
                 voter,
                 "ballot",
-                [ask.duty, ask.kind, list(ask.ballot), self._own],
+                [request.duty, request.kind, list(request.ballot), self._self_address],
                 VOTE_TIMEOUT_US,
                 lambda answer, voter=voter: answered(answer, voter),  # type: ignore[misc]
             )
 
-    def _hear(self, word: VoteResponse, voter: str, voters: int) -> None:
+    def _on_vote(self, response: VoteResponse, voter: str, voters: int) -> None:
         now = self.loop.now
-        if not word.granted:
-            self._heard_of(word.duty, word.holder_address)
-        held = self._candidate.holds(word.duty, now)
-        self._put(self._candidate.on_response(word, voter, voters, now))
-        if not held and self._candidate.holds(word.duty, now) and word.duty not in self._gathering:
-            self._begin(word.duty)
+        if not response.granted:
+            self._learn_holder(response.duty, response.holder_address)
+        held = self._candidate.holds(response.duty, now)
+        self._send_to_voters(self._candidate.on_response(response, voter, voters, now))
+        if not held and self._candidate.holds(response.duty, now) and response.duty not in self._collections:
+            self._start_collection(response.duty)
 
-    # ---- handing on
+    # ---- handover
 
     def release(self) -> None:
-        """This gateway is told to end: its duties go to others, and it stands for none any more."""
-        self._handover.ending = True
+        """Called at shutdown: hands over the duties held here, and stops being a candidate."""
+        self._handover.shutting_down = True
         self._ranks.clear()
-        self._handover.find_successors(self.held_duties(), self._hand_on)
+        self._handover.find_successors(self.held_duties(), self._hand_over)
 
-    def _hand_on(self, successors: dict[str, Address]) -> None:
-        """All duties at once: the voters free all votes for a life together."""
+    def _hand_over(self, successors: dict[str, Address]) -> None:
+        """Hands over all duties at once, as the voters release all votes for an incarnation together."""
         for duty in list(self._counters):
             self._stop_counting(duty)
-        for duty in self._gathering:
+        for duty in self._collections:
             self._candidate.abandon(duty)
-        for voter in self._voter_service():
-            self.transport.tell(voter, "ended", self._life)
+        for voter in self._voter_addresses():
+            self.transport.tell(voter, "ended", self._incarnation)
         for duty, successor in successors.items():
-            if duty in self._former:  # else its votes ran out meanwhile, and it was handed on for that
+            if duty in self._former_counters:  # else its lease expired meanwhile, and it was handed over then
                 self._handover.announce_successor(duty, successor)
 
     def _stop_counting(self, duty: str) -> None:
-        self._former[duty] = (self._counters.pop(duty), self.loop.now + STATE_RETENTION_US)
+        self._former_counters[duty] = (self._counters.pop(duty), self.loop.now + STATE_RETENTION_US)
         self._candidate.abandon(duty)
 
     def _successors(self, duty: str) -> list[Member]:
-        """Who stands next for a duty, those in reach first; of a large fleet no more than may be asked one by one."""
+        """The next candidates for a duty, present ones first; limited, as they are asked one by one."""
         found = [
             member for member in next_on_ring(self._members(), duty, MAX_SUCCESSORS_ASKED) if member.node != self._node
         ]
         return sorted(found, key=lambda member: not self._presence.is_present(member.node))
 
-    def _stand_now(self, duty: str, above: int) -> None:
-        self._put(self._candidate.start_round(duty, self.loop.now, above))
+    def _start_election(self, duty: str, above: int) -> None:
+        self._send_to_voters(self._candidate.start_round(duty, self.loop.now, above))
 
-    def _gave_up(self, duty: str, holder: Address) -> None:
+    def _on_given_up(self, duty: str, holder: Address) -> None:
         if self._holders.get(duty) == holder:
             del self._holders[duty]
 
-    def _state(self, duty: str) -> CounterState | None:
-        """Of a counter that does not count any more: what it lets pass later would be missing."""
-        counter, until = self._former.get(duty, (None, 0))
+    def _former_state(self, duty: str) -> CounterState | None:
+        """The state of a former counter; that of an active one would miss what it counts later."""
+        counter, until = self._former_counters.get(duty, (None, 0))
         if counter is None or self.loop.now > until:
             return None
         return counter.export_state(self._quota, self._presence.stamp_ages(), self.loop.now)
--- a/oakvale/ratelimit/usage_collection.py
+++ b/oakvale/ratelimit/usage_collection.py
@@ -1,4 +1,4 @@
-"""What a new counter gathers from the other gateways: what they last read, and for how long they have lived."""
+"""What a new counter collects from the other gateways: their last usage readings, and how long they have run."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 
 class UsageCollection:
-    """Answers count also after the counter has begun, but not once it is known that it does not count."""
+    """Accepts answers even after the counter has started, until the collection is closed because the duty was lost."""
 
-    def __init__(self, counter: QuotaCounter, others: int, own_age: int) -> None:
-        """`others`: gateways that were asked; `own_age`: microseconds that this gateway has lived."""
+    def __init__(self, counter: QuotaCounter, other_count: int, own_age: int) -> None:
+        """`other_count`: number of gateways asked; `own_age`: microseconds that this gateway has run."""
         self.counter = counter
-        self._others, self._ages, self._over = others, [own_age], False
+        self._other_count, self._ages, self._closed = other_count, [own_age], False
         self._failed = 0
 
     def is_open(self) -> bool:
-        return not self._over
+        return not self._closed
 
     def close(self) -> None:
-        self._over = True
+        self._closed = True
 
     def all_answered(self) -> bool:
-        return len(self._ages) > self._others
+        return len(self._ages) > self._other_count
 
     def record_failure(self) -> None:
-        """One whose connection is gone, or who took too long."""
+        """A gateway whose connection was lost, or that did not answer in time."""
         self._failed += 1
 
     def is_complete(self) -> bool:
-        """Nothing more is gained by waiting."""
-        return len(self._ages) + self._failed > self._others
+        """Whether every gateway has answered or failed."""
+        return len(self._ages) + self._failed > self._other_count
 
     def record_answer(self, levels: dict[Any, Any], age: int, now: int) -> None:
-        """One gateway's answer: tenant -> level read, and how many passed there uncounted since."""
+        """One gateway's answer: tenant -> last level read and requests passed uncounted since; and its age."""
         self._ages.append(age)
         for tenant, (level, uncounted) in levels.items():
             self.counter.merge_reading(str(tenant), float(level), float(uncounted), now)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -68,7 +68,7 @@
 
 
 def test_without_handing_on_a_stop_is_felt(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Handover, "_handed", lambda *_: None)
+    monkeypatch.setattr(Handover, "_on_handed", lambda *_: None)
     with pytest.raises(AssertionError):
         for seed in range(6):
             test_a_holder_that_is_told_to_end_hands_its_duties_on(seed)
