--- a/oakvale/loadbalancing/idle_timeout.py
+++ b/oakvale/loadbalancing/idle_timeout.py
@@ -13,7 +13,7 @@
 
 
 class IdleTimeoutEstimate:
-    """The shortest idle time after which a connection of a service was lately lost."""
+    """The shortest idle time after which a connection of a service was recently lost."""
 
     def __init__(self) -> None:
         self._shortest_loss: int | None = None
--- a/oakvale/ratelimit/presence.py
+++ b/oakvale/ratelimit/presence.py
@@ -37,7 +37,7 @@
             members,
         )
         self.last_stamps: dict[str, int] = {}  # gateway -> the latest stamp that it echoed
-        self.recent_members: dict[str, Member] = {}  # on the list, or lately removed from it
+        self.recent_members: dict[str, Member] = {}  # on the list, or recently removed from it
         self.proven_ended: dict[str, str] = {}  # gateway -> its incarnation that is proven to have ended
         self._listed = Members()  # the list last processed, and when that was
         self._processed_at = loop.now
--- a/tests/ratelimit_simulation.py
+++ b/tests/ratelimit_simulation.py
@@ -1,7 +1,7 @@
-"""Gateways that count and jurors that elect who does, in simulated time, with faults and a judge.
+"""Simulates gateways that count and voters that elect them, with injected faults.
 
-The judge: in every sliding window what passed over all gateways keeps to the quota as it is judged; of requests
-that an ideal counter would pass, few are refused in calm times; a duty does not stay vacant for long.
+`Fleet.judge` checks that each sliding window over all gateways keeps to the quota. The tests also check that few of the
+requests that an ideal counter would pass are refused, and that no duty is vacant for long.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from tests.simulated_processes import MS, SECOND, Loop, Time
 
 TERMS = QuotaTerms(5 * SECOND, 0.1, 20)
-CALM = 3 * SECOND  # after the last trouble
-OFF_LIST = 2_500 * MS  # a silent gateway is taken from the list after this
+CALM = 3 * SECOND  # after the last fault
+OFF_LIST = 2_500 * MS  # a gateway that stopped responding is removed from the list after this
 
 
 class Life(simulated_processes.Life):
@@ -36,7 +36,7 @@
         super().__init__(machine)
         self.name, self.born = f"life{number}", machine.fleet.now
         self.refused: dict[Address, int] = {}
-        self.stuck: dict[Address, int] = {}  # address -> when a connection that is being made is given up
+        self.stuck: dict[Address, int] = {}  # address -> when a pending connection attempt is abandoned
         self.waiting: dict[int, tuple[Life, Callable[[Any], None]]] = {}
         self.handlers: dict[str, Any] = {}
 
@@ -51,7 +51,9 @@
     def ask(self, address: Address, kind: str, body: Any, timeout: int, then: Callable[[Any], None]) -> None:
         life, fleet = self._life, self._life.machine.fleet
         there = fleet.machines[address]
-        if there.off and life.stuck.get(address, 0) < fleet.now:  # nothing passes until the connection is given up
+        if (
+            there.off and life.stuck.get(address, 0) < fleet.now
+        ):  # nothing is delivered until the connection attempt is abandoned
             life.stuck[address] = fleet.now + CONNECT
         stuck = life.stuck.get(address, 0) >= fleet.now
         if there.life is not None and not stuck:
@@ -75,12 +77,12 @@
         self._number += 1
         number, data = self._number, cbor2.dumps(body)
 
-        def told(answer: Any) -> None:
+        def on_answer(answer: Any) -> None:
             if life.waiting.pop(number, None) is not None:
                 then(answer)
 
         def hear(answer: Any) -> None:
-            life.machine.run(life, lambda: told(answer))
+            life.machine.run(life, lambda: on_answer(answer))
 
         def arrive() -> None:
             handler = target.handlers.get(kind)
@@ -89,7 +91,7 @@
 
         def answered(answer: Any) -> None:
             packed = cbor2.dumps(answer)
-            fleet.ship(target, life, lambda: told(cbor2.loads(packed)))
+            fleet.ship(target, life, lambda: on_answer(cbor2.loads(packed)))
 
         fleet.at(fleet.now + timeout, lambda: hear(None))
         life.waiting[number] = (target, then)
@@ -101,7 +103,7 @@
 
 
 class Storage:
-    """Writes last some milliseconds, one after the other."""
+    """Writes take some milliseconds each, one after the other."""
 
     def __init__(self, life: Life) -> None:
         self._life, self._waiting = life, deque[tuple[str, bytes, Callable[[], None]]]()
@@ -134,21 +136,21 @@
         self.life: Life | None = None
         self.rate_limiter: RateLimiter | None = None
         self.disk: dict[str, bytes] = {}
-        self.first_start = True  # of the whole system: an empty disk has lost nothing
+        self.first_start = True  # of the whole system: an empty disk has lost no vote
         self.is_witness = True
         self.sync_ms = 8
-        self.off = False  # without power: nothing is refused either
-        self.slow = 0  # microseconds more, each way
+        self.off = False  # without power: connections are not refused but time out
+        self.slow = 0  # additional microseconds each way
         self.lossy = 0.0
-        self.members = Members()  # as the news have come here
+        self.members = Members()  # as known here
         self.silent_since = 0
 
     def start(self) -> None:
         if self.life is not None:
             return
         self.off = False
-        self.fleet.lives += 1
-        life = self.life = Life(self, self.fleet.lives)
+        self.fleet.incarnations += 1
+        life = self.life = Life(self, self.fleet.incarnations)
         loop, transport = cast(Any, Loop(self.fleet, life)), cast(Any, Transport(life))
         if self.voter:
             VoterService(loop, transport, cast(Any, Storage(life)), self.first_start, lambda: self.is_witness)
@@ -169,7 +171,7 @@
         self.fleet.later(100, 400, lambda: self.fleet.join(self, life))
 
     def stop(self, grace: int) -> None:
-        """Told to end, and killed after `grace`."""
+        """Starts a shutdown; the process is killed after `grace`."""
         if self.rate_limiter is not None:
             self.rate_limiter.release()
         self.fleet.at(self.fleet.now + grace, self.kill)
@@ -193,11 +195,11 @@
                         )
 
     def wipe(self) -> None:
-        """It loses its disk, and is killed for that."""
+        """Kills the process and erases its disk."""
         self.kill()
         self.disk = {}
 
-    def swift(self) -> None:
+    def reset_link(self) -> None:
         self.slow, self.lossy = 0, 0.0
 
 
@@ -205,26 +207,26 @@
 class Tenant:
     name: str
     quota: Quota
-    load: float  # of its quota
-    batch: int  # requests that come together
-    sticky: bool  # at one gateway as long as that lives
+    load: float  # relative to its quota
+    batch: int  # requests that arrive together
+    sticky: bool  # always at the same gateway
     passed: list[int] = field(default_factory=list)
-    level: float = 0.0  # of an ideal counter that counts what passed, and what is asked for and may pass yet
+    level: float = 0.0  # of an ideal counter: passed and pending requests
     at: int = 0
 
     def owed(self, now: int) -> bool:
-        """Whether there is room for one more below the quota, whoever it was given to before."""
+        """Whether an ideal counter would pass one more request."""
         self.level = max(0.0, self.level - self.quota.rate * (now - self.at) / SECOND)
         self.at = now
         self.level += 1
         return self.level <= self.quota.burst
 
     def refused(self) -> None:
-        """One that was asked for does not pass."""
+        """Takes back a request that was refused."""
         self.level = max(0.0, self.level - 1)
 
     def worst(self) -> tuple[float, int]:
-        """The fullest window against what may pass in one, and when it began."""
+        """The fullest window relative to what may pass in one, and when it began."""
         most = (self.quota.rate * TERMS.window_us / SECOND + self.quota.burst) * (1 + TERMS.excess) + TERMS.slack
         return max(
             ((bisect_right(self.passed, at + TERMS.window_us - 1) - n) / most, at)
@@ -235,8 +237,8 @@
 class Fleet(Time):
     def __init__(self, seed: int, gateways: int, voters: int = 3) -> None:
         super().__init__(seed)
-        self.net.rng = random.Random(seed)  # the gauge draws by lot
-        self.lives = 0
+        self.net.rng = random.Random(seed)  # for the random choices of the rate limiter
+        self.incarnations = 0
         self.cuts: set[tuple[str, str]] = set()
         self.core = [Machine(self, f"core{n}", True) for n in range(voters)]
         self.gates = [Machine(self, f"gate{n}", False) for n in range(gateways)]
@@ -244,12 +246,12 @@
         self.voters = [spelled(m.address) for m in self.core]
         self.listed: dict[str, Member] = {}
         self.tenants = self.draw()
-        self.troubled = self.kills = self.now  # until then; when one was last killed
+        self.faults_until = self.last_kill = self.now  # end of the last fault; time of the last kill
         self.long_ago = self.now
         self.asked = {"calm": 0, "kill": 0, "trouble": 0}
         self.refused = {"calm": 0, "kill": 0, "trouble": 0}
         self.vacant: dict[str, int] = {}
-        self.longest = 0  # that a duty was vacant while enough could have filled it
+        self.longest = 0  # longest vacancy of a duty while it could have been filled
         for machine in self.machines.values():
             machine.start()
         for tenant in self.tenants.values():
@@ -277,7 +279,7 @@
         return (one.name, other.name) not in self.cuts and (other.name, one.name) not in self.cuts
 
     def ship(self, source: Life, target: Life, call: Callable[[], None]) -> None:
-        """In order; behind a cut it is held up for a while, then lost."""
+        """Delivers in order; across a cut, messages are delayed for a while, then lost."""
         one, other = source.machine, target.machine
         if self.rng.random() < one.lossy + other.lossy:
             return
@@ -326,7 +328,7 @@
             machine.rate_limiter.members_changed()
 
     def look(self) -> None:
-        """Watchers, and how long duties are vacant."""
+        """Updates the list of gateways, and checks that each duty has one holder and is not vacant for long."""
         self.at(self.now + 50 * MS, self.look)
         up = [m for m in self.gates if m.life is not None and not m.paused]
         for machine in self.gates:
@@ -366,17 +368,23 @@
             machine = up[hash_of(tenant.name) % len(up)] if tenant.sticky else self.rng.choice(up)
             if self.now - machine.life.born < 500 * MS:  # type: ignore[union-attr]
                 continue  # not ready yet
-            when = "kill" if self.now - self.kills < CALM else "trouble" if self.now < self.troubled + CALM else "calm"
+            when = (
+                "kill"
+                if self.now - self.last_kill < CALM
+                else "trouble"
+                if self.now < self.faults_until + CALM
+                else "calm"
+            )
             owed = tenant.load < 1 and tenant.owed(self.now)
             self.asked[when] += owed
             machine.rate_limiter.count_request(  # type: ignore[union-attr]
                 tenant.name,
                 self.rng.random() < 0.1,
                 lambda passes, wait, counted, owed=owed, when=when:  # type: ignore[misc]
-                self.told(tenant, passes, owed, when),
+                self.on_counted(tenant, passes, owed, when),
             )
 
-    def told(self, tenant: Tenant, passes: bool, owed: bool, when: str) -> None:
+    def on_counted(self, tenant: Tenant, passes: bool, owed: bool, when: str) -> None:
         if passes:
             tenant.passed.append(self.now)
         else:
@@ -387,11 +395,11 @@
     # ---- faults
 
     def trouble(self, until: int) -> None:
-        self.troubled = max(self.troubled, until)
+        self.faults_until = max(self.faults_until, until)
 
     def down(self, machine: Machine, span: int, off: bool = False) -> None:
         machine.kill(off)
-        self.kills = max(self.kills, self.now)
+        self.last_kill = max(self.last_kill, self.now)
         self.trouble(self.now + span)
         self.at(self.now + span, machine.start)
 
@@ -418,8 +426,8 @@
                 "half",
                 "split",
                 "core cut",
-                "juror",
-                "jurors",
+                "voter",
+                "voters",
                 "all",
                 "all gates",
                 "slow",
@@ -442,9 +450,9 @@
             self.cut(side, rest + rng.sample(self.core, rng.randrange(len(self.core) + 1)), span, True)
         elif kind == "core cut":
             self.cut([machine], self.core + (others if rng.random() < 0.5 else []), span, True)
-        elif kind == "juror":
+        elif kind == "voter":
             self.down(rng.choice(self.core), span)
-        elif kind == "jurors":
+        elif kind == "voters":
             for voter in rng.sample(self.core, 2):
                 self.down(voter, span)
         elif kind == "all":
@@ -457,7 +465,7 @@
             ones = [machine] if rng.random() < 0.5 else rng.sample([*self.core, *self.gates], len(self.gates) // 2)
             for m in ones:
                 m.slow, m.lossy = (rng.choice([20, 80, 300]) * MS, 0.0) if kind == "slow" else (0, 0.1)
-                self.at(self.now + span, m.swift)
+                self.at(self.now + span, m.reset_link)
         elif kind == "pause" and machine.life is not None:
             machine.paused = True
             self.at(self.now + span, machine.resume)
--- a/tests/simulated_processes.py
+++ b/tests/simulated_processes.py
@@ -1,5 +1,5 @@
-"""Simulated time and machines, on which processes live, stand still and end; shared by
-tests/ratelimit_simulation.py and tests/control_plane_simulation.py. What a link does to a message is theirs.
+"""Simulated time, and machines whose processes run, pause and end; shared by tests/ratelimit_simulation.py and
+tests/control_plane_simulation.py, which simulate their own links.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 
 class Time:
-    """What is to come, in order; of what is due together, the first said."""
+    """Runs scheduled calls in order of time; calls due at the same time in order of scheduling."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.net = SimpleNamespace()  # what a loop is handed; each world puts in what its processes ask for
+        self.net = SimpleNamespace()  # the network of each loop; a simulation adds what its processes use
         self.now = 1_000 * SECOND
         self._heap: list[tuple[int, int, Callable[[], Any]]] = []
         self._order = 0
@@ -37,20 +37,20 @@
 
 
 class Life:
-    """One run of a machine's process: everything it set going ends with it."""
+    """One incarnation of a machine's process: its scheduled calls end with it."""
 
     def __init__(self, machine: Any) -> None:
         self.machine, self.alive = machine, True
-        self.last: dict[Any, int] = {}  # line -> when the latest message on it comes
+        self.last: dict[Any, int] = {}  # line -> arrival of the latest message on it
 
     def behind(self, line: Any, due: int) -> int:
-        """When a message comes that would come at `due` but for those before it on its line."""
+        """When a message arrives that is due at `due`, but not before the earlier ones on its line."""
         due = self.last[line] = max(due, self.last.get(line, 0) + 1)
         return due
 
 
 class Machine:
-    """What a process that stands still is told waits until it goes on."""
+    """Calls to a paused process are delayed until it resumes."""
 
     def __init__(self) -> None:
         self.paused, self.held = False, list[Callable[[], Any]]()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways that count and their jurors in simulated time: faults drawn by seed; the judge is in `fleet`."""
+"""Simulated gateways and voters with random faults; see tests/ratelimit_simulation.py for the checks."""
 
 from __future__ import annotations
 
@@ -12,9 +12,11 @@
 from tests.ratelimit_simulation import Fleet
 from tests.simulated_processes import MS, SECOND
 
-FILLED = 1_500 * MS  # a duty whose holder's process ended is counted again after this at most
-OFF = 3_200 * MS  # where nothing proves that it ended: its span, and those who stand by turn
-AGAIN_COUNTED = 300 * MS  # after the last machine has its power back: a list, a round, what is left of a stuck one
+MAX_VACANCY_US = 1_500 * MS  # until a duty is held again after its holder's process has ended
+MAX_VACANCY_WITHOUT_PROOF_US = (
+    3_200 * MS
+)  # without proof that it ended: its votes expire, then the candidates wait by rank
+MAX_RECOVERY_US = 300 * MS  # after power returns to the last machine
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -22,7 +24,7 @@
     fleet = Fleet(seed, (5, 8, 12)[seed % 3])
     fleet.day(6)
     fleet.judge()
-    assert fleet.longest < OFF
+    assert fleet.longest < MAX_VACANCY_WITHOUT_PROOF_US
     assert fleet.refused["calm"] <= 0.005 * fleet.asked["calm"] + 2
 
 
@@ -41,23 +43,23 @@
         fleet.down(fleet.holder(), span)
         fleet.run(10 * SECOND)
     fleet.judge()
-    assert fleet.longest < FILLED
+    assert fleet.longest < MAX_VACANCY_US
     assert fleet.refused["kill"] <= 0.05 * fleet.asked["kill"]
     assert fleet.refused["calm"] <= 0.01 * fleet.asked["calm"]
 
 
-def test_a_counter_without_power_is_replaced_after_its_span() -> None:
+def test_a_counter_without_power_is_replaced_after_its_votes_expire() -> None:
     fleet = Fleet(3, 8)
     fleet.run(5 * SECOND)
     fleet.down(fleet.holder(), 20 * SECOND, off=True)
     fleet.run(8 * SECOND)
     fleet.judge()
-    assert fleet.longest < OFF
+    assert fleet.longest < MAX_VACANCY_WITHOUT_PROOF_US
 
 
 def test_after_all_power_was_gone_duties_are_soon_counted_again() -> None:
-    """A juror's question to the former holder, begun while that was dark, kept its vote for 0.3 s more, though the
-    holder's next life was up and asking."""
+    """A voter's probe of the former holder, pending while that was without power, must not delay the release of its
+    vote when the holder's next incarnation asks."""
     fleet = Fleet(3, 10)
     fleet.run(7 * SECOND)
     for machine in fleet.machines.values():
@@ -69,16 +71,16 @@
         < DUTY_COUNT
     ):
         fleet.run(10 * MS)
-        assert fleet.now - began <= AGAIN_COUNTED
+        assert fleet.now - began <= MAX_RECOVERY_US
     fleet.run(2 * SECOND)
     fleet.judge()
 
 
-def test_gateways_go_on_without_any_juror() -> None:
-    """Each passes its share, however long it lasts, and the windows hold all the while."""
+def test_gateways_keep_serving_without_any_voter() -> None:
+    """Each passes its local share for as long as the outage lasts, and the windows hold."""
     fleet = Fleet(4, 6)
     for tenant in fleet.tenants.values():
-        tenant.sticky = False  # or it has but one gateway's share
+        tenant.sticky = False  # otherwise it would get a single gateway's share
     fleet.run(5 * SECOND)
     for voter in fleet.core:
         fleet.down(voter, 60 * SECOND)
@@ -89,8 +91,8 @@
     assert fleet.refused["trouble"] - refused < 0.05 * (fleet.asked["trouble"] - asked)
 
 
-def test_one_that_is_cut_off_from_all_does_not_keep_its_share() -> None:
-    """It was off the list, the others had its share, and it passed it too."""
+def test_an_isolated_gateway_does_not_keep_its_share() -> None:
+    """Once it is off the list the others use its share, so it must not pass it, too."""
     fleet = Fleet(5, 3)
     fleet.run(4 * SECOND)
     lost = fleet.gates[0]
@@ -99,8 +101,8 @@
     fleet.judge()
 
 
-class Held:
-    """A disk that keeps all writes waiting."""
+class PendingStorage:
+    """Storage that never completes a write by itself."""
 
     def __init__(self) -> None:
         self.writes: list[tuple[Any, Any]] = []
@@ -112,8 +114,8 @@
         self.writes.append((cbor2.loads(what[1][1]), then))
 
 
-class Nothing:
-    """Loop and mains that do nothing by themselves."""
+class IdleWorld:
+    """Loop and transport that do nothing by themselves."""
 
     def __init__(self) -> None:
         self.now, self.handlers = 0, dict[str, Any]()
@@ -123,10 +125,10 @@
         pass
 
 
-def test_a_juror_says_nothing_of_a_vote_that_is_not_on_disk() -> None:
-    """The same gateway asked once more while the write of its vote waited, and was answered at once: after a start
-    the juror knew nothing of it and voted for another."""
-    world, disk, answers = Nothing(), Held(), list[Any]()
+def test_a_voter_does_not_answer_before_its_vote_is_on_disk() -> None:
+    """A second request while the write is pending must not be answered early, or a restarted voter could vote for
+    another candidate."""
+    world, disk, answers = IdleWorld(), PendingStorage(), list[Any]()
     VoterService(cast(Any, world), cast(Any, world), cast(Any, disk))
     for round_ in (1, 2):
         world.handlers["ballot"](None, ["d", "elect", [round_, "a"], "1.1.1.1:1"], answers.append)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Duties that outlive their holders: stops in order, rolling restarts, links on which answers take long."""
+"""Duty handover at shutdown and in rolling restarts, and elections over slow links."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from tests.ratelimit_simulation import Fleet
 from tests.simulated_processes import MS
 
-GRACE = 4 * SECOND
-HANDED_WITHIN = 150 * MS  # mostly much less: consent, a round of votes with two writes to disk, the state
+GRACE_US = 4 * SECOND
+MAX_HANDOVER_US = 150 * MS  # consent, a round of votes with two writes to disk, the state
 
 
 def started(seed: int = 2, gateways: int = 8) -> Fleet:
@@ -40,42 +40,42 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_holder_that_is_told_to_end_hands_its_duties_on(seed: int) -> None:
+def test_a_holder_that_shuts_down_hands_over_its_duties(seed: int) -> None:
     fleet = started(seed)
     asked, refused = sum(fleet.asked.values()), sum(fleet.refused.values())
     leaving = fleet.holder()
-    leaving.stop(GRACE)
-    fleet.run(GRACE - 1)
+    leaving.stop(GRACE_US)
+    fleet.run(GRACE_US - 1)
     assert leaving.rate_limiter is not None and not leaving.rate_limiter.held_duties()
-    assert len(holders(fleet)) == 4 and fleet.longest <= HANDED_WITHIN
+    assert len(holders(fleet)) == 4 and fleet.longest <= MAX_HANDOVER_US
     assert sum(fleet.refused.values()) - refused <= 0.02 * (sum(fleet.asked.values()) - asked)
     fleet.judge()
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_gateways_are_restarted_one_after_the_other_and_overlap(seed: int) -> None:
-    """Each second one more is told to end: several are leaving at any time, and none of them is to take a duty."""
+    """Several gateways are shutting down at any time, and none of them must take a duty."""
     fleet = started(seed, 10)
     asked, refused = sum(fleet.asked.values()), sum(fleet.refused.values())
     for gateway in fleet.gates:
-        gateway.stop(GRACE)
-        fleet.at(fleet.now + GRACE + 300 * MS, gateway.start)
+        gateway.stop(GRACE_US)
+        fleet.at(fleet.now + GRACE_US + 300 * MS, gateway.start)
         fleet.run(SECOND)
     fleet.run(8 * SECOND)
     fleet.judge()
-    assert len(holders(fleet)) == 4 and fleet.longest <= HANDED_WITHIN
+    assert len(holders(fleet)) == 4 and fleet.longest <= MAX_HANDOVER_US
     assert sum(fleet.refused.values()) - refused <= 0.005 * (sum(fleet.asked.values()) - asked)
 
 
-def test_without_handing_on_a_stop_is_felt(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_handover_a_shutdown_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Handover, "_on_handed", lambda *_: None)
     with pytest.raises(AssertionError):
         for seed in range(6):
-            test_a_holder_that_is_told_to_end_hands_its_duties_on(seed)
+            test_a_holder_that_shuts_down_hands_over_its_duties(seed)
 
 
-def test_one_that_is_leaving_takes_no_duty_also_when_the_list_changes() -> None:
-    """It stood again as soon as another gateway joined, won, and took the duty with it into its end."""
+def test_a_gateway_shutting_down_takes_no_duty_when_the_list_changes() -> None:
+    """It must not become a candidate again when a gateway joins, as it would hold the duty until it ends."""
     fleet = started()
     leaving = fleet.holder()
     leaving.stop(60 * SECOND)
@@ -86,13 +86,13 @@
         assert leaving.rate_limiter is not None and not leaving.rate_limiter.held_duties()
 
 
-def test_all_are_told_to_end_at_once() -> None:
-    """Nobody takes anything, so they count to their end."""
+def test_all_gateways_shut_down_at_once() -> None:
+    """No gateway consents to take a duty, so all count until they end."""
     fleet = started()
     before = holders(fleet)
     for gateway in fleet.gates:
-        gateway.stop(GRACE)
-    fleet.run(GRACE - 1)
+        gateway.stop(GRACE_US)
+    fleet.run(GRACE_US - 1)
     assert holders(fleet) == before
     fleet.run(SECOND)
     for gateway in fleet.gates:
@@ -102,12 +102,12 @@
     assert len(holders(fleet)) == 4
 
 
-def test_the_last_one_that_stays_takes_all() -> None:
+def test_the_last_remaining_gateway_takes_all_duties() -> None:
     fleet = started()
     stays = next(gate for gate in fleet.gates if gate is not fleet.holder())
     for gateway in fleet.gates:
         if gateway is not stays:
-            gateway.stop(GRACE)
+            gateway.stop(GRACE_US)
     fleet.run(2 * SECOND)
     assert set(holders(fleet).values()) == {stays.name}
     fleet.judge()
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("delay", [100, 200, 400])
 def test_votes_are_renewed_over_links_on_which_answers_take_long(delay: int) -> None:
-    """Answers later than 150 ms were thrown away: a holder lost its duty 1.8 s after it had won it, again and again."""
+    """Late responses must renew the votes, or a holder loses its duty again and again."""
     fleet = started()
     before = holders(fleet)
     for voter in fleet.core:
@@ -134,7 +134,7 @@
     assert len(holders(fleet)) == 4
 
 
-def test_a_round_gets_twice_the_time_of_one_that_came_to_nothing() -> None:
+def test_the_timeout_doubles_after_a_failed_round() -> None:
     candidate, now = Candidate("a"), 10 * SECOND
     times = []
     for _ in range(5):
@@ -180,7 +180,7 @@
     assert candidate.held_until["d"] == asked + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US
     candidate.on_response(VoteResponse("d", "elect", second.ballot, True), "x", 3, late)
     assert candidate.held_until["d"] == asked + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US, (
-        "votes of two questions are not added up"
+        "votes for two requests must not be added up"
     )
     candidate.on_response(VoteResponse("d", "elect", second.ballot, True), "y", 3, late)
     assert candidate.held_until["d"] == asked + ROUND_TIMEOUT_US + VOTE_DURATION_US - LEASE_SAFETY_MARGIN_US
@@ -219,13 +219,13 @@
 
 
 @pytest.mark.parametrize("body", [None, [], [{}, 0, []], [{"t": "x"}, 0, [], {}], [{}, 0, [[1]], {}], [[], 0, [], {}]])
-def test_what_is_no_state_is_an_error(body: object) -> None:
+def test_a_malformed_state_is_an_error(body: object) -> None:
     with pytest.raises((TypeError, ValueError, IndexError, AttributeError)):
         CounterState.decode(body)
 
 
-def test_a_gateway_of_the_version_before_is_passed_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It does not know the question, so it never answers; the next one that stands is asked."""
+def test_a_gateway_of_the_previous_version_is_skipped(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It does not know the message kind and never answers; the next candidate is asked."""
     fleet = started()
     leaving = fleet.holder()
     assert leaving.rate_limiter is not None and leaving.life is not None
@@ -235,6 +235,6 @@
     assert old.life is not None
     for kind in ("will you take", "handed", "counter state"):
         del old.life.handlers[kind]
-    leaving.stop(GRACE)
+    leaving.stop(GRACE_US)
     fleet.run(SECOND)
     assert holders(fleet)[duty] not in (leaving.name, old.name)
--- a/tests/test_refunds.py
+++ b/tests/test_refunds.py
@@ -1,4 +1,4 @@
-"""The count of a request that surely never ran is given back, once; the quota holds all the same."""
+"""The count of a request that surely never ran is refunded once, and the quota still holds."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 TERMS = QuotaTerms(5 * SECOND, 0.1, 20)
 
 
-class Plain:
-    """Which requests were counted, and when: the level is worked out anew from all of them."""
+class ReferenceCounter:
+    """Reference model: recomputes the level from all counted requests."""
 
     def __init__(self) -> None:
         self.counted: dict[int, int] = {}
@@ -32,40 +32,43 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_more_is_given_back_than_if_it_had_never_been_counted(seed: int) -> None:
+def test_a_refund_is_at_most_what_the_request_still_adds(seed: int) -> None:
     rng, now = random.Random(seed), 100 * SECOND
-    floors, plain = QuotaCounter(TERMS, now), Plain()
-    floors.bound_unknown_usage(now - 100 * SECOND)
+    counter, reference = QuotaCounter(TERMS, now), ReferenceCounter()
+    counter.bound_unknown_usage(now - 100 * SECOND)
     held: list[tuple[int, int]] = []
     whole = 0
     for number in range(400):
         now += rng.choice([0, 3, 20, 60, 400]) * MS * rng.randrange(2)
-        verdict = floors.count_request("t", QUOTA, False, now)
+        verdict = counter.count_request("t", QUOTA, False, now)
         if verdict.passes:
-            plain.counted[number] = now
+            reference.counted[number] = now
             held.append((number, verdict.counted_at))
         if held and rng.random() < 0.3:
             taken, counted_at = held.pop(rng.randrange(max(0, len(held) - 6), len(held)))
-            whole += floors.refund("t", QUOTA, counted_at, now) == 1
-            del plain.counted[taken]
-        assert floors.level("t", QUOTA, now) >= plain.level(now) - 1e-3, "less than what is counted"
+            whole += counter.refund("t", QUOTA, counted_at, now) == 1
+            del reference.counted[taken]
+        assert counter.level("t", QUOTA, now) >= reference.level(now) - 1e-3, (
+            "the level is below that of the counted requests"
+        )
     assert whole > 10
 
 
-def test_at_the_edge_of_its_quota_a_tenant_has_all_of_it_back() -> None:
-    floors, now = QuotaCounter(TERMS, 0), 200 * SECOND
-    while (verdict := floors.count_request("t", QUOTA, False, now)).passes:
+def test_at_the_limit_a_refund_is_whole() -> None:
+    counter, now = QuotaCounter(TERMS, 0), 200 * SECOND
+    while (verdict := counter.count_request("t", QUOTA, False, now)).passes:
         counted_at = verdict.counted_at
-    assert floors.refund("t", QUOTA, counted_at, now) == 1
+    assert counter.refund("t", QUOTA, counted_at, now) == 1
     assert (
-        floors.count_request("t", QUOTA, False, now).passes and not floors.count_request("t", QUOTA, False, now).passes
+        counter.count_request("t", QUOTA, False, now).passes
+        and not counter.count_request("t", QUOTA, False, now).passes
     )
 
 
-def test_a_message_counts_once_and_for_the_life_that_counted() -> None:
+def test_a_refund_is_accepted_once_and_only_by_the_incarnation_that_counted() -> None:
     sender, counter = RefundLog("g", "life"), RefundLog("h", "other")
     body = sender.encode("t", "this", 5)
-    assert counter.accept(body, "next", 0) is None, "a counter that knows nothing of it"
+    assert counter.accept(body, "next", 0) is None, "a counter of another incarnation"
     assert counter.accept(body, "this", 0) == ("t", 5)
     assert counter.accept(body, "this", 1) is None
     assert counter.accept(sender.encode("t", "this", 5), "this", 2) == ("t", 5)
@@ -74,7 +77,7 @@
     assert len(counter._accepted) == 5
 
 
-def test_a_receipt_is_good_once_at_whatever_gateway_it_was_counted() -> None:
+def test_a_receipt_is_refunded_once_wherever_it_was_counted() -> None:
     fleet = Fleet(1, 6)
     fleet.run(6 * SECOND)
     for machine in fleet.gates:
@@ -103,18 +106,18 @@
 
 def level(fleet: Fleet, tenant: str) -> float:
     counters = [m.rate_limiter._counters for m in fleet.gates if m.rate_limiter is not None]
-    found = [floors for held in counters for floors in held.values() if tenant in floors._levels]
+    found = [counter for held in counters for counter in held.values() if tenant in counter._levels]
     assert len(found) == 1
     return found[0].level(tenant, QUOTA, fleet.now)
 
 
-def test_a_refusal_before_any_attempt_gives_the_count_back(gate: Gate) -> None:
+def test_a_refusal_before_any_attempt_is_refunded(gate: Gate) -> None:
     gate.show(gone=("i-1", "i-2"))
     assert gate.status(gate.say()) == 503
     assert gate.rate_limiter.given_back == ["t1"]
 
 
-def test_a_client_that_leaves_before_any_attempt_gives_the_count_back_once(gate: Gate) -> None:
+def test_a_client_that_leaves_before_any_attempt_is_refunded_once(gate: Gate) -> None:
     named = []
     gate.router.boards.select = (  # type: ignore[method-assign]
         lambda service, wait, on_selected, facts=None, without=frozenset(): named.append(on_selected)
@@ -128,7 +131,7 @@
     assert gate.rate_limiter.given_back == ["t1"]
 
 
-def test_what_was_offered_to_a_backend_stays_counted(gate: Gate) -> None:
+def test_a_request_sent_to_a_backend_stays_counted(gate: Gate) -> None:
     client = gate.say()
     _, backend, _ = gate.at_backend()
     client.close(reset=True)
