--- a/oakvale/election/__init__.py
+++ b/oakvale/election/__init__.py
@@ -1,3 +1,3 @@
-"""Elections: voters grant the holder of a duty a time-limited lease by majority. It reads no clock and opens no
-socket. Start reading at `voting`.
+"""Elections: voters grant the holder of a duty a time-limited lease by majority. It must not read a clock or open a
+socket. Begin with `voting`.
 """
--- a/oakvale/ratelimit/handover.py
+++ b/oakvale/ratelimit/handover.py
@@ -40,18 +40,23 @@
         self_address: str,
         successors: Callable[[str], list[Member]],
         others: Callable[[], list[Address]],
-        stand: Callable[[str, int], None],
+        start_election: Callable[[str, int], None],
         highest_round: Callable[[], int],
         state: Callable[[str], CounterState | None],
-        lost: Callable[[str, Address], None],
+        on_given_up: Callable[[str, Address], None],
     ) -> None:
-        """`successors`: the next candidates for a duty, in order; `stand`: starts an election for a duty in a round
+        """`successors`: the next candidates for a duty, in order; `start_election`: starts one for a duty in a round
         above the given one, which voters may have promised to the former holder; `highest_round`: the highest known;
-        `state`: counter state of a duty that was held here; `lost`: called when the holder of a duty gave it up.
+        `state`: counter state of a duty that was held here; `on_given_up`: called when a holder gave up a duty.
         """
         self._loop, self._transport, self._self_address = loop, transport, self_address
         self._successors, self._others = successors, others
-        self._stand, self._highest_round, self._state, self._lost = stand, highest_round, state, lost
+        self._start_election, self._highest_round, self._state, self._on_given_up = (
+            start_election,
+            highest_round,
+            state,
+            on_given_up,
+        )
         self.shutting_down = False
         self._taken_from: dict[str, tuple[Address, int]] = {}  # duty -> its former holder, and time of the handover
         self._held_off_until: dict[str, int] = {}  # duty -> until when it is left to its successor
@@ -156,13 +161,13 @@
         duty, holder = str(body[0]), parse_address(str(body[1]))
         if holder is None or str(body[1]) == self._self_address:
             return
-        self._lost(duty, holder)
+        self._on_given_up(duty, holder)
         successor = None if body[2] is None else (str(body[2][0]), int(body[2][1]))
         if successor is None:
             return
         if successor == parse_address(self._self_address):
             if not self.shutting_down:
                 self._taken_from[duty] = (holder, self._loop.now)
-                self._stand(duty, int(body[3]))
+                self._start_election(duty, int(body[3]))
         else:
             self._held_off_until[duty] = self._loop.now + SUCCESSOR_HOLDOFF_US
--- a/tests/ratelimit_simulation.py
+++ b/tests/ratelimit_simulation.py
@@ -81,7 +81,7 @@
             if life.waiting.pop(number, None) is not None:
                 then(answer)
 
-        def hear(answer: Any) -> None:
+        def on_answer_or_timeout(answer: Any) -> None:
             life.machine.run(life, lambda: on_answer(answer))
 
         def arrive() -> None:
@@ -93,7 +93,7 @@
             packed = cbor2.dumps(answer)
             fleet.ship(target, life, lambda: on_answer(cbor2.loads(packed)))
 
-        fleet.at(fleet.now + timeout, lambda: hear(None))
+        fleet.at(fleet.now + timeout, lambda: on_answer_or_timeout(None))
         life.waiting[number] = (target, then)
         fleet.ship(life, target, arrive)
 
