--- a/oakvale/base/configuration.py
+++ b/oakvale/base/configuration.py
@@ -28,7 +28,7 @@
     seed: int
     known: dict[str, Any]
     settings: i.Settings
-    names: site.Names
+    names: site.NameIndexes
     limits: Limits
     environment: Mapping[str, str]
 
@@ -66,11 +66,11 @@
     if not isinstance(raw, dict):
         raise BadConfiguration("settings are missing")
     try:
-        decoded, names = site.decode(raw), site.names(raw)
-        limits, extra = site.part(raw, "limits"), site.part(raw, "specifics")
+        decoded, names = site.decode(raw), site.decode_names(raw)
+        limits, extra = site.section(raw, "limits"), site.section(raw, "specifics")
         bounds = Limits.fill(
-            sockets=int(site.part(data, "limits").get("sockets") or 1024),
-            memory=int(site.part(data, "limits").get("memory_mb") or 192) * MB,
+            sockets=int(site.section(data, "limits").get("sockets") or 1024),
+            memory=int(site.section(data, "limits").get("memory_mb") or 192) * MB,
             connect=int(limits.get("connectTimeoutUs") or Limits.connect),
             backend_idle=int(limits.get("connIdleUs") or Limits.backend_idle),
             counter_timeout=int(extra.get("counterTimeoutUs") or Limits.counter_timeout),
--- a/oakvale/controlplane/control_server.py
+++ b/oakvale/controlplane/control_server.py
@@ -8,7 +8,7 @@
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.resources import JSON, Backends, Config, Reply, primary_url
 from oakvale.memory.requests import Answer, InHand
-from oakvale.shared import Owner, Shared
+from oakvale.shared import ConnectionOwner, SharedResources
 from oakvale.wire.clients import Incoming, plain
 
 if TYPE_CHECKING:
@@ -18,10 +18,10 @@
 READYZ = b"/oakvale/readyz"
 
 
-class Ctl(Owner):
+class Ctl(ConnectionOwner):
     """The owner of `ctl` connections."""
 
-    def __init__(self, shared: Shared, core: Core, settings: Settings) -> None:
+    def __init__(self, shared: SharedResources, core: Core, settings: Settings) -> None:
         super().__init__(shared)
         self.core = core
         self._port = settings.bind["ctl"][1]
--- a/oakvale/controlplane/process.py
+++ b/oakvale/controlplane/process.py
@@ -27,7 +27,7 @@
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.lifecycle.signals import Signals
-from oakvale.shared import Shared
+from oakvale.shared import SharedResources
 from oakvale.storage.store import Storage
 from oakvale.transport.links import Transport
 from oakvale.transport.status_service import offer
@@ -79,7 +79,7 @@
         Gates(core, voter_service, loop, self.transport)
         Pruning(core, loop)
         offer(self.transport, "headworks", settings.node, lambda: standing(core))
-        self.shared = Shared(loop, bounds(settings))
+        self.shared = SharedResources(loop, bounds(settings))
         self._ctl = Ctl(self.shared, core, settings)
         self.acceptor = Acceptor(self._ctl, listeners["ctl"], loop)
         self._drains: Drains | None = None
--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -24,8 +24,8 @@
 from oakvale.memory.requests import InHand
 from oakvale.ratelimit.quotas import Quota, Terms
 from oakvale.ratelimit.service import RateLimiter
-from oakvale.retry_budget import Retries
-from oakvale.shared import Shared
+from oakvale.retry_budget import RetryLimits
+from oakvale.shared import SharedResources
 from oakvale.transport.links import Answer, Connection, Transport
 from oakvale.wire.clients import Incoming, plain
 
@@ -44,7 +44,7 @@
 class Readyz:
     """The owner of `readyz` connections: the same bounds, one answer."""
 
-    def __init__(self, shared: Shared, sluice: EdgeGateway) -> None:
+    def __init__(self, shared: SharedResources, sluice: EdgeGateway) -> None:
         self._sluice = sluice
         self.loop, self.limits, self.log = shared.loop, shared.limits, shared.log
         self.buffers, self.bodies, self.response = shared.buffers, shared.bodies, shared.response
@@ -77,7 +77,7 @@
         self.transport = Transport(self.loop, (settings.ip, settings.ports[0] + 1))
         self.own = spelled(self.transport.own)
         self.table = Table()
-        self.shared = Shared(self.loop, limits)
+        self.shared = SharedResources(self.loop, limits)
         self._core = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]  # the primary first, if known
         self._voters: list[str] = []
         given = settings.bounds
@@ -100,7 +100,7 @@
             settings.node,
             sorted(settings.zones),
             settings.zone,
-            Retries(given.retry_win, given.retry_ratio, given.retry_slack),
+            RetryLimits(given.retry_win, given.retry_ratio, given.retry_slack),
         )
         self.feed = Feed(
             self.loop,
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -19,8 +19,8 @@
 from oakvale.memory.requests import Answer, AttemptOut, InHand
 from oakvale.ratelimit.counter_state import Receipt
 from oakvale.ratelimit.service import RateLimiter
-from oakvale.retry_budget import Retries, SharedBudget
-from oakvale.shared import Owner, Shared
+from oakvale.retry_budget import FleetRetryBudget, RetryLimits
+from oakvale.shared import ConnectionOwner, SharedResources
 from oakvale.transport.links import Transport
 from oakvale.wire.clients import BadRequest, Incoming, plain
 
@@ -72,13 +72,13 @@
 
     def __init__(
         self,
-        shared: Shared,
+        shared: SharedResources,
         boards: Boards,
         service: str,
         zones: dict[str, int],
         zone: str,
         seed: int,
-        budget: SharedBudget,
+        budget: FleetRetryBudget,
         give_back: Callable[[Receipt], None],
         without: frozenset[str] = frozenset(),
     ) -> None:
@@ -129,9 +129,9 @@
             return number
         return known[0]
 
-    def request_came(self, request: InHand, event: i.Request) -> None:
-        self.budget.came(self.loop.now)
-        super().request_came(request, event)
+    def request_received(self, request: InHand, event: i.Request) -> None:
+        self.budget.record_request(self.loop.now)
+        super().request_received(request, event)
 
     def final(self, request: InHand, answer: Answer) -> None:
         super().final(request, answer)
@@ -175,7 +175,7 @@
             a for r in self.requests.all() if not r.over and r.event.driver is self for a in r.out.values()
         ]:
             if attempt.backend in gone and attempt.written and attempt.connection is not None:
-                self.call_off(attempt, i.Ending.TIMEOUT)
+                self.cancel_attempt(attempt, i.Ending.TIMEOUT)
 
     def _list(self, numbers: dict[str, int]) -> bool:
         """Whether zones that are out are left alone: not where nothing else is there."""
@@ -203,7 +203,7 @@
         offers = [Offer(b.id, b.zone, b.slots, b.warm) for b in self._known.values() if b.ready]
         if offers != self._offers:
             self._offers = offers
-        self.give(i.Backends(i.ListForm.FULL, tuple(entries)))
+        self.dispatch(i.Backends(i.ListForm.FULL, tuple(entries)))
         return heeds
 
     def number(self, backend: str) -> int:
@@ -227,7 +227,7 @@
 
     def retire(self) -> None:
         """Nobody is given to this lane any more; its timers end with what it has in hand."""
-        self._carry[i.Wake] = self._last_wakes
+        self._action_handlers[i.Wake] = self._last_wakes
 
     def _last_wakes(self, action: i.Wake) -> None:
         if any(request.event.driver is self for request in self.requests.all()):
@@ -245,12 +245,12 @@
     def serves(self, backend: int) -> bool:
         return backend in self._ready
 
-    def youth(self, request: InHand) -> int | None:
+    def max_connection_idle(self, request: InHand) -> int | None:
         """What may run once only is not risked on a connection that its backend may have forgotten."""
         order: Order = request.event
         return order.youth
 
-    def answer_of(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
+    def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
         order: Order = request.event
         if order.last is not None:
             return order.last
@@ -260,18 +260,18 @@
         return later(503, action.retry_after, b"try again later\n")
 
 
-class RequestRouter(Owner):
+class RequestRouter(ConnectionOwner):
     """The owner of clients' connections."""
 
     def __init__(
         self,
-        shared: Shared,
+        shared: SharedResources,
         rate_limiter: RateLimiter,
         transport: Transport,
         node: str,
         zones: list[str],
         zone: str,
-        retries: Retries,
+        retries: RetryLimits,
     ) -> None:
         super().__init__(shared)
         self.rate_limiter = rate_limiter
@@ -286,7 +286,7 @@
         self.leaving = False  # this gateway is drained: its clients are to come back elsewhere
         self._numbers: dict[str, int] = {}
         self._rng, self._retries = self.loop.net.rng, retries
-        self.taking_ended = False
+        self.admission_closed = False
         self._idle_held = (0, 0)  # microseconds that clients may think a connection may be idle, and until when
         self._longest: dict[str, int] = {}  # route -> the longest that a client would wait
         self.sure: Callable[[], bool] = lambda: True  # whether a key's removal would have been heard of
@@ -336,7 +336,7 @@
     def _driver(self, service: str) -> ServiceDriver:
         driver = self._drivers.get(service)
         if driver is None:
-            budget = SharedBudget(self._retries, lambda: len(self.picture.members), self._rng.random, self.loop.now)
+            budget = FleetRetryBudget(self._retries, lambda: len(self.picture.members), self._rng.random, self.loop.now)
             driver = self._drivers[service] = ServiceDriver(
                 self.shared,
                 self.boards,
@@ -407,7 +407,7 @@
         name = rid.decode("latin-1")
         if self.requests.get(name) is not None:
             raise BadRequest(409, "Attempt-Id is of a request in hand")
-        if self.taking_ended or self.requests.full():
+        if self.admission_closed or self.requests.full():
             return later(503, SECOND // 2, b"no room\n")
         left = fields.get(b"time-left", b"")
         wait = min(route.deadline, int(left) * MS if DIGITS.fullmatch(left) else route.deadline)
@@ -471,8 +471,8 @@
             order.given, order.pick = True, pick
             if pick is not None:
                 order.youth = None if order.route.safe else pick.youth
-                order.event = replace(order.event, hint=order.driver.number(pick.backend))
-            order.driver.request_came(request, order.event)
+                order.event = replace(order.event, preferred_backend=order.driver.number(pick.backend))
+            order.driver.request_received(request, order.event)
             pick, out = order.pick, {attempt.backend for attempt in request.out.values()}
             if pick is None or order.driver.number(pick.backend) in out:
                 return
--- a/oakvale/driver.py
+++ b/oakvale/driver.py
@@ -15,21 +15,23 @@
 from oakvale.base.address import Address
 from oakvale.memory.requests import Answer, AttemptOut, InHand
 from oakvale.policy.gateway import Gateway
-from oakvale.retry_budget import Budget
-from oakvale.shared import Owner, Shared
+from oakvale.retry_budget import RetryBudget
+from oakvale.shared import ConnectionOwner, SharedResources
 from oakvale.wire.backends import BackendConnection, Dialect
 
 
-class Driver(Owner):
+class Driver(ConnectionOwner):
     dialect: Dialect
 
-    def __init__(self, shared: Shared, settings: i.Settings, seed: int, budget: Budget | None = None) -> None:
+    def __init__(
+        self, shared: SharedResources, settings: i.Settings, seed: int, budget: RetryBudget | None = None
+    ) -> None:
         super().__init__(shared)
         self.settings = settings
         self.gateway = Gateway(settings, seed, budget)
         self._events: deque[i.Event] = deque()
-        self._giving = False
-        self._carry: dict[type[i.Action], Callable[[Any], None]] = {
+        self._dispatching = False
+        self._action_handlers: dict[type[i.Action], Callable[[Any], None]] = {
             i.Attempt: self._attempt,
             i.Cancel: self._cancel,
             i.Refuse: self._refuse,
@@ -59,32 +61,32 @@
         """Neither leaving nor left: a connection to it may be kept."""
         raise NotImplementedError
 
-    def youth(self, request: InHand) -> int | None:
+    def max_connection_idle(self, request: InHand) -> int | None:
         """Microseconds that a connection may have been idle and carry this request; None for any."""
         return None
 
-    def answer_of(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
+    def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
         """The final answer of a request that is given up."""
         raise NotImplementedError
 
     # ---- events
 
-    def give(self, event: i.Event) -> None:
+    def dispatch(self, event: i.Event) -> None:
         """Hands the module an event and carries out its actions. What these bring at once waits its turn."""
         self._events.append(event)
-        if self._giving:
+        if self._dispatching:
             return
-        self._giving = True
+        self._dispatching = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
-            self._giving = False
+            self._dispatching = False
 
     def _handle(self, event: i.Event) -> None:
         try:
             for action in self.gateway.handle(self.loop.now, event):
-                self._carry[type(action)](action)
+                self._action_handlers[type(action)](action)
         except Exception:
             self.log.exception("event failed", extra={"kind": type(event).__name__})
             self._after_fault(event)
@@ -99,17 +101,17 @@
             self.final(request, Answer(500, [(b"content-type", b"text/plain")], b"internal error\n"))
             self._events.append(i.Withdrawn(request.id))
 
-    def request_came(self, request: InHand, event: i.Request) -> None:
+    def request_received(self, request: InHand, event: i.Request) -> None:
         self.tally.requests += 1
         self.requests.add(request)
-        self.give(event)
+        self.dispatch(event)
 
     def client_gone(self, request: InHand) -> None:
         if not request.over:
             self.abandon(request)
-            self.give(i.Withdrawn(request.id))
+            self.dispatch(i.Withdrawn(request.id))
             for attempt in [out for out in request.out.values() if not out.written]:
-                self.call_off(attempt)  # it can't run yet: nothing more of it goes out, whatever its effect
+                self.cancel_attempt(attempt)  # it can't run yet: nothing more of it goes out, whatever its effect
 
     def attempt_ended(
         self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
@@ -125,7 +127,7 @@
             if passed is not None:
                 self.final(request, passed)
         self.requests.drop_if_done(request)
-        self.give(
+        self.dispatch(
             i.Ended(
                 request.id,
                 attempt.backend,
@@ -150,7 +152,7 @@
         request.out[hop] = attempt
         if request.over or due <= now or hop >= self.settings.max_attempts:
             return self.attempt_ended(attempt, i.Ending.MOOT)
-        connection = self.idle.take(action.backend, now, self.youth(request))
+        connection = self.idle.take(action.backend, now, self.max_connection_idle(request))
         if connection is not None:
             return connection.use(attempt, self)
         address = self.address(action.backend)
@@ -169,9 +171,9 @@
         request = self.requests.get(action.id)
         attempt = request.out.get(action.hop) if request else None
         if attempt is not None:
-            self.call_off(attempt)
+            self.cancel_attempt(attempt)
 
-    def call_off(self, attempt: AttemptOut, ending: i.Ending = i.Ending.CANCELLED) -> None:
+    def cancel_attempt(self, attempt: AttemptOut, ending: i.Ending = i.Ending.CANCELLED) -> None:
         """Ends an attempt with its connection: nothing more of it is sent, and its backend learns of it at once."""
         if attempt.connection is not None:
             attempt.connection.end()
@@ -180,21 +182,21 @@
     def _refuse(self, action: i.Refuse) -> None:
         request = self.requests.get(action.id)
         if request is not None and not request.over:
-            self.final(request, self.answer_of(request, action))
+            self.final(request, self.final_answer(request, action))
 
     def _fail(self, action: i.Fail) -> None:
         request = self.requests.get(action.id)
         if request is not None and not request.over:
-            self.final(request, self.answer_of(request, action))
+            self.final(request, self.final_answer(request, action))
 
     def _wake(self, action: i.Wake) -> None:
         self.loop.wake_at(self.loop.now + action.delay, self._due, action.token)
 
     def _due(self, token: int) -> None:
-        self.give(i.Timer(token))
+        self.dispatch(i.Timer(token))
 
     def _charge(self, action: i.Charge) -> None:
-        self.give(i.Counted(action.name, i.Ending.NO_CONNECTION, 0.0, 0))
+        self.dispatch(i.Counted(action.name, i.Ending.NO_CONNECTION, 0.0, 0))
 
     def _watch(self, action: i.Watch) -> None:
         pass
--- a/oakvale/host.py
+++ b/oakvale/host.py
@@ -11,7 +11,7 @@
 from oakvale.driver import Driver
 from oakvale.memory.backend_names import BackendNames
 from oakvale.memory.requests import Answer, InHand
-from oakvale.shared import Shared
+from oakvale.shared import SharedResources
 from oakvale.wire.backends import ServiceDialect
 from oakvale.wire.clients import HEALTH, METHODS, BadRequest, Incoming, decode, plain, terms
 from oakvale.wire.counter import Counter
@@ -20,11 +20,11 @@
 
 class Host(Driver):
     def __init__(self, configuration: Configuration, loop: Loop) -> None:
-        super().__init__(Shared(loop, configuration.limits), configuration.settings, configuration.seed)
+        super().__init__(SharedResources(loop, configuration.limits), configuration.settings, configuration.seed)
         self.names = configuration.names
         self.dialect = ServiceDialect(self.settings.report)
         self.backend_names = BackendNames(self.names)
-        self.listed = self.taking_ended = False
+        self.listed = self.admission_closed = False
         self.counter = Counter(self, configuration.counter) if configuration.counter else None
         self.discovery = Discovery(self, configuration.discovery)
         self.terms = lru_cache(self.limits.cached)(partial(terms, self.settings))
@@ -38,7 +38,7 @@
     def serves(self, backend: int) -> bool:
         return self.backend_names.serves(backend)
 
-    def answer_of(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
+    def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
         headers = [(b"content-type", b"text/plain")]
         if isinstance(action, i.Fail):
             return Answer(502, headers, b"failed\n")
@@ -63,7 +63,7 @@
         request = decode(incoming, came, self.names, self.limits.client_wait, self.terms)
         if self.requests.get(request.id) is not None:
             raise BadRequest(409, "X-Trace-Id is of a request in hand")
-        if self.takes_no_more():
+        if self.refuses_requests():
             return plain(503, "no room")
         return InHand(
             request.id,
@@ -77,27 +77,27 @@
         )
 
     def begin(self, request: InHand) -> None:
-        self.request_came(request, request.event)
+        self.request_received(request, request.event)
 
     def counted(self, name: str, ending: i.Ending, level: float, sent: int) -> None:
         self.tally.calls[ending.value] += 1
-        self.give(i.Counted(name, ending, level, self.loop.now - sent))
+        self.dispatch(i.Counted(name, ending, level, self.loop.now - sent))
 
     def backends_changed(self, form: i.ListForm, entries: tuple[i.Entry, ...], freed: list[int]) -> None:
         self.listed = self.listed or bool(entries)
-        self.give(i.Backends(form, entries))
+        self.dispatch(i.Backends(form, entries))
         for backend in freed:
             self.idle.free(backend)
 
     def can_serve(self) -> bool:
         return self.listed and not self.stopping
 
-    def takes_no_more(self) -> bool:
-        return self.taking_ended or self.requests.full()
+    def refuses_requests(self) -> bool:
+        return self.admission_closed or self.requests.full()
 
     def _charge(self, action: i.Charge) -> None:
         if self.counter is None:
-            return self.give(i.Counted(action.name, i.Ending.NO_CONNECTION, 0.0, 0))
+            return self.dispatch(i.Counted(action.name, i.Ending.NO_CONNECTION, 0.0, 0))
         self.counter.call(action.name, action.amount, action.ttl)
 
     def _watch(self, action: i.Watch) -> None:
--- a/oakvale/interface.py
+++ b/oakvale/interface.py
@@ -127,14 +127,14 @@
 class Request:
     id: str
     customer: str
-    cls: int
+    class_index: int
     plan: int
     units: float
-    spread: int
-    first: int
+    gateway_count: int
+    first_gateway: int
     deadline: int  # clock time at which the client gives up
     flags: int = 0
-    hint: int = 0  # the backend that its first attempt had best go to; 0: none is known
+    preferred_backend: int = 0  # the backend that its first attempt had best go to; 0: none is known
 
 
 @dataclass(slots=True, frozen=True)
--- a/oakvale/lifecycle/shutdown.py
+++ b/oakvale/lifecycle/shutdown.py
@@ -59,7 +59,7 @@
         self.host.clients.end_idle()
 
     def _stop_taking(self, _: None) -> None:
-        self.host.taking_ended = True
+        self.host.admission_closed = True
         self._end_when_done(None)
 
     def _end_when_done(self, _: None) -> None:
--- a/oakvale/lifecycle/status.py
+++ b/oakvale/lifecycle/status.py
@@ -5,13 +5,13 @@
 import logging
 from typing import Any
 
-from oakvale.shared import Shared
+from oakvale.shared import SharedResources
 
 log = logging.getLogger(__name__)
 
 
 class Status:
-    def __init__(self, host: Shared) -> None:
+    def __init__(self, host: SharedResources) -> None:
         self._host = host
         self._cpu = 0.0
         self._turns = 0
--- a/oakvale/memory/backend_names.py
+++ b/oakvale/memory/backend_names.py
@@ -6,8 +6,8 @@
 
 from oakvale import interface as i
 from oakvale.base.address import Address, parse_address
-from oakvale.numbers import decimal, whole
-from oakvale.settings import Names
+from oakvale.numbers import parse_decimal, parse_integer
+from oakvale.settings import NameIndexes
 
 STATES = {"active": i.State.READY, "leaving": i.State.DRAINING, "left": i.State.GONE}
 
@@ -16,7 +16,7 @@
     """A backend keeps its number while it is listed, also when its address changes. One that left is
     forgotten: over months, there is no end of them. No number is given twice: attempts may still bear it."""
 
-    def __init__(self, names: Names) -> None:
+    def __init__(self, names: NameIndexes) -> None:
         self._names = names
         self._last = 0
         self._numbers: dict[str, int] = {}
@@ -73,9 +73,9 @@
             self._number(name, fresh),
             self._names.zones.get(str(row.get("zone")), len(self._names.zones)),
             self._names.kinds.get(str(row.get("type")), len(self._names.kinds)),
-            whole(str(row.get("group") or 0)),
+            parse_integer(str(row.get("group") or 0)),
             state,
-            decimal(str(row["weight"] if row.get("weight") is not None else 1.0)),
-            int(decimal(str(row.get("since_ms") or 0)) * 1000),
+            parse_decimal(str(row["weight"] if row.get("weight") is not None else 1.0)),
+            int(parse_decimal(str(row.get("since_ms") or 0)) * 1000),
         )
         return entry, address
--- a/oakvale/numbers.py
+++ b/oakvale/numbers.py
@@ -7,19 +7,19 @@
 
 import re
 
-WHOLE = re.compile(r"[0-9]{1,15}")
-DECIMAL = re.compile(r"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
+INTEGER_PATTERN = re.compile(r"[0-9]{1,15}")
+DECIMAL_PATTERN = re.compile(r"-?[0-9]{1,15}(?:\.[0-9]{1,15})?(?:[eE][+-]?[0-9]{1,2})?")
 
 
-def whole(text: str) -> int:
+def parse_integer(text: str) -> int:
     """A whole number of at most 15 digits; raises ValueError."""
-    if not WHOLE.fullmatch(text):
+    if not INTEGER_PATTERN.fullmatch(text):
         raise ValueError(f"not a whole number: {text[:64]!r}")
     return int(text)
 
 
-def decimal(text: str) -> float:
+def parse_decimal(text: str) -> float:
     """A finite decimal number, with or without an exponent; raises ValueError."""
-    if not DECIMAL.fullmatch(text):
+    if not DECIMAL_PATTERN.fullmatch(text):
         raise ValueError(f"not a number: {text[:64]!r}")
     return float(text)
--- a/oakvale/policy/admission.py
+++ b/oakvale/policy/admission.py
@@ -13,14 +13,14 @@
 
     def on_request(self, req: Request) -> None:
         desk, s, now = self.desk, self.desk.s, self.desk.now
-        if not (0 <= req.plan < len(s.plans) and 0 <= req.cls < len(s.classes)):
+        if not (0 <= req.plan < len(s.plans) and 0 <= req.class_index < len(s.classes)):
             return desk.do.append(Refuse(req.id))
         cust = desk.customers.get(req.customer)
         if cust is None:
             cust = desk.customers[req.customer] = Customer(req.customer, s.plans[req.plan], now)
             self.lending.weights += cust.plan.price if self.lending.soft(cust.plan) else 0.0
-        cust.seen, cust.spread = now, max(1, min(req.spread, s.fleet))
-        cls = s.classes[req.cls]
+        cust.seen, cust.spread = now, max(1, min(req.gateway_count, s.fleet))
+        cls = s.classes[req.class_index]
         held = desk.held[req.id] = Held(req, cls, cust, now - self.age(req, cls))
         if self.limits.left(held) < self.limits.health.lat * req.units:
             return self.limits.refuse(held, SECOND)  # too old to be answered in time: no call, no work
@@ -50,12 +50,12 @@
             self.settle(held)
 
     def age(self, req: Request, cls: RequestClass) -> int:
-        """How long ago the client first asked. First tries all wait alike: the time that most do. A repeat
-        waits for what is left of the deadline, one that came while this gateway stood still for less."""
+        """Estimates how long ago the client first sent the request, from the time that it still waits."""
         desk = self.desk
         wait, slot = min(req.deadline - desk.now, 2 * cls.deadline), max(1, cls.deadline // 32)
-        self.waits[req.cls, wait // slot] = self.waits.get((req.cls, wait // slot), 0) + (desk.now > desk.gap)
-        usual = slot * max((n, k) for (c, k), n in self.waits.items() if c == req.cls)[1]
+        self.waits[req.class_index, wait // slot] = self.waits.get(
+            (req.class_index, wait // slot), 0) + (desk.now > desk.gap)
+        usual = slot * max((n, k) for (c, k), n in self.waits.items() if c == req.class_index)[1]
         if desk.now == desk.gap and wait < usual:
             return min(desk.stood, usual - wait)
         return 0 if -slot <= wait - usual < 2 * slot else max(0, cls.deadline - wait)
--- a/oakvale/policy/attempts.py
+++ b/oakvale/policy/attempts.py
@@ -4,11 +4,11 @@
 from oakvale.policy.choice import Choice
 from oakvale.policy.lending import Lending
 from oakvale.policy.records import EASE, SECOND, Desk, Held
-from oakvale.retry_budget import Budget
+from oakvale.retry_budget import RetryBudget
 
 
 class Attempts:
-    def __init__(self, desk: Desk, lending: Lending, choice: Choice, budget: Budget) -> None:
+    def __init__(self, desk: Desk, lending: Lending, choice: Choice, budget: RetryBudget) -> None:
         self.desk, self.lending, self.choice = desk, lending, choice
         self.limits, self.health, self.quota = choice.limits, choice.health, choice.limits.quota
         self.budget, self.tokens, self.next_token = budget, dict[int, tuple[str, int]](), 1
@@ -52,7 +52,7 @@
         lost = silent or now - max(sent, self.desk.gap) > max(4 * lat * units, 0.5 * aim)
         if silent:
             self.health.eject(b)
-        useful = self.limits.left(held) >= self.health.lat * units and self.budget.may(self.desk.now)
+        useful = self.limits.left(held) >= self.health.lat * units and self.budget.can_retry(self.desk.now)
         if useful and (lost or lat > 3 * self.health.lat):
             return self.desk.do.append(Cancel(rid, hop))
         if not lost:
@@ -76,7 +76,7 @@
         learned = self.desk.now > self.desk.gap and bool(known or ev.ending is Ending.SERVED)
         if learned and self.health.learn(b, ev, held.req.units):  # what came in a pause blames nobody
             self.limits.follow(b, ev.ending)
-        self.budget.ended(held.spent, ev.ending, learned, self.desk.now)
+        self.budget.record_attempt_end(held.spent, ev.ending, learned, self.desk.now)
         held.cust.out -= 1
         self.quota.tell_open(held.cust)
         if held.ran is None and ev.ending not in NEVER_RAN:
@@ -90,7 +90,7 @@
         """Another attempt where effect, budget and aim allow one; else the final answer at once."""
         useful = ending is not Ending.MOOT and self.limits.left(held) > self.health.lat * held.req.units / 2
         may = useful and held.hops < self.tries(held) and self.repeatable(held)
-        if may and self.budget.take(held.spent, ending, self.desk.now):
+        if may and self.budget.try_spend(held.spent, ending, self.desk.now):
             return self.launch(held)
         self.limits.refuse(held, SECOND // 2)
 
--- a/oakvale/policy/choice.py
+++ b/oakvale/policy/choice.py
@@ -30,7 +30,8 @@
         ready = [b for b in desk.backends.values() if b.entry.state is State.READY and self.in_group(held, b)]
         up = [b for b in ready if b.out_until <= desk.now and not health.stalled(b)]
         up = up if 2 * len(up) >= len(ready) else ready  # many ejected: distrust ejection
-        if held.req.hint and not held.hops and (told := desk.backends.get(held.req.hint)) in up:
+        if held.req.preferred_backend and not held.hops and (
+                told := desk.backends.get(held.req.preferred_backend)) in up:
             return told  # by who sees all gateways' attempts
         if sum(len(b.inflight) for b in up) >= max(self.limits.room.size, sum(b.limit.size for b in up)):
             return None  # limits under one hold for all together; what is stuck at others takes no room
--- a/oakvale/policy/gateway.py
+++ b/oakvale/policy/gateway.py
@@ -6,18 +6,18 @@
 from oakvale import interface as i
 from oakvale.policy import admission, attempts, choice, health, lending, limits, quota, upkeep
 from oakvale.policy.records import BATCH, Desk
-from oakvale.retry_budget import Budget, OwnBudget
+from oakvale.retry_budget import LocalRetryBudget, RetryBudget
 
 
 class Gateway:
-    def __init__(self, settings: i.Settings, seed: int, budget: Budget | None = None) -> None:
+    def __init__(self, settings: i.Settings, seed: int, budget: RetryBudget | None = None) -> None:
         self.desk = desk = Desk(settings, seed)
         self.resettle = desk.resettle  # other classes, same backends: what was learned of these stays
         self.counter, self.health = quota.Counter(desk), health.Health(desk)
         self.quota = quota.Quota(desk, self.counter)
         self.limits = limits.Limits(desk, self.health, self.quota)
         self.lending, self.choice = lending.Lending(desk, self.limits), choice.Choice(desk, self.limits)
-        self.attempts = attempts.Attempts(desk, self.lending, self.choice, budget or OwnBudget())
+        self.attempts = attempts.Attempts(desk, self.lending, self.choice, budget or LocalRetryBudget())
         self.admission = admission.Admission(desk, self.attempts)
         self.upkeep = upkeep.Upkeep(desk, self.attempts)
         self.handlers: dict[type[i.Event], Callable[[Any], None]] = {
--- a/oakvale/policy/quota.py
+++ b/oakvale/policy/quota.py
@@ -76,8 +76,7 @@
             self.counter.charge(self.open_name(cust), amount, kind, rid, self.desk.open_slot)
 
     def refill(self, cust: Customer) -> None:
-        """The floor slides: room comes back at the plan's rate up to its burst, as quotas are judged. What
-        may pass unasked grows by what the others left of it when last read, the even share at least."""
+        """Refills the quota and the allowance of a request that the counter is not asked about."""
         if cust.epoch != self.desk.now // EPOCH:  # use not yet told fades on under the new name
             cust.epoch, cust.level = self.desk.now // EPOCH, 0.0
             cust.unsent *= exp(-EPOCH / cust.window)
--- a/oakvale/policy/records.py
+++ b/oakvale/policy/records.py
@@ -3,7 +3,7 @@
 import random
 
 from oakvale.interface import Action, Ending, Entry, Plan, Request, RequestClass, Settings
-from oakvale.retry_budget import Spent
+from oakvale.retry_budget import RetryCost
 
 BATCH = 250_000  # DESIGN: the global counts go four times a second
 SECOND = 1_000_000
@@ -49,7 +49,7 @@
         self.within, self.waiting, self.hops, self.over, self.head = True, 0, 0, False, False
         self.out: dict[int, tuple[Backend, int]] = {}
         self.ran: tuple[Backend, int] | None = None  # first attempt that may have run, and when it was sent
-        self.tried, self.spent = list[int](), Spent()
+        self.tried, self.spent = list[int](), RetryCost()
         self.taken, self.told = False, req.units  # its units are out of the customer's room; units counted
 
 
--- a/oakvale/settings.py
+++ b/oakvale/settings.py
@@ -20,13 +20,13 @@
 }
 
 
-def part(data: dict[str, Any], name: str) -> dict[str, Any]:
+def section(data: dict[str, Any], name: str) -> dict[str, Any]:
     return data.get(name) or {}
 
 
 def decode(data: dict[str, Any]) -> i.Settings:
-    limits, rules, extra = part(data, "limits"), part(data, "rules"), part(data, "specifics")
-    report, prices = part(data, "report"), part(data, "prices")
+    limits, rules, extra = section(data, "limits"), section(data, "rules"), section(data, "specifics")
+    report, prices = section(data, "report"), section(data, "prices")
     classes = tuple(
         i.RequestClass(
             aim=int(c.get("targetUs") or c.get("giveUpUs") or 1_000_000),
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Names:
+class NameIndexes:
     """What the settings call their classes, plans, zones and kinds: each one's place is its number."""
 
     classes: dict[str, int]
@@ -91,11 +91,11 @@
     kinds: dict[str, int]
 
 
-def names(data: dict[str, Any]) -> Names:
+def decode_names(data: dict[str, Any]) -> NameIndexes:
     def places(rows: list[Any]) -> dict[str, int]:
         return {str(r["name"] if isinstance(r, dict) else r): k for k, r in enumerate(rows)}
 
-    return Names(
+    return NameIndexes(
         places(data.get("classes") or []),
         places(data.get("tiersOfService") or []),
         places(data.get("zones") or []),
--- a/oakvale/shared.py
+++ b/oakvale/shared.py
@@ -14,7 +14,7 @@
 from oakvale.wire.clients import response
 
 
-class Shared:
+class SharedResources:
     """What all owners of a process's connections hold together."""
 
     def __init__(self, loop: Loop, limits: Limits) -> None:
@@ -31,10 +31,10 @@
         self.response = lru_cache(limits.cached)(response)
 
 
-class Owner:
+class ConnectionOwner:
     """Whom connections belong to: the process's shared parts, under the names that connections ask for."""
 
-    def __init__(self, shared: Shared) -> None:
+    def __init__(self, shared: SharedResources) -> None:
         self.shared = shared
         self.loop, self.limits, self.log = shared.loop, shared.limits, shared.log
         self.buffers, self.requests, self.idle = shared.buffers, shared.requests, shared.idle
--- a/oakvale/wire/backends.py
+++ b/oakvale/wire/backends.py
@@ -12,7 +12,7 @@
 from oakvale.memory.buffers import Room, Share
 from oakvale.memory.idle_connections import IdleConnections
 from oakvale.memory.requests import Answer, AttemptOut, Headers
-from oakvale.numbers import decimal
+from oakvale.numbers import parse_decimal
 from oakvale.wire.http import END, end_to_end, more
 from oakvale.wire.owner import Process
 from oakvale.wire.tcp import Gone, connect, new_socket, peek, reset_on_close, write_all
@@ -32,7 +32,7 @@
     part of such a report counts."""
     try:
         pairs = dict(p.split("=", 1) for p in text.decode("ascii").removeprefix("TEXT").split(","))
-        values = {k.strip(): decimal(v.strip()) for k, v in pairs.items()}
+        values = {k.strip(): parse_decimal(v.strip()) for k, v in pairs.items()}
     except ValueError:
         return ()
     if any(value < 0 for value in values.values()):
--- a/oakvale/wire/clients.py
+++ b/oakvale/wire/clients.py
@@ -19,8 +19,8 @@
 from oakvale.memory.counters import Tally
 from oakvale.memory.idle_connections import Clients
 from oakvale.memory.requests import Answer, Headers, InHand
-from oakvale.numbers import decimal, whole
-from oakvale.settings import Names
+from oakvale.numbers import parse_decimal, parse_integer
+from oakvale.settings import NameIndexes
 from oakvale.wire.http import END, more
 from oakvale.wire.owner import Process
 from oakvale.wire.tcp import Gone, peek, write_all
@@ -57,7 +57,11 @@
     try:
         pairs = [part.strip().split("=", 1) for part in text[:TERMS_LONGEST].split(",")]
         named = {key: value for key, value in pairs}
-        units, spread, first = decimal(named["units"]), whole(named["spread"]), whole(named["first"])
+        units, spread, first = (
+            parse_decimal(named["units"]),
+            parse_integer(named["spread"]),
+            parse_integer(named["first"]),
+        )
     except (KeyError, ValueError) as error:
         raise BadRequest(400, "X-Call-Terms is not understood") from error
     if len(named) != len(pairs) or len(text) > TERMS_LONGEST:
@@ -88,7 +92,7 @@
         return len(self.method) + len(self.target) + 14 + sum(len(n) + len(v) + 4 for n, v in self.headers)
 
 
-def decode(incoming: Incoming, came: int, names: Names, longest: int, terms_of: Terms) -> i.Request:
+def decode(incoming: Incoming, came: int, names: NameIndexes, longest: int, terms_of: Terms) -> i.Request:
     """A client's request as the module knows it; raises BadRequest."""
     headers = incoming.fields
     if len(headers) != len(incoming.headers):
--- a/oakvale/wire/counter.py
+++ b/oakvale/wire/counter.py
@@ -14,7 +14,7 @@
 from oakvale.base.limits import Limits
 from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Rank, Timer, call_off
 from oakvale.interface import Ending
-from oakvale.numbers import decimal
+from oakvale.numbers import parse_decimal
 from oakvale.wire.owner import Process
 from oakvale.wire.tcp import connect, new_socket, peek
 
@@ -54,7 +54,7 @@
     """The outcome that a line tells; raises ValueError."""
     word, _, rest = line.partition(b" ")
     if word == b"ok":
-        return Ending.SERVED, decimal(rest.decode("ascii"))  # nan would spoil what the module reckons with
+        return Ending.SERVED, parse_decimal(rest.decode("ascii"))  # nan would spoil what the module reckons with
     if line in (b"busy", b"error"):
         return Ending.FULL, 0.0  # nothing was added
     raise ValueError(f"not an answer: {line[:64]!r}")
--- a/oakvale/wire/discovery.py
+++ b/oakvale/wire/discovery.py
@@ -12,7 +12,7 @@
 from oakvale.base.loop import Coroutine, Rank, Step, Task
 from oakvale.base.net import Sock
 from oakvale.memory.backend_names import BackendNames
-from oakvale.numbers import whole as whole_number
+from oakvale.numbers import parse_integer
 from oakvale.wire.http import END, more
 from oakvale.wire.owner import Process
 from oakvale.wire.tcp import Gone, connect, new_socket, write_all
@@ -71,7 +71,7 @@
     def take(self, data: dict[str, Any], cached: bool = False, era: int = 0, fetched: bool = False) -> None:
         """Gives the module a list or what changed. Nothing of a malformed one is taken."""
         try:
-            index, whole = whole_number(str(data["index"])), bool(data["snapshot"])
+            index, whole = parse_integer(str(data["index"])), bool(data["snapshot"])
             if fetched and self._spoke and index < self.index:
                 return  # overtaken by the watch
             entries, freed = self.host.backend_names.learn(data["endpoints"], whole or cached)
--- a/tests/data_plane.py
+++ b/tests/data_plane.py
@@ -13,8 +13,8 @@
 from oakvale.dataplane.routes import Backend, Picture, configured
 from oakvale.lifecycle.acceptor import Acceptor, listening
 from oakvale.ratelimit.counter_state import Receipt
-from oakvale.retry_budget import Retries
-from oakvale.shared import Shared
+from oakvale.retry_budget import RetryLimits
+from oakvale.shared import SharedResources
 from tests.node import MS, FakeClock, Node, Party, StandIn, answer
 
 KEY = "ctnfzs989anu6wsjnban"
@@ -77,13 +77,13 @@
         self.first, self.second, self.other = Party(), Party(), Party()
         self.rate_limiter, self.peers = FakeGauge(), []
         self.router = RequestRouter(
-            Shared(self.loop, self.limits),
+            SharedResources(self.loop, self.limits),
             self.rate_limiter,  # type: ignore[arg-type]
             FakeMains(),  # type: ignore[arg-type]
             "g",
             ["z"],
             "z",
-            Retries(10_000 * MS, 16.0, 60.0),
+            RetryLimits(10_000 * MS, 16.0, 60.0),
         )  # plenty: what it earns is tested apart
         listener = listening(("127.0.0.1", 0), 64)
         self.address = listener.getsockname()
--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -21,8 +21,8 @@
 from oakvale.dataplane.routes import Backend, Picture, configured
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.shutdown import Shutdown
-from oakvale.retry_budget import Retries
-from oakvale.shared import Shared
+from oakvale.retry_budget import RetryLimits
+from oakvale.shared import SharedResources
 from tests.memory_connections import PLENTY, Line, Lines
 
 MS, SECOND = 1_000, 1_000_000
@@ -328,13 +328,13 @@
         )
         transport = SimpleNamespace(handlers={})
         self.router = RequestRouter(
-            Shared(self.loop, given),
+            SharedResources(self.loop, given),
             cast(Any, rate_limiter),
             cast(Any, transport),
             "g",
             ["z"],
             "z",
-            Retries(10 * SECOND, 16.0, 60.0),
+            RetryLimits(10 * SECOND, 16.0, 60.0),
         )
         listener = self.net.listen(("10.0.0.1", 80), 64)
         self.listener = listener
--- a/tests/node.py
+++ b/tests/node.py
@@ -179,7 +179,7 @@
     def acts(self, *actions: i.Action) -> None:
         """Has the module do something of its own accord."""
         self.script.answers[i.Timer] = lambda _: list(actions)
-        self.host.give(i.Timer(1))
+        self.host.dispatch(i.Timer(1))
 
     def until_ended(self, peer: StandIn) -> None:
         """Turns the loop until the gateway has ended a stand-in's connection; reads what comes before."""
--- a/tests/test_attempts_wire.py
+++ b/tests/test_attempts_wire.py
@@ -364,7 +364,7 @@
 def test_a_called_off_attempt_closes_its_connection_at_once(sending: Node) -> None:
     _, backend = started(sending)
     sending.script.answers[i.Timer] = lambda _: [i.Cancel("a1", 0)]
-    sending.host.give(i.Timer(1))
+    sending.host.dispatch(i.Timer(1))
     assert sending.came(i.Ended).ending is Ending.CANCELLED
     sending.until(lambda: backend.read() and backend.ended)
     assert sending.host.backend_connections == 0
@@ -383,7 +383,7 @@
 def test_cancelling_twice_or_what_has_ended_is_passed_over(sending: Node) -> None:
     started(sending)
     sending.script.answers[i.Timer] = lambda _: [i.Cancel("a1", 0), i.Cancel("a1", 0), i.Cancel("zz", 0)]
-    sending.host.give(i.Timer(1))
+    sending.host.dispatch(i.Timer(1))
     assert len(sending.script.of(i.Ended)) == 1
 
 
@@ -426,7 +426,7 @@
         backend.send(stray)
     else:
         backend.close()
-    sending.host.give(i.Timer(1))
+    sending.host.dispatch(i.Timer(1))
     client.came = b""
     # in the same turn as the request: the loop has not told of the end yet
     sending.ask(client, "a2")
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -303,9 +303,9 @@
     turns = node.loop.turns
     node.loop.turn(0.05)  # a turn that has nothing to do waits
     assert node.loop.turns == turns + 1 and len(node.script.of(i.Request)) == 1
-    node.host.give(i.Timer(1))
+    node.host.dispatch(i.Timer(1))
     node.script.answers[i.Timer] = lambda _: [i.Refuse("a1", 1)]
-    node.host.give(i.Timer(2))
+    node.host.dispatch(i.Timer(2))
     node.came(i.Request, 2)
 
 
@@ -348,7 +348,7 @@
     node.turns(20)
     assert node.script.of(i.Withdrawn) == []
     node.script.answers[i.Timer] = lambda _: [i.Refuse("a1", 1)]
-    node.host.give(i.Timer(1))
+    node.host.dispatch(i.Timer(1))
     assert b"HTTP/1.1 429" in node.reads(client, b"later\n")
     node.until(lambda: client.read() and client.ended)
 
@@ -566,7 +566,7 @@
     client.send(head)
     node.reads(client, b"HTTP/1.1 100 Continue\r\n\r\n")
     client.send(b"body")
-    assert node.came(i.Request).cls == 1
+    assert node.came(i.Request).class_index == 1
 
 
 def test_a_fault_in_the_module_answers_that_request_and_serves_the_rest(
@@ -610,7 +610,7 @@
     def fails() -> bool:
         raise RuntimeError("odd")
 
-    monkeypatch.setattr(node.host, "takes_no_more", fails)
+    monkeypatch.setattr(node.host, "refuses_requests", fails)
     client = node.client()
     node.ask(client)
     assert node.reads(client, b"error\n").startswith(b"HTTP/1.1 500")
--- a/tests/test_counter_wire.py
+++ b/tests/test_counter_wire.py
@@ -325,7 +325,7 @@
     node.clock.now += node.host.limits.counter_idle
     counter.close()
     node.script.answers[i.Timer] = lambda _: [i.Charge("n2", 1.0, 1_000_000)]
-    node.host.loop.at(node.clock.now, lambda _: node.host.give(i.Timer(1)))
+    node.host.loop.at(node.clock.now, lambda _: node.host.dispatch(i.Timer(1)))
     # the loop's events of this turn: the call is made before or after the end was seen, never on the old one
     again = node.taken(node.counter)
     assert b"n2" in node.reads(again, b"\r\n")
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -17,7 +17,7 @@
 from oakvale.controlplane.resources import Reply
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.memory.requests import Answer
-from oakvale.shared import Owner, Shared
+from oakvale.shared import ConnectionOwner, SharedResources
 from tests import schedules
 from tests.data_plane_model import MS, SECOND, SETTINGS, START
 from tests.memory_connections import PLENTY, Line, Lines
@@ -67,7 +67,7 @@
         replicated_state = SimpleNamespace(table=SimpleNamespace(items=lambda prefix: []))
         core = SimpleNamespace(on_change=[], serving=lambda: True, replicated_state=replicated_state)
         bound = SimpleNamespace(bind={"ctl": ADDRESS}, beat=SECOND)
-        self.ctl = Ctl(Shared(self.loop, given), cast(Any, core), cast(Any, bound))
+        self.ctl = Ctl(SharedResources(self.loop, given), cast(Any, core), cast(Any, bound))
         self.taken: list[str] = []
         self.gives: list[tuple[str, Callable[[Reply], None]]] = []
         self.ctl._calls[(b"POST", "Test.Order")] = self._order
@@ -158,7 +158,7 @@
     search(600)
 
 
-def again(owner: Owner, request: Any, answer: Answer) -> None:
+def again(owner: ConnectionOwner, request: Any, answer: Answer) -> None:
     """An answer that is told twice, or late, is given all the same."""
     request.client.give(answer)
     request.over = False
@@ -169,7 +169,7 @@
 
 
 BREAKAGES: dict[str, tuple[Any, str, Any]] = {
-    "told twice": (Owner, "final", again),
+    "told twice": (ConnectionOwner, "final", again),
     "out of time": (sys.modules[__name__], "bounds_of", impatient),
 }
 
--- a/tests/test_discovery_wire.py
+++ b/tests/test_discovery_wire.py
@@ -194,14 +194,14 @@
 def test_the_whole_list_is_fetched_once_when_asked(node: Node) -> None:
     watch(node)
     node.script.answers[i.Timer] = lambda _: [i.Fetch(), i.Fetch()]
-    node.host.give(i.Timer(1))
+    node.host.dispatch(i.Timer(1))
     asked = node.taken(node.discovery)
     assert node.reads(asked).startswith(b"GET /catalog/members HTTP/1.1")
     assert node.discovery.take() is None  # the second is answered by the same
     body = b'{"index":70,"snapshot":true,"endpoints":[]}'
     asked.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
     assert lists(node)[1].form is ListForm.FULL
-    node.host.give(i.Timer(1))
+    node.host.dispatch(i.Timer(1))
     node.taken(node.discovery).close()
     assert lists(node)[2].form is ListForm.FAILED
 
@@ -210,7 +210,7 @@
     node = Node(settings={"discovery": "on_request"})
     assert node.discovery.take() is None
     node.script.answers[i.Timer] = lambda _: [i.Watch(True)]
-    node.host.give(i.Timer(1))
+    node.host.dispatch(i.Timer(1))
     discovery = watch(node)
     discovery.send(HEAD + chunk(change(42, row("s-2", "127.0.0.1:1"))))
     assert lists(node)[1].form is ListForm.DELTA
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -206,7 +206,7 @@
     "what may have run is refused": Break(
         "REFUSED",
         day(LOST_BY_RESET),
-        {"oakvale.dataplane.request_router.ServiceDriver.answer_of": may_have_run_is_refused},
+        {"oakvale.dataplane.request_router.ServiceDriver.final_answer": may_have_run_is_refused},
     ),
     "nothing is counted": Break(
         "QUOTA", day(("hot_tenant", 1.0, {"for_s": 6, "x": 4})), {"oakvale.ratelimit.service.RateLimiter.ask": all_pass}
@@ -215,8 +215,8 @@
         "BUDGET",
         day(READS_LOST, bounds={"retry-slack": 2, "retry-ratio": 0.02}),
         {
-            "oakvale.retry_budget.SharedBudget.take": lambda budget, spent, ending, now: True,
-            "oakvale.retry_budget.SharedBudget.may": lambda budget, now: True,
+            "oakvale.retry_budget.FleetRetryBudget.try_spend": lambda budget, spent, ending, now: True,
+            "oakvale.retry_budget.FleetRetryBudget.can_retry": lambda budget, now: True,
         },
     ),
     "who drains is used": Break(
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -323,6 +323,6 @@
 
 
 def test_the_module_hears_of_one_turn_at_one_time(node: Node) -> None:
-    node.host.give(i.Timer(5))
-    node.host.give(i.Timer(6))
+    node.host.dispatch(i.Timer(5))
+    node.host.dispatch(i.Timer(6))
     assert node.script.times[-1] == node.script.times[-2] == node.loop.now
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -9,44 +9,44 @@
 
 from oakvale.interface import Attempt, Effect, Ending, RequestClass
 from oakvale.policy.gateway import Gateway
-from oakvale.retry_budget import MOST, OwnBudget, Retries, SharedBudget, Spent
+from oakvale.retry_budget import MAX_SAVED_ATTEMPTS, FleetRetryBudget, LocalRetryBudget, RetryCost, RetryLimits
 from tests.helpers import Drive, of
 
 MS, SECOND = 1_000, 1_000_000
-TERMS = Retries(10 * SECOND, 0.2, 62)
+TERMS = RetryLimits(10 * SECOND, 0.2, 62)
 LATER = 100 * SECOND
 
 
-def shared(gateways: int = 1, slack: float = 0.0, born: int = 0, draw: float = 0.5) -> SharedBudget:
-    return SharedBudget(Retries(10 * SECOND, 0.2, slack), lambda: gateways, lambda: draw, born)
+def shared(gateways: int = 1, slack: float = 0.0, born: int = 0, draw: float = 0.5) -> FleetRetryBudget:
+    return FleetRetryBudget(RetryLimits(10 * SECOND, 0.2, slack), lambda: gateways, lambda: draw, born)
 
 
-def further(budget: SharedBudget, now: int, ending: Ending = Ending.ERROR) -> bool:
+def further(budget: FleetRetryBudget, now: int, ending: Ending = Ending.ERROR) -> bool:
     """Of a request whose first attempt has arrived."""
-    return budget.take(Spent(arrived=True), ending, now)
+    return budget.try_spend(RetryCost(arrived=True), ending, now)
 
 
 def test_a_gateway_by_itself_earns_by_answers() -> None:
-    budget = OwnBudget()
-    assert all(budget.take(Spent(), Ending.RESET, 0) for _ in range(int(MOST)))
-    assert not budget.take(Spent(), Ending.RESET, 0) and not budget.may(0)
-    assert budget.take(Spent(), Ending.FULL, 0) and budget.take(Spent(), Ending.NO_CONNECTION, 0)
+    budget = LocalRetryBudget()
+    assert all(budget.try_spend(RetryCost(), Ending.RESET, 0) for _ in range(int(MAX_SAVED_ATTEMPTS)))
+    assert not budget.try_spend(RetryCost(), Ending.RESET, 0) and not budget.can_retry(0)
+    assert budget.try_spend(RetryCost(), Ending.FULL, 0) and budget.try_spend(RetryCost(), Ending.NO_CONNECTION, 0)
     for _ in range(11):
-        budget.ended(Spent(), Ending.SERVED, True, 0)
-        budget.ended(Spent(), Ending.SERVED, False, 0)
-    assert budget.take(Spent(), Ending.TIMEOUT, 0) and not budget.take(Spent(), Ending.TIMEOUT, 0)
+        budget.record_attempt_end(RetryCost(), Ending.SERVED, True, 0)
+        budget.record_attempt_end(RetryCost(), Ending.SERVED, False, 0)
+    assert budget.try_spend(RetryCost(), Ending.TIMEOUT, 0) and not budget.try_spend(RetryCost(), Ending.TIMEOUT, 0)
 
 
 def test_a_part_starts_empty_and_earns_by_requests() -> None:
     budget = shared(slack=62, born=LATER)
     assert not further(budget, LATER)
     for _ in range(42):
-        budget.came(LATER)
-    assert further(budget, LATER) and budget.may(LATER)  # 2.1, at 0.05 a request
-    assert further(budget, LATER) and not budget.may(LATER)
+        budget.record_request(LATER)
+    assert further(budget, LATER) and budget.can_retry(LATER)  # 2.1, at 0.05 a request
+    assert further(budget, LATER) and not budget.can_retry(LATER)
     later = LATER + 12 * SECOND
     for _ in range(14):
-        budget.came(later)
+        budget.record_request(later)
     assert [further(budget, later) for _ in range(34)].count(True) >= 33  # 2.1 and the share
 
 
@@ -61,27 +61,27 @@
 
 
 def test_turned_away_is_an_arrival_too() -> None:
-    budget, spent = shared(slack=62), Spent()
+    budget, spent = shared(slack=62), RetryCost()
     for _ in range(31):
-        budget.ended(spent, Ending.FULL, True, LATER)
-        assert budget.take(spent, Ending.FULL, LATER)
-    budget.ended(spent, Ending.FULL, True, LATER)
-    assert not budget.take(spent, Ending.FULL, LATER)
+        budget.record_attempt_end(spent, Ending.FULL, True, LATER)
+        assert budget.try_spend(spent, Ending.FULL, LATER)
+    budget.record_attempt_end(spent, Ending.FULL, True, LATER)
+    assert not budget.try_spend(spent, Ending.FULL, LATER)
 
 
 def test_what_never_came_costs_nothing() -> None:
-    budget, spent = shared(slack=2), Spent()
+    budget, spent = shared(slack=2), RetryCost()
     for _ in range(9):  # refused connections: the next one would be the first to arrive
-        assert budget.take(spent, Ending.NO_CONNECTION, LATER)
-        budget.ended(spent, Ending.NO_CONNECTION, False, LATER)
-    budget.ended(spent, Ending.ERROR, True, LATER)
+        assert budget.try_spend(spent, Ending.NO_CONNECTION, LATER)
+        budget.record_attempt_end(spent, Ending.NO_CONNECTION, False, LATER)
+    budget.record_attempt_end(spent, Ending.ERROR, True, LATER)
     for _ in range(9):
-        assert budget.take(spent, Ending.ERROR, LATER) and not budget.may(LATER)
-        budget.ended(spent, Ending.NO_CONNECTION, False, LATER)
-        assert budget.may(LATER)
-    assert budget.take(spent, Ending.ERROR, LATER)
-    budget.ended(spent, Ending.CANCELLED, False, LATER)
-    assert not budget.take(spent, Ending.CANCELLED, LATER)
+        assert budget.try_spend(spent, Ending.ERROR, LATER) and not budget.can_retry(LATER)
+        budget.record_attempt_end(spent, Ending.NO_CONNECTION, False, LATER)
+        assert budget.can_retry(LATER)
+    assert budget.try_spend(spent, Ending.ERROR, LATER)
+    budget.record_attempt_end(spent, Ending.CANCELLED, False, LATER)
+    assert not budget.try_spend(spent, Ending.CANCELLED, LATER)
 
 
 def test_less_than_one_is_drawn_for_and_spent_by_the_draw() -> None:
@@ -96,20 +96,20 @@
 def test_every_window_of_a_fleet_holds(gateways: int, load: int) -> None:
     """Outages after calm: every request is tried again as often as it may be."""
     rng = random.Random(gateways * load)
-    fleet = [SharedBudget(TERMS, lambda: gateways, rng.random, 0) for _ in range(gateways)]
+    fleet = [FleetRetryBudget(TERMS, lambda: gateways, rng.random, 0) for _ in range(gateways)]
     now, asked, added = 0, list[int](), list[int]()
     while now < 90 * SECOND:
         now += 1 + int(rng.expovariate(load) * SECOND)
         asked.append(now)
-        budget, spent = rng.choice(fleet), Spent()
-        budget.came(now)
+        budget, spent = rng.choice(fleet), RetryCost()
+        budget.record_request(now)
         if now // (7 * SECOND) % 3:
-            budget.ended(spent, Ending.FULL, True, now)
-            while budget.take(spent, Ending.FULL, now) and rng.random() < 0.8:
+            budget.record_attempt_end(spent, Ending.FULL, True, now)
+            while budget.try_spend(spent, Ending.FULL, now) and rng.random() < 0.8:
                 added.append(now)
-                budget.ended(spent, Ending.FULL, True, now)
+                budget.record_attempt_end(spent, Ending.FULL, True, now)
         if rng.random() < 0.0005:
-            fleet[rng.randrange(gateways)] = SharedBudget(TERMS, lambda: gateways, rng.random, now)
+            fleet[rng.randrange(gateways)] = FleetRetryBudget(TERMS, lambda: gateways, rng.random, now)
     assert added
     for first, at in enumerate(added):
         end = at + TERMS.window
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -106,7 +106,7 @@
         node.pass_time(node.host.limits.accept_pause)
     assert sum("new clients wait" in r.message for r in caplog.records) == 1
     node.script.answers[i.Timer] = lambda _: [i.Refuse("a0", 1)]
-    node.host.give(i.Timer(1))
+    node.host.dispatch(i.Timer(1))
     node.reads(clients[0], b"later\n")
     node.pass_time(node.host.limits.accept_pause)
     assert node.came(i.Request, 3).id == "a9"
@@ -223,7 +223,7 @@
     stopped.shutdown.begin()
     node.pass_time(500 * MS)
     node.script.answers[i.Timer] = lambda _: [i.Refuse("a0", 1), i.Refuse("a1", 1)]
-    node.host.give(i.Timer(1))
+    node.host.dispatch(i.Timer(1))
     node.reads(clients[0], b"later\n")
     clients[0].close()
     node.turns()
