--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -125,7 +125,7 @@
             number = known[0] if known else len(self._classes)
             self._classes[route.name] = (number, made)
             self.settings = i.replace_classes(self.settings, tuple(c for _, c in self._classes.values()))
-            self.gateway.resettle(self.settings)
+            self.gateway.update_settings(self.settings)
             return number
         return known[0]
 
--- a/oakvale/lab/undone.py
+++ b/oakvale/lab/undone.py
@@ -102,10 +102,10 @@
     return {name: value for name, value in found.items() if value is not None}
 
 
-def finish(self: Limits, rid: str) -> None:
+def finish(self: Limits, request_id: str) -> None:
     """As `Limits.finish`, but what was out went on for clients that had left: incident GONE."""
-    held = self.desk.held.get(rid)
-    if held is not None:
-        held.over = True
-        if not held.out and not held.waiting:
-            del self.desk.held[rid]
+    pending = self.context.pending.get(request_id)
+    if pending is not None:
+        pending.finished = True
+        if not pending.in_flight and not pending.pending_calls:
+            del self.context.pending[request_id]
--- a/oakvale/policy/admission.py
+++ b/oakvale/policy/admission.py
@@ -1,116 +1,121 @@
-"""Admission: a request's way through the concerns, from its coming to its first attempt or its refusal."""
+"""Admission: the way of a request from its arrival to its first attempt or its refusal."""
 
 from oakvale.interface import Counted, Ending, Refuse, Request, RequestClass
 from oakvale.policy.attempts import Attempts
-from oakvale.policy.records import BATCH, EASE, NOT_TAKEN, SECOND, Customer, Desk, Held
+from oakvale.policy.records import BATCH_INTERVAL_US, EPOCH_US, EWMA_WEIGHT, REJECTED, SECOND_US, quota_window
+from oakvale.policy_records import Context, Customer, PendingRequest
 
 
-class Admission:
-    def __init__(self, desk: Desk, attempts: Attempts) -> None:
-        self.desk, self.attempts, self.lending = desk, attempts, attempts.lending
+class Admission:  # whether a request is within its customer's quota, by the counter's answers
+    def __init__(self, context: Context, attempts: Attempts) -> None:
+        self.context, self.attempts, self.lending = context, attempts, attempts.lending
         self.limits, self.quota, self.counter = attempts.limits, attempts.quota, attempts.quota.counter
-        self.waits: dict[tuple[int, int], int] = {}  # tries by class and the time their client still waits
+        self.wait_counts: dict[tuple[int, int], int] = {}  # (class, slot of time left) -> requests
 
-    def on_request(self, req: Request) -> None:
-        desk, s, now = self.desk, self.desk.s, self.desk.now
-        if not (0 <= req.plan < len(s.plans) and 0 <= req.class_index < len(s.classes)):
-            return desk.do.append(Refuse(req.id))
-        cust = desk.customers.get(req.customer)
-        if cust is None:
-            cust = desk.customers[req.customer] = Customer(req.customer, s.plans[req.plan], now)
-            self.lending.weights += cust.plan.price if self.lending.soft(cust.plan) else 0.0
-        cust.seen, cust.spread = now, max(1, min(req.gateway_count, s.fleet))
-        cls = s.classes[req.class_index]
-        held = desk.held[req.id] = Held(req, cls, cust, now - self.age(req, cls))
-        if self.limits.left(held) < self.limits.health.lat * req.units:
-            return self.limits.refuse(held, SECOND)  # too old to be answered in time: no call, no work
-        self.quota.refill(cust)
-        share = self.counter.ask_share(cust, req.units)
-        ask = (s.may_count and req.deadline - now > 2 * s.counter_timeout
-               and (share >= 1 or desk.rng.random() < share))
-        if cust.plan.rate > 0:
-            first = 1 if cust.read else max(share, EASE)  # a first ask speaks for those that stayed away
-            held.told = req.units * self.quota.swell(cust) / first
-            # room is what the others likely left since the last read
-            room = cust.store - cust.flow * min(now - cust.read, cust.window) / SECOND >= req.units
-            if ask and (room or now - cust.read > BATCH):
-                held.waiting += 1
-                cust.unsent += held.told if room else 0.0
-                self.quota.tell_quota(cust, "quota" if room else "look", req.id)
+    def on_request(self, request: Request) -> None:
+        context, settings, now = self.context, self.context.settings, self.context.now
+        if not (0 <= request.plan < len(settings.plans) and 0 <= request.class_index < len(settings.classes)):
+            return context.actions.append(Refuse(request.id))
+        customer = context.customers.get(request.customer)
+        if customer is None:
+            plan = settings.plans[request.plan]
+            customer = context.customers[request.customer] = Customer(
+                request.customer, plan, now, quota_window(plan), plan.rate * (now % EPOCH_US) / SECOND_US)
+            self.lending.weights += plan.price if self.lending.may_borrow(plan) else 0.0
+        customer.last_seen, customer.gateways = now, max(1, min(request.gateway_count, settings.fleet))
+        request_class = settings.classes[request.class_index]
+        pending = context.pending[request.id] = PendingRequest(
+            request, request_class, customer, now - self.age(request, request_class))
+        if self.limits.time_left(pending) < self.limits.health.latency * request.units:
+            return self.limits.refuse(pending, SECOND_US)  # too late to be answered in time
+        self.quota.refill(customer)
+        probability = self.counter.call_probability(customer, request.units)
+        calls = (settings.may_count and request.deadline - now > 2 * settings.counter_timeout
+                 and (probability >= 1 or context.rng.random() < probability))
+        if customer.plan.rate > 0:
+            share = 1 if customer.read_at else max(probability, EWMA_WEIGHT)  # first calls stand for others
+            pending.counted_units = request.units * self.quota.scale(customer) / share
+            likely_used = customer.others_rate * min(now - customer.read_at, customer.window) / SECOND_US
+            fits = customer.balance - likely_used >= request.units
+            if calls and (fits or now - customer.read_at > BATCH_INTERVAL_US):
+                pending.pending_calls += 1
+                customer.unsent += pending.counted_units if fits else 0.0
+                self.quota.report_use(customer, "quota" if fits else "look", request.id)
             else:
-                self.quota.alone(held)
-                cust.unsent += held.told if held.taken and cust.read else 0.0
-        if cust.plan.open and ask:
-            held.waiting += 1
-            cust.asked += 1
-            self.quota.tell_open(cust, req.id)
-        elif cust.plan.open:
-            held.within = held.within and self.quota.open_part(cust) >= 1
-        if not held.waiting:
-            self.settle(held)
+                self.quota.decide_locally(pending)
+                customer.unsent += pending.counted_units if pending.charged and customer.read_at else 0.0
+        if customer.plan.open and calls:
+            pending.pending_calls += 1
+            customer.open_calls += 1
+            self.quota.report_open(customer, request.id)
+        elif customer.plan.open:
+            pending.within_quota = pending.within_quota and self.quota.open_share(customer) >= 1
+        if not pending.pending_calls:
+            self.decide(pending)
 
-    def age(self, req: Request, cls: RequestClass) -> int:
-        """Estimates how long ago the client first sent the request, from the time that it still waits."""
-        desk = self.desk
-        wait, slot = min(req.deadline - desk.now, 2 * cls.deadline), max(1, cls.deadline // 32)
-        self.waits[req.class_index, wait // slot] = self.waits.get(
-            (req.class_index, wait // slot), 0) + (desk.now > desk.gap)
-        usual = slot * max((n, k) for (c, k), n in self.waits.items() if c == req.class_index)[1]
-        if desk.now == desk.gap and wait < usual:
-            return min(desk.stood, usual - wait)
-        return 0 if -slot <= wait - usual < 2 * slot else max(0, cls.deadline - wait)
+    def age(self, request: Request, request_class: RequestClass) -> int:
+        """How long ago the client first sent it: a repetition has less than the usual time left."""
+        context, index = self.context, request.class_index
+        wait = min(request.deadline - context.now, 2 * request_class.deadline)
+        slot_us = max(1, request_class.deadline // 32)
+        key = index, wait // slot_us
+        self.wait_counts[key] = self.wait_counts.get(key, 0) + (context.now > context.resumed_at)
+        usual = slot_us * max((n, slot) for (c, slot), n in self.wait_counts.items() if c == index)[1]
+        if context.now == context.resumed_at and wait < usual:
+            return min(context.paused_for, usual - wait)
+        return 0 if -slot_us <= wait - usual < 2 * slot_us else max(0, request_class.deadline - wait)
 
-    def on_counted(self, ev: Counted) -> None:
-        waiting = self.counter.calls.get(ev.name)
-        if not waiting:
+    def on_counted(self, event: Counted) -> None:  # handles the end of the oldest call for this count
+        calls = self.counter.calls.get(event.name)
+        if not calls:
             return
-        kind, rid, amount = waiting.popleft()
-        if not waiting:
-            del self.counter.calls[ev.name]
-        answered = ev.ending is Ending.SERVED
-        self.counter.pace(ev.ending, ev.latency)
+        kind, request_id, amount = calls.popleft()
+        if not calls:
+            del self.counter.calls[event.name]
+        answered, unchanged = event.ending is Ending.SERVED, event.ending in REJECTED
+        self.counter.adapt(event.ending, event.latency)
         if kind in self.lending.counts:
-            return self.lending.on_batch(kind, ev, amount, answered)
-        held = self.desk.held.get(rid)
-        if (cust := held.cust if held else self.desk.customers.get(rid)) is None:  # "read" and "told" name it
+            return self.lending.on_batch_counted(kind, event, amount, answered)
+        pending = self.context.pending.get(request_id)
+        customer = pending.customer if pending else self.context.customers.get(request_id)
+        if customer is None:  # calls of kinds "read" and "told" carry the customer's name as id
             return
-        if kind in ("open", "told") and ev.ending in NOT_TAKEN and ev.name == self.quota.open_name(cust):
-            cust.told -= int(amount)  # what the call held goes with the next
+        if kind in ("open", "told") and unchanged and event.name == self.quota.open_name(customer):
+            customer.reported_open -= int(amount)  # goes with the next call
         if kind == "read":
-            self.quota.counted(cust, ev, amount)
-        if held is None or not held.waiting:
+            self.quota.on_counted(customer, event, amount)
+        if pending is None or not pending.pending_calls:
             return
-        held.waiting -= 1
+        pending.pending_calls -= 1
         if kind in ("quota", "look"):
-            self.quota.counted(cust, ev, amount)
-            if held.over:
-                held.within = False
+            self.quota.on_counted(customer, event, amount)
+            if pending.finished:
+                pending.within_quota = False
             elif answered:
-                self.quota.take(held, cust.store >= held.req.units)
+                self.quota.charge(pending, customer.balance >= pending.request.units)
             else:
-                self.quota.alone(held)
-            held.told *= ev.name == self.quota.quota_name(cust)  # nothing is handed back to an epoch's end
-            if held.taken == (kind == "look"):  # looked up and passed, or counted and refused: put right
-                cust.unsent += held.told if held.taken else -held.told
-                if answered and (held.taken or self.counter.asking >= 1):
-                    self.quota.tell_quota(cust, "read", cust.name)
-            if answered and 0 < amount > 0.999999 * ev.level - 0.001:  # the first add, as levels are rounded
-                self.lending.roll_global()
-                self.lending.added["floors"] += cust.plan.rate * self.lending.span / SECOND
+                self.quota.decide_locally(pending)
+            pending.counted_units *= event.name == self.quota.quota_name(customer)  # no refund after an epoch
+            if pending.charged == (kind == "look"):  # read and passed, or counted and refused
+                customer.unsent += pending.counted_units if pending.charged else -pending.counted_units
+                if answered and (pending.charged or self.counter.share >= 1):
+                    self.quota.report_use(customer, "read", customer.name)
+            if answered and 0 < amount > 0.999999 * event.level - 0.001:  # first of a count
+                self.lending.start_periods()
+                self.lending.added["floors"] += customer.plan.rate * self.lending.window / SECOND_US
         elif kind == "open":
-            cust.asked -= 1
-            room = cust.plan.open - ev.level if answered else self.quota.open_part(cust) - 1
-            held.within = held.within and room >= 0
-        if held.over:
-            self.limits.finish(rid)
-        elif not held.waiting:
-            self.settle(held)
+            customer.open_calls -= 1
+            room = customer.plan.open - event.level if answered else self.quota.open_share(customer) - 1
+            pending.within_quota = pending.within_quota and room >= 0
+        if pending.finished:
+            self.limits.finish(request_id)
+        elif not pending.pending_calls:
+            self.decide(pending)
 
-    def settle(self, held: Held) -> None:
-        """Floor first; then borrowing; else refused at once with a time to come back."""
-        if not held.within:
-            self.quota.give_back(held)
-        if (held.within or self.lending.borrow(held)) and self.limits.under_ceiling(held):
-            return self.attempts.launch(held)
-        lacks = held.req.units - held.cust.store
-        self.limits.refuse(held, int(lacks / max(held.cust.plan.rate, 1e-6) * SECOND))
+    def decide(self, pending: PendingRequest) -> None:  # sends it, or refuses it
+        if not pending.within_quota:
+            self.quota.refund(pending)
+        if (pending.within_quota or self.lending.borrow(pending)) and self.limits.within_ceiling(pending):
+            return self.attempts.send(pending)
+        missing = pending.request.units - pending.customer.balance
+        self.limits.refuse(pending, int(missing / max(pending.customer.plan.rate, 1e-6) * SECOND_US))
--- a/oakvale/policy/attempts.py
+++ b/oakvale/policy/attempts.py
@@ -1,99 +1,105 @@
-"""Attempts and budgets: what is sent where, when it is called off, and whether another follows."""
+"""Attempts: which backend a request is sent to, when an attempt is cancelled, and whether another follows."""
 
 from oakvale.interface import NEVER_RAN, Attempt, Cancel, Effect, Ended, Ending, Head, Wake
-from oakvale.policy.choice import Choice
+from oakvale.policy.choice import BackendSelector
 from oakvale.policy.lending import Lending
-from oakvale.policy.records import EASE, SECOND, Desk, Held
+from oakvale.policy.records import EWMA_WEIGHT, SECOND_US
+from oakvale.policy_records import Context, PendingRequest
 from oakvale.retry_budget import RetryBudget
 
 
-class Attempts:
-    def __init__(self, desk: Desk, lending: Lending, choice: Choice, budget: RetryBudget) -> None:
-        self.desk, self.lending, self.choice = desk, lending, choice
-        self.limits, self.health, self.quota = choice.limits, choice.health, choice.limits.quota
-        self.budget, self.tokens, self.next_token = budget, dict[int, tuple[str, int]](), 1
+class Attempts:  # sends requests to backends, watches the attempts and retries them within the budget
+    def __init__(
+            self, context: Context, lending: Lending, selector: BackendSelector, budget: RetryBudget) -> None:
+        self.context, self.lending, self.selector = context, lending, selector
+        self.limits, self.health, self.quota = selector.limits, selector.health, selector.limits.quota
+        self.budget, self.timers, self.next_timer = budget, dict[int, tuple[str, int]](), 1
 
-    def tries(self, held: Held) -> int:
-        return held.cls.tries or self.desk.s.max_attempts
+    def max_attempts(self, pending: PendingRequest) -> int:
+        return pending.request_class.tries or self.context.settings.max_attempts
 
-    def launch(self, held: Held) -> None:
-        b = self.choice.choose(held)
-        if b is None:
-            self.limits.shed_at = self.desk.now
-            return self.limits.refuse(held, SECOND // 2)
-        req, hop, desk = held.req, held.hops, self.desk
-        desk.do.append(Attempt(req.id, b.entry.backend))
+    def send(self, pending: PendingRequest) -> None:  # or refuses it where all backends are full
+        backend = self.selector.select(pending)
+        if backend is None:
+            self.limits.rejected_at = self.context.now
+            return self.limits.refuse(pending, SECOND_US // 2)
+        request, hop, context = pending.request, pending.attempts_made, self.context
+        context.actions.append(Attempt(request.id, backend.entry.backend))
         if not hop:
-            desk.units += EASE * (req.units - desk.units)
-            self.choice.sent_units += req.units
-            self.lending.added["lent"] += 0 if held.within else req.units
-        b.heard = b.heard if b.inflight else desk.now
-        b.inflight[(req.id, hop)] = req.units
-        b.tokens -= req.units
-        held.hops, held.out[hop] = hop + 1, (b, desk.now)
-        held.tried.append(b.entry.backend)
-        held.cust.out += 1
-        if desk.s.may_cancel and held.hops < self.tries(held) and held.cls.effect is not Effect.UNSAFE:
-            self.check_later(held, hop, int(max(2.5 * self.health.lat_of(b) * req.units, 0.3 * held.cls.aim)))
+            context.mean_units += EWMA_WEIGHT * (request.units - context.mean_units)
+            self.selector.sent_units += request.units
+            self.lending.added["lent"] += 0 if pending.within_quota else request.units
+        backend.answered_at = backend.answered_at if backend.in_flight else context.now
+        backend.in_flight[(request.id, hop)] = request.units
+        backend.warmup_tokens -= request.units
+        pending.attempts_made, pending.in_flight[hop] = hop + 1, (backend, context.now)
+        pending.tried.append(backend.entry.backend)
+        pending.customer.in_flight += 1
+        retries_left = pending.attempts_made < self.max_attempts(pending)
+        if context.settings.may_cancel and retries_left and pending.request_class.effect is not Effect.UNSAFE:
+            expected = 2.5 * self.health.latency_of(backend) * request.units
+            self.schedule_check(pending, hop, int(max(expected, 0.3 * pending.request_class.aim)))
 
-    def check_later(self, held: Held, hop: int, delay: int) -> None:
-        token, self.next_token = self.next_token, self.next_token + 1
-        self.tokens[token] = (held.req.id, hop)
-        self.desk.do.append(Wake(token, delay))
+    def schedule_check(self, pending: PendingRequest, hop: int, delay: int) -> None:
+        token, self.next_timer = self.next_timer, self.next_timer + 1
+        self.timers[token] = (pending.request.id, hop)
+        self.context.actions.append(Wake(token, delay))
 
-    def check(self, rid: str, hop: int) -> None:
-        """Time-out by evidence: move off a backend that fell silent or is far slower than the fleet. What is
-        lost there and too late to move takes no room any more: a lost answer would block a small limit."""
-        held = self.desk.held.get(rid)
-        if held is None or held.over or held.head or hop not in held.out:
+    def check_progress(self, request_id: str, hop: int) -> None:
+        """Cancels an attempt at a stalled or slow backend; if too late to retry, it only frees its slot."""
+        pending = self.context.pending.get(request_id)
+        if pending is None or pending.finished or pending.responding or hop not in pending.in_flight:
             return
-        (b, sent), units, aim, now = held.out[hop], held.req.units, held.cls.aim, self.desk.now
-        lat, silent = self.health.lat_of(b), self.health.stalled(b)
-        lost = silent or now - max(sent, self.desk.gap) > max(4 * lat * units, 0.5 * aim)
-        if silent:
-            self.health.eject(b)
-        useful = self.limits.left(held) >= self.health.lat * units and self.budget.can_retry(self.desk.now)
-        if useful and (lost or lat > 3 * self.health.lat):
-            return self.desk.do.append(Cancel(rid, hop))
+        (backend, sent_at), units, now = pending.in_flight[hop], pending.request.units, self.context.now
+        aim, fleet_latency = pending.request_class.aim, self.health.latency
+        latency, stalled = self.health.latency_of(backend), self.health.stalled(backend)
+        lost = stalled or now - max(sent_at, self.context.resumed_at) > max(4 * latency * units, 0.5 * aim)
+        if stalled:
+            self.health.eject(backend)
+        useful = self.limits.time_left(pending) >= fleet_latency * units and self.budget.can_retry(now)
+        if useful and (lost or latency > 3 * fleet_latency):
+            return self.context.actions.append(Cancel(request_id, hop))
         if not lost:
-            return self.check_later(held, hop, int(0.2 * aim))
-        if b.inflight.pop((rid, hop), 0):
-            self.health.sample(b, (now - sent) / units)
+            return self.schedule_check(pending, hop, int(0.2 * aim))
+        if backend.in_flight.pop((request_id, hop), 0):
+            self.health.add_sample(backend, (now - sent_at) / units)
 
-    def on_head(self, ev: Head) -> None:
-        if ev.id in self.desk.held:
-            self.desk.held[ev.id].head = True
+    def on_head(self, event: Head) -> None:
+        if event.id in self.context.pending:
+            self.context.pending[event.id].responding = True
 
-    def on_ended(self, ev: Ended) -> None:
-        held = self.desk.held.get(ev.id)
-        if held is None or ev.hop not in held.out:
+    def on_ended(self, event: Ended) -> None:  # learns from it, and retries or answers
+        pending, context = self.context.pending.get(event.id), self.context
+        if pending is None or event.hop not in pending.in_flight:
             return
-        b, sent = held.out.pop(ev.hop)
-        known = b.inflight.pop((ev.id, ev.hop), 0)
-        if self.desk.s.post_paid and ev.true_units and held.taken:  # the guess is put right
-            held.cust.store -= ev.true_units - held.req.units
-            held.cust.unsent += (ev.true_units - held.req.units) * self.quota.swell(held.cust)
-        learned = self.desk.now > self.desk.gap and bool(known or ev.ending is Ending.SERVED)
-        if learned and self.health.learn(b, ev, held.req.units):  # what came in a pause blames nobody
-            self.limits.follow(b, ev.ending)
-        self.budget.record_attempt_end(held.spent, ev.ending, learned, self.desk.now)
-        held.cust.out -= 1
-        self.quota.tell_open(held.cust)
-        if held.ran is None and ev.ending not in NEVER_RAN:
-            held.ran = (b, sent)
-        if ev.over or held.over:
-            self.limits.finish(ev.id)
-        elif not held.out:
-            self.again(held, ev.ending)
+        backend, sent_at = pending.in_flight.pop(event.hop)
+        counted = backend.in_flight.pop((event.id, event.hop), 0)
+        if context.settings.post_paid and event.true_units and pending.charged:  # corrects the estimate
+            excess = event.true_units - pending.request.units
+            pending.customer.balance -= excess
+            pending.customer.unsent += excess * self.quota.scale(pending.customer)
+        learned = context.now > context.resumed_at and bool(counted or event.ending is Ending.SERVED)
+        if learned and self.health.learn(backend, event, pending.request.units):  # not after a pause of ours
+            self.limits.adapt(backend, event.ending)
+        self.budget.record_attempt_end(pending.retry_cost, event.ending, learned, context.now)
+        pending.customer.in_flight -= 1
+        self.quota.report_open(pending.customer)
+        if pending.first_run is None and event.ending not in NEVER_RAN:
+            pending.first_run = (backend, sent_at)
+        if event.over or pending.finished:
+            self.limits.finish(event.id)
+        elif not pending.in_flight:
+            self.retry_or_refuse(pending, event.ending)
 
-    def again(self, held: Held, ending: Ending) -> None:
-        """Another attempt where effect, budget and aim allow one; else the final answer at once."""
-        useful = ending is not Ending.MOOT and self.limits.left(held) > self.health.lat * held.req.units / 2
-        may = useful and held.hops < self.tries(held) and self.repeatable(held)
-        if may and self.budget.try_spend(held.spent, ending, self.desk.now):
-            return self.launch(held)
-        self.limits.refuse(held, SECOND // 2)
+    def retry_or_refuse(self, pending: PendingRequest, ending: Ending) -> None:  # retries where allowed
+        needed = self.health.latency * pending.request.units / 2
+        useful = ending is not Ending.MOOT and self.limits.time_left(pending) > needed
+        allowed = useful and pending.attempts_made < self.max_attempts(pending) and self.repeatable(pending)
+        if allowed and self.budget.try_spend(pending.retry_cost, ending, self.context.now):
+            return self.send(pending)
+        self.limits.refuse(pending, SECOND_US // 2)
 
-    def repeatable(self, held: Held) -> bool:
-        return held.ran is None or held.cls.effect is Effect.SAFE or (
-            held.cls.effect is Effect.KEYED and self.desk.now - held.ran[1] < held.cls.memory)
+    def repeatable(self, pending: PendingRequest) -> bool:  # whether another attempt repeats no effect
+        effect, first_run = pending.request_class.effect, pending.first_run
+        return first_run is None or effect is Effect.SAFE or (
+            effect is Effect.KEYED and self.context.now - first_run[1] < pending.request_class.memory)
--- a/oakvale/policy/choice.py
+++ b/oakvale/policy/choice.py
@@ -2,57 +2,65 @@
 
 from oakvale.interface import Effect, State
 from oakvale.policy.limits import Limits
-from oakvale.policy.records import BATCH, EASE, SECOND, Backend, Desk, Held
+from oakvale.policy.records import BATCH_INTERVAL_US, EWMA_WEIGHT, SECOND_US
+from oakvale.policy_records import Backend, Context, PendingRequest
 
 
-class Choice:
-    def __init__(self, desk: Desk, limits: Limits) -> None:
-        self.desk, self.limits, self.health = desk, limits, limits.health
-        self.sent_units, self.sent_rate = 0.0, 0.0  # since the last tick; a second's, lately
+class BackendSelector:  # selects the backend of each attempt
+    def __init__(self, context: Context, limits: Limits) -> None:
+        self.context, self.limits, self.health = context, limits, limits.health
+        self.sent_units, self.sent_rate = 0.0, 0.0  # since the last tick; moving average per second
 
     def tick(self) -> None:
-        took = BATCH if self.desk.now > self.desk.gap else self.desk.stood
-        self.sent_rate += EASE * (self.sent_units * SECOND / took - self.sent_rate)
+        elapsed = BATCH_INTERVAL_US if self.context.now > self.context.resumed_at else self.context.paused_for
+        self.sent_rate += EWMA_WEIGHT * (self.sent_units * SECOND_US / elapsed - self.sent_rate)
         self.sent_units = 0.0
 
-    def cold_room(self, b: Backend, units: float, warm: float) -> bool:
-        """A cold backend gets this gateway's mean flow to a warm one, times its warmth; bursts stay small."""
-        desk = self.desk
-        n = sum(1 for x in desk.backends.values() if x.entry.state is State.READY)
-        rate = self.sent_rate / max(1, n) * warm
-        b.tokens += rate * (desk.now - (b.tokens_at or desk.now)) / SECOND
-        b.tokens = min(max(rate * desk.s.fall_span / SECOND / 2, 0.5 * desk.s.largest), b.tokens)
-        b.tokens_at = desk.now
-        return b.tokens >= units
+    def warmup_allows(self, backend: Backend, units: float, warmth: float) -> bool:
+        """Token bucket of a cold backend: the mean rate of a warm one times its warmth, with small bursts."""
+        context, settings = self.context, self.context.settings
+        ready = sum(1 for x in context.backends.values() if x.entry.state is State.READY)
+        rate = self.sent_rate / max(1, ready) * warmth
+        backend.warmup_tokens += rate * (context.now - (backend.warmup_at or context.now)) / SECOND_US
+        backend.warmup_tokens = min(
+            max(rate * settings.fall_span / SECOND_US / 2, 0.5 * settings.largest), backend.warmup_tokens)
+        backend.warmup_at = context.now
+        return backend.warmup_tokens >= units
 
-    def choose(self, held: Held) -> Backend | None:
-        desk, health, s = self.desk, self.health, self.desk.s
-        ready = [b for b in desk.backends.values() if b.entry.state is State.READY and self.in_group(held, b)]
-        up = [b for b in ready if b.out_until <= desk.now and not health.stalled(b)]
-        up = up if 2 * len(up) >= len(ready) else ready  # many ejected: distrust ejection
-        if held.req.preferred_backend and not held.hops and (
-                told := desk.backends.get(held.req.preferred_backend)) in up:
-            return told  # by who sees all gateways' attempts
-        if sum(len(b.inflight) for b in up) >= max(self.limits.room.size, sum(b.limit.size for b in up)):
-            return None  # limits under one hold for all together; what is stuck at others takes no room
+    def select(self, pending: PendingRequest) -> Backend | None:
+        """The backend of the next attempt; None where all that may take it are at their limits."""
+        context, health, settings = self.context, self.health, self.context.settings
+        ready = [x for x in context.backends.values()
+                 if x.entry.state is State.READY and self.in_group(pending, x)]
+        usable = [x for x in ready if x.ejected_until <= context.now and not health.stalled(x)]
+        usable = usable if 2 * len(usable) >= len(ready) else ready  # most ejected: rather a fault of ours
+        if pending.request.preferred_backend and not pending.attempts_made and (
+                preferred := context.backends.get(pending.request.preferred_backend)) in usable:
+            return preferred
+        in_flight, limit = sum(len(x.in_flight) for x in usable), sum(x.limit.size for x in usable)
+        if in_flight >= max(self.limits.total.size, limit):
+            return None  # limits below one each add up; attempts stuck at unusable backends do not count
         best, best_cost = None, 0.0
-        for b in [b for b in up if b.entry.backend not in held.tried] or up:
-            if len(b.inflight) >= (1 if b.fails else max(1.0, b.limit.size)):
+        for backend in [x for x in usable if x.entry.backend not in pending.tried] or usable:
+            in_flight, entry = len(backend.in_flight), backend.entry
+            if in_flight >= (1 if backend.failures else max(1.0, backend.limit.size)):
                 continue
-            age = (desk.now - b.entry.started) / s.ramp if b.entry.started and s.ramp else 1.0
-            warm = min(1.0, s.cold_from + (1 - s.cold_from) * max(0.0, age))  # surely no less
-            if warm < 1 and not self.cold_room(b, held.req.units, warm):
+            age = (context.now - entry.started) / settings.ramp if entry.started and settings.ramp else 1.0
+            warmth = min(1.0, settings.cold_from + (1 - settings.cold_from) * max(0.0, age))  # a lower bound
+            if warmth < 1 and not self.warmup_allows(backend, pending.request.units, warmth):
                 continue
-            cost = (len(b.inflight) + 1) * health.lat_of(b) / max(b.entry.weight, 1e-3) / warm
-            cost *= 1.3 if b.entry.zone != s.zone and s.cross_zone_price > 0 else 1
-            cost *= 1 + 0.05 * desk.rng.random()
+            cost = (in_flight + 1) * health.latency_of(backend) / max(entry.weight, 1e-3) / warmth
+            cost *= 1.3 if entry.zone != settings.zone and settings.cross_zone_price > 0 else 1
+            cost *= 1 + 0.05 * context.rng.random()
             if best is None or cost < best_cost:
-                best, best_cost = b, cost
+                best, best_cost = backend, cost
         return best
 
-    def in_group(self, held: Held, b: Backend) -> bool:
-        """Rule: a keyed request that may have run stays with those that discard its repeats."""
-        if held.ran is None or held.cls.effect is not Effect.KEYED or held.cls.group == "all":
+    def in_group(self, pending: PendingRequest, backend: Backend) -> bool:
+        """A keyed request that may have run stays with the backends that discard its repetition."""
+        request_class = pending.request_class
+        group = request_class.group
+        if pending.first_run is None or request_class.effect is not Effect.KEYED or group == "all":
             return True
-        first = held.ran[0].entry
-        return b.entry.zone == first.zone and (held.cls.group == "zone" or b.entry.cell == first.cell)
+        first = pending.first_run[0].entry
+        return backend.entry.zone == first.zone and (group == "zone" or backend.entry.cell == first.cell)
--- a/oakvale/policy/health.py
+++ b/oakvale/policy/health.py
@@ -1,55 +1,58 @@
-"""Health: what backends are known by, passively, from how attempts ended. Nothing is probed."""
+"""Health: backend latencies and failures, learned passively from how attempts ended. Nothing is probed."""
 
 from math import exp
 
 from oakvale.interface import Ended, Ending
-from oakvale.policy.records import EASE, NOT_TAKEN, SECOND, Backend, Desk
-
-BEST_AFTER = 20  # answers until their mean latency counts: the first to answer are the short ones
-
-
-class Health:
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
-        self.lat = self.mean = 0.0  # latency of a unit in the fleet, lately and over more answers
-        self.base, self.heard = 0.0, 0  # the least that this mean was, slowly forgotten; answers in it
-
-    def lat_of(self, b: Backend) -> float:
-        """Latency of a unit; what was seen long ago fades, so that a slow one is tried again."""
-        known = exp((b.lat_at - self.desk.now) / (7 * SECOND)) if b.lat else 0.0
-        return (self.lat or 1.0) + (b.lat - self.lat) * known
-
-    def stalled(self, b: Backend) -> bool:
-        """It holds work and has answered nothing for longer than that work should take."""
-        work, desk = max(b.inflight.values(), default=0.0), self.desk
-        return work > 0 and desk.now - max(b.heard, desk.gap) > max(3 * self.lat * work, 0.25 * desk.aim)
-
-    def learn(self, b: Backend, ev: Ended, units: float) -> bool:  # whether it told something of latencies
-        per = ev.latency / max(units, 1.0)
-        if ev.ending is Ending.SERVED:
-            b.heard, b.fails, b.out_until = self.desk.now, max(0, b.fails - 1), b.out_until * (b.fails > 1)
-            self.sample(b, per)
-            self.lat = self.lat + EASE * (per - self.lat) if self.lat else per
-            self.heard = min(self.heard + 1, BEST_AFTER)
-            self.mean += (per - self.mean) / self.heard
-            if self.heard == BEST_AFTER:
-                self.base = min(self.base or self.mean, self.mean)
+from oakvale.policy.records import EWMA_WEIGHT, REJECTED, SECOND_US
+from oakvale.policy_records import Backend, Context
+
+MIN_BASELINE_ANSWERS = 20  # answers before a baseline is taken: the first to arrive are the quickest
+
+
+class Health:  # latency statistics of the fleet, and when a backend counts as stalled or is ejected
+    def __init__(self, context: Context) -> None:
+        self.context = context
+        self.latency = self.mean_latency = 0.0  # per unit in the fleet: moving average; mean of more answers
+        self.baseline, self.answers = 0.0, 0  # lowest such mean, which rises slowly; answers in the mean
+
+    def latency_of(self, backend: Backend) -> float:
+        """Expected latency per unit. Old samples fade, so that a slow backend is tried again."""
+        known = exp((backend.latency_at - self.context.now) / (7 * SECOND_US)) if backend.latency else 0.0
+        return (self.latency or 1.0) + (backend.latency - self.latency) * known
+
+    def stalled(self, backend: Backend) -> bool:
+        """Whether it has work and has answered nothing for longer than that work should take."""
+        work, context = max(backend.in_flight.values(), default=0.0), self.context
+        return work > 0 and context.now - max(backend.answered_at, context.resumed_at) > max(
+            3 * self.latency * work, 0.25 * context.min_aim)
+
+    def learn(self, backend: Backend, event: Ended, units: float) -> bool:
+        """Updates the statistics from the end of an attempt; returns whether it gave a latency sample."""
+        now, sample = self.context.now, event.latency / max(units, 1.0)  # per unit
+        if event.ending is Ending.SERVED:
+            backend.answered_at, backend.ejected_until = now, backend.ejected_until * (backend.failures > 1)
+            backend.failures = max(0, backend.failures - 1)
+            self.add_sample(backend, sample)
+            self.latency = self.latency + EWMA_WEIGHT * (sample - self.latency) if self.latency else sample
+            self.answers = min(self.answers + 1, MIN_BASELINE_ANSWERS)
+            self.mean_latency += (sample - self.mean_latency) / self.answers
+            if self.answers == MIN_BASELINE_ANSWERS:
+                self.baseline = min(self.baseline or self.mean_latency, self.mean_latency)
             return True
-        if ev.ending in (*NOT_TAKEN, Ending.RESET) or ev.ending is Ending.ERROR and not ev.over:
-            self.eject(b)
-        elif ev.ending in (Ending.TIMEOUT, Ending.CANCELLED) and per > b.lat:
-            self.sample(b, per)
+        if event.ending in (*REJECTED, Ending.RESET) or event.ending is Ending.ERROR and not event.over:
+            self.eject(backend)
+        elif event.ending in (Ending.TIMEOUT, Ending.CANCELLED) and sample > backend.latency:
+            self.add_sample(backend, sample)
             return True
         return False
 
-    def sample(self, b: Backend, per: float) -> None:
-        """Starts from the fleet's figure: one answer, all that one of many gateways gets, tells little."""
-        known = self.lat_of(b) if self.lat else per
-        b.lat, b.lat_at = known + 2 * EASE * (per - known), self.desk.now
-
-    def eject(self, b: Backend) -> None:
-        """One that fails or errs at once or went silent looks idle and would draw all traffic: it is left
-        alone for a 16th of the aim, doubling up to the aim; each answer takes one failure off."""
-        if b.out_until <= self.desk.now:
-            b.fails = min(b.fails + 1, 5)
-            b.out_until = self.desk.now + (self.desk.aim << b.fails >> 5)
+    def add_sample(self, backend: Backend, sample: float) -> None:
+        """Moves the average, which starts at the fleet's: one gateway of many gets few answers of each."""
+        known = self.latency_of(backend) if self.latency else sample
+        backend.latency, backend.latency_at = known + 2 * EWMA_WEIGHT * (sample - known), self.context.now
+
+    def eject(self, backend: Backend) -> None:
+        """Sends it nothing for a while, doubled with each failure: one that fails at once looks idle."""
+        if backend.ejected_until <= self.context.now:
+            backend.failures = min(backend.failures + 1, 5)
+            backend.ejected_until = self.context.now + (self.context.min_aim << backend.failures >> 5)
--- a/oakvale/policy/lending.py
+++ b/oakvale/policy/lending.py
@@ -1,70 +1,73 @@
-"""Lending: what unused floors leave over, lent by weight to customers whose plan allows it."""
+"""Lending: capacity that customers leave unused of their quotas, lent by weight to plans that allow it."""
 
 from oakvale.interface import Counted, Plan
 from oakvale.policy.limits import Limits
-from oakvale.policy.records import BATCH, EPOCH, NOT_TAKEN, SECOND, Customer, Desk, Held
+from oakvale.policy.records import BATCH_INTERVAL_US, EPOCH_US, REJECTED, SECOND_US, quota_window
+from oakvale.policy_records import Context, PendingRequest
 
-R_OVER_FLOORS = 1.3  # DESIGN: R starts at 1.3 times the floor sum
+CAPACITY_RATIO = 1.3  # assumed capacity over the sum of quotas in use
 
 
-class Lending:
-    def __init__(self, desk: Desk, limits: Limits) -> None:
-        self.desk, self.limits, self.counter, plans = desk, limits, limits.quota.counter, desk.s.plans
-        self.wanted = self.told_at = -SECOND  # when last a borrower was here, a global count read
-        self.weights = 0.0  # of those here that may borrow
-        self.span = max((Customer("", p, 0).window for p in plans if p.rate > 0), default=SECOND)
-        self.lends = desk.s.may_count and any(map(self.soft, plans))
-        self.period = {"floors": EPOCH, "lent": self.span}  # how long the global counts run
-        self.counts = dict.fromkeys(self.period, 0.0)  # as last read
-        self.added = dict.fromkeys(self.period, 0.0)  # own, not yet sent
-        self.began, self.flushed = dict.fromkeys(self.period, -1), False
+class Lending:  # global counts of quotas and of lent units, and the decision whether a request may borrow
+    def __init__(self, context: Context, limits: Limits) -> None:
+        self.context, self.limits, self.counter = context, limits, limits.quota.counter
+        plans = context.settings.plans
+        self.wanted_at = self.read_at = -SECOND_US  # when last a request wanted to borrow, a count was read
+        self.weights = 0.0  # sum over the known customers that may borrow
+        self.window = max((quota_window(p) for p in plans if p.rate > 0), default=SECOND_US)
+        self.enabled = context.settings.may_count and any(map(self.may_borrow, plans))
+        self.periods = {"floors": EPOCH_US, "lent": self.window}  # of the global counts
+        self.counts = dict.fromkeys(self.periods, 0.0)  # as last read
+        self.added = dict.fromkeys(self.periods, 0.0)  # by this gateway, not yet sent
+        self.current, self.counter_reset = dict.fromkeys(self.periods, -1), False  # number of the period
 
-    def roll_global(self) -> None:
-        for k, period in self.period.items():
-            if self.desk.now // period != self.began[k]:
-                self.began[k], self.flushed = self.desk.now // period, False
-                self.counts[k] = self.added[k] = 0.0
+    def start_periods(self) -> None:
+        for kind, period in self.periods.items():
+            if self.context.now // period != self.current[kind]:
+                self.current[kind], self.counter_reset = self.context.now // period, False
+                self.counts[kind] = self.added[kind] = 0.0
 
-    def batch(self) -> None:
-        """Sent where of use, and few: the batches of 300 gateways alone would outrun the counter."""
-        self.roll_global()
-        for k, amount in self.added.items():
-            wanted = amount > 0 or self.desk.now - self.wanted < 2 * BATCH
-            if wanted and self.counter.spare >= 1 and not self.counter.calls.get(f"g:{k}:{self.began[k]}"):
-                self.counter.spare -= 1
-                self.counter.charge(f"g:{k}:{self.began[k]}", amount, k, "", self.period[k])
-                self.counts[k] += amount
-                self.added[k] = 0.0
+    def send_batch(self) -> None:
+        """Sends the global counts where of use; few, as those of many gateways would overload the counter."""
+        self.start_periods()
+        for kind, amount in self.added.items():
+            wanted = amount > 0 or self.context.now - self.wanted_at < 2 * BATCH_INTERVAL_US
+            name = f"g:{kind}:{self.current[kind]}"
+            if wanted and self.counter.batch_credit >= 1 and not self.counter.calls.get(name):
+                self.counter.batch_credit -= 1
+                self.counter.call(name, amount, kind, "", self.periods[kind])
+                self.counts[kind] += amount
+                self.added[kind] = 0.0
 
-    def on_batch(self, kind: str, ev: Counted, amount: float, answered: bool) -> None:
-        if ev.name != f"g:{kind}:{self.began[kind]}":
+    def on_batch_counted(self, kind: str, event: Counted, amount: float, answered: bool) -> None:
+        if event.name != f"g:{kind}:{self.current[kind]}":
             return
         if answered:
-            self.told_at = self.desk.now
-            self.flushed |= ev.level < 0.999 * self.counts[kind]  # emptied: slack looks wide, none is lent
-            self.counts[kind] = max(ev.level, self.counts[kind])
-        elif ev.ending in NOT_TAKEN:
+            self.read_at = self.context.now
+            self.counter_reset |= event.level < 0.999 * self.counts[kind]  # the counter lost it: lend nothing
+            self.counts[kind] = max(event.level, self.counts[kind])
+        elif event.ending in REJECTED:
             self.counts[kind] -= amount
             self.added[kind] += amount
 
-    def soft(self, plan: Plan) -> bool:
-        return plan.over_worth > plan.over_cost and plan.price > 0  # lending earns more than it costs
+    def may_borrow(self, plan: Plan) -> bool:  # whether lending to the plan earns more than it costs
+        return plan.over_worth > plan.over_cost and plan.price > 0
 
-    def borrow(self, held: Held) -> bool:
-        cust, units, now = held.cust, held.req.units, self.desk.now
-        self.roll_global()
-        if (not self.soft(cust.plan) or not self.lends or self.limits.pressed() or self.flushed
-                or self.counter.asking < 1):
+    def borrow(self, pending: PendingRequest) -> bool:  # whether it may pass beyond its quota
+        customer, units, now = pending.customer, pending.request.units, self.context.now
+        self.start_periods()
+        if (not self.may_borrow(customer.plan) or not self.enabled or self.limits.overloaded()
+                or self.counter_reset or self.counter.share < 1):
             return False
-        self.wanted = now
-        floors, lent = (self.counts[k] + self.added[k] for k in self.counts)
-        # DESIGN's R x elapsed - total - unserved floors; total is served + lent, unserved floors - served
-        slack = (R_OVER_FLOORS - 1) * floors * (now % self.span / self.span) - lent
-        if slack <= 0 or now - self.told_at > SECOND:  # nothing is lent on old counts
+        self.wanted_at = now
+        quotas, lent = (self.counts[k] + self.added[k] for k in self.counts)
+        # capacity * elapsed - (served + lent) - (quotas - served), with served units cancelling out
+        slack = (CAPACITY_RATIO - 1) * quotas * (now % self.window / self.window) - lent
+        if slack <= 0 or now - self.read_at > SECOND_US:  # nothing is lent on outdated counts
             return False
-        if cust.lent_in != self.began["lent"]:
-            cust.lent, cust.lent_in = 0.0, self.began["lent"]
-        if cust.lent + units > (R_OVER_FLOORS - 1) * floors * cust.plan.price / self.weights:
+        if customer.borrowed_period != self.current["lent"]:
+            customer.borrowed, customer.borrowed_period = 0.0, self.current["lent"]
+        if customer.borrowed + units > (CAPACITY_RATIO - 1) * quotas * customer.plan.price / self.weights:
             return False
-        cust.lent += units
+        customer.borrowed += units
         return True
--- a/oakvale/policy/limits.py
+++ b/oakvale/policy/limits.py
@@ -1,72 +1,76 @@
-"""Limits and refusal: what may be out at once, what a hard ceiling leaves, and how a request is given up."""
+"""Limits and refusal: attempts in flight at once, hard ceilings, and how a request is given up."""
 
 from oakvale.interface import Cancel, Effect, Ending, Fail, Refuse
 from oakvale.policy.health import Health
 from oakvale.policy.quota import Quota
-from oakvale.policy.records import SECOND, Backend, Desk, Held, Limit
+from oakvale.policy.records import SECOND_US
+from oakvale.policy_records import Backend, ConcurrencyLimit, Context, PendingRequest
 
-CROWDED = 1.3  # a backend this much slower than the fleet at its best holds more than it has cores for
-LEAST_OUT = 2.0  # limits start at and stay above this, over all gateways: it keeps the smallest one busy
+OVERLOAD_RATIO = 1.3  # latency over its baseline from which a backend counts as overloaded
+MIN_IN_FLIGHT = 2.0  # least limit of a backend over all gateways: keeps the smallest one busy
 
 
-class Limits:
-    def __init__(self, desk: Desk, health: Health, quota: Quota) -> None:
-        self.desk, self.health, self.quota = desk, health, quota
-        self.room, self.least = Limit(LEAST_OUT), LEAST_OUT / desk.s.fleet  # in all; least at a backend
-        self.shed_at = -SECOND  # when a request was last refused for want of room
+class Limits:  # concurrency limits, which follow latency, and the final refusal of a request
+    def __init__(self, context: Context, health: Health, quota: Quota) -> None:
+        self.context, self.health, self.quota = context, health, quota
+        self.total, self.min_limit = ConcurrencyLimit(MIN_IN_FLIGHT), MIN_IN_FLIGHT / context.settings.fleet
+        self.rejected_at = -SECOND_US  # when a request last found all backends at their limits
 
-    def pressed(self) -> bool:
-        """Nothing is lent while a passed request was lately turned away, or crowded, for want of room."""
-        lat = self.health.lat
-        return self.desk.now - self.shed_at < SECOND or lat > CROWDED * (self.health.base or lat)
+    def overloaded(self) -> bool:  # lately refused for want of capacity, or slow
+        latency, rejected = self.health.latency, self.context.now - self.rejected_at < SECOND_US
+        return rejected or latency > OVERLOAD_RATIO * (self.health.baseline or latency)
 
-    def follow(self, b: Backend, ending: Ending) -> None:
-        self.fit(b.limit, len(b.inflight), self.health.lat_of(b), self.least)
+    def adapt(self, backend: Backend, ending: Ending) -> None:
+        self.adjust(backend.limit, len(backend.in_flight), self.health.latency_of(backend), self.min_limit)
         if ending is Ending.SERVED:
-            out = sum(len(x.inflight) for x in self.desk.backends.values())
-            self.fit(self.room, out, self.health.lat, 1.0)
+            in_flight = sum(len(x.in_flight) for x in self.context.backends.values())
+            self.adjust(self.total, in_flight, self.health.latency, 1.0)
 
-    def fit(self, lim: Limit, out: int, lat: float, least: float) -> None:
-        """What may be out at a backend follows its latency, and in all the fleet's: cut towards what would be
-        answered in 0.4 of the aim; doubled at first, then raised by one a round. Guards against jams of any
-        cause. One of many gateways seldom hears a backend: it learns by the sum."""
-        excess = lat / min(0.4 * self.desk.aim / self.desk.units, CROWDED * self.health.base or 1e9)
+    def adjust(self, limit: ConcurrencyLimit, in_flight: int, latency: float, least: float) -> None:
+        """Cuts a limit towards what is answered within 0.4 of the aim; else doubles it, later adds one."""
+        context, baseline = self.context, self.health.baseline
+        excess = latency / min(0.4 * context.min_aim / context.mean_units, OVERLOAD_RATIO * baseline or 1e9)
         if excess > 1:
-            lim.size = max(least, min(lim.size, out + 1) * (0.8 + 0.2 / excess))
-            lim.growing = False
-        elif self.health.base and out + 1 >= lim.size / 2:
-            lim.size += min(1.0, lim.size) if lim.growing else min(lim.size / 2, 1 / lim.size)
+            limit.size = max(least, min(limit.size, in_flight + 1) * (0.8 + 0.2 / excess))
+            limit.slow_start = False
+        elif baseline and in_flight + 1 >= limit.size / 2:
+            limit.size += min(1.0, limit.size) if limit.slow_start else min(limit.size / 2, 1 / limit.size)
 
-    def left(self, held: Held) -> int:
-        """Time in which an answer is worth something: to the aim, or to an impatient client's deadline."""
-        aimed = held.req.deadline if self.desk.s.late_earns else held.came + held.cls.aim
-        return min(aimed, held.req.deadline) - self.desk.now
+    def time_left(self, pending: PendingRequest) -> int:  # microseconds in which an answer is of use
+        deadline = pending.request.deadline
+        aimed = deadline if self.context.settings.late_earns else pending.sent_at + pending.request_class.aim
+        return min(aimed, deadline) - self.context.now
 
-    def under_ceiling(self, held: Held) -> bool:
-        """Rule: each keeps its part of a hard ceiling, empty at its start as an earlier life spent it."""
-        cust, plan, now = held.cust, held.cust.plan, self.desk.now
-        gained = plan.ceiling_rate / cust.spread * (now - max(cust.cap_at, self.desk.born)) / SECOND
-        cust.cap, cust.cap_at = min(plan.ceiling_burst / cust.spread, cust.cap + gained), now
-        if plan.ceiling_rate > 0 and cust.cap < held.req.units:
+    def within_ceiling(self, pending: PendingRequest) -> bool:
+        """Takes the units from this gateway's share of a ceiling, which is empty after a restart."""
+        customer, plan, now = pending.customer, pending.customer.plan, self.context.now
+        elapsed = now - max(customer.ceiling_at, self.context.started_at)
+        filled = customer.ceiling_left + plan.ceiling_rate / customer.gateways * elapsed / SECOND_US
+        customer.ceiling_left, customer.ceiling_at = min(plan.ceiling_burst / customer.gateways, filled), now
+        if plan.ceiling_rate > 0 and customer.ceiling_left < pending.request.units:
             return False
-        cust.cap -= held.req.units
+        customer.ceiling_left -= pending.request.units
         return True
 
-    def refuse(self, held: Held, wait: int) -> None:
-        self.quota.give_back(held)
-        self.quota.tell_open(held.cust)
-        harmless = held.ran is None or held.cls.effect is Effect.SAFE or (
-            held.cls.effect is Effect.KEYED and held.cls.group == "all")
-        wait = min(max(wait, 1), SECOND, self.desk.s.max_retry_after) if self.desk.s.retry_after else 0
-        self.desk.do.append(Refuse(held.req.id, wait) if harmless else Fail(held.req.id))
-        self.finish(held.req.id)
+    def refuse(self, pending: PendingRequest, wait: int) -> None:
+        """Gives a request its final answer: a refusal, or a failure where a repetition could do harm."""
+        self.quota.refund(pending)
+        self.quota.report_open(pending.customer)
+        request_class, settings = pending.request_class, self.context.settings
+        harmless = pending.first_run is None or request_class.effect is Effect.SAFE or (
+            request_class.effect is Effect.KEYED and request_class.group == "all")
+        wait = min(max(wait, 1), SECOND_US, settings.max_retry_after) if settings.retry_after else 0
+        request_id = pending.request.id
+        self.context.actions.append(Refuse(request_id, wait) if harmless else Fail(request_id))
+        self.finish(request_id)
 
-    def finish(self, rid: str) -> None:
-        """Nobody waits for its answer any more: of what is out, only what may run once goes on to its end."""
-        held = self.desk.held.get(rid)
-        if held is not None:
-            if not (held.over or held.head) and self.desk.s.may_cancel and held.cls.effect is Effect.SAFE:
-                self.desk.do += [Cancel(rid, hop) for hop in held.out]
-            held.over = True
-            if not held.out and not held.waiting:
-                del self.desk.held[rid]
+    def finish(self, request_id: str) -> None:
+        """Nobody waits for an answer any more: cancels safe attempts in flight, others run to their end."""
+        pending = self.context.pending.get(request_id)
+        if pending is not None:
+            if not (pending.finished or pending.responding) and self.context.settings.may_cancel and (
+                    pending.request_class.effect is Effect.SAFE):
+                self.context.actions += [Cancel(request_id, hop) for hop in pending.in_flight]
+            pending.finished = True
+            if not pending.in_flight and not pending.pending_calls:
+                del self.context.pending[request_id]
--- a/oakvale/policy/quota.py
+++ b/oakvale/policy/quota.py
@@ -1,133 +1,140 @@
-"""Quota and counting: what each customer may pass, and the calls that tell the counter of it."""
+"""Quota and counting: what each customer may use, and the calls that add use to the shared counter."""
 
 from collections import deque
 from math import exp
 
 from oakvale.interface import Charge, Counted, Ending
-from oakvale.policy.records import EASE, EPOCH, NOT_TAKEN, SECOND, Customer, Desk, Held
+from oakvale.policy.records import EPOCH_US, EWMA_WEIGHT, REJECTED, SECOND_US
+from oakvale.policy_records import Context, Customer, PendingRequest
 
-SWELL = 16  # a unit written late in an epoch, e^16, is a hundredth of the 1e9 that a counter takes
-ASK_LEAST = 0.02  # share of requests still asking a counter that does not answer: finds its return
-BATCH_SHARE = 0.15  # of a gateway's calls, at most, for the global counts
+MAX_SCALE_EXPONENT = 16  # e^16, the largest scale of a unit, is a hundredth of the 1e9 that a counter takes
+MIN_CALL_SHARE = 0.02  # share of requests that still call a counter that does not answer, to find its return
+BATCH_CALL_SHARE = 0.15  # calls for the global counts, at most, for each other call
 
 
-class Counter:  # the calls that are out, and the share of requests that it can take
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+class CounterCalls:  # the calls to the counter that are out, and the share of requests that make one
+    def __init__(self, context: Context) -> None:
+        self.context = context
         self.calls: dict[str, deque[tuple[str, str, float]]] = {}  # name -> (kind, id, amount)
-        self.spare, self.stake = 0.0, 0.0  # calls that the batch may make; mean worth of a wrong guess
-        self.asking, self.asked_less = 1.0, 0  # share of requests that ask the counter; when it last fell
-        self.goal, self.good, self.called = 1.0, True, 0  # share to go back to; last call answered; last ask
-
-    def charge(self, name: str, amount: float, kind: str, rid: str, life: int = EPOCH) -> None:
-        self.calls.setdefault(name, deque()).append((kind, rid, amount))
-        self.spare = min(2.0, self.spare + BATCH_SHARE)
-        self.called = self.desk.now
-        self.desk.do.append(Charge(name, amount, min(2 * life, 2 * EPOCH)))
-
-    def ask_share(self, cust: Customer, units: float) -> float:
-        """Where the counter can't take a call for each, those least missed stay away first: small, cheap to
-        let through, or of customers with room left. One goes a longest deadline after the last call."""
-        stake = units * cust.plan.price * max(cust.plan.over_cost, 0.25)
-        self.stake += EASE * (stake - self.stake)
-        if self.asking >= 1 or not stake or self.desk.now - self.called > self.desk.open_slot:
+        self.batch_credit, self.mean_stake = 0.0, 0.0  # batch calls allowed; mean cost of a wrong decision
+        self.share, self.reduced_at = 1.0, 0  # share of requests that call; when it was last halved
+        self.target_share, self.answering, self.called_at = 1.0, True, 0  # share to return to
+
+    def call(self, name: str, amount: float, kind: str, request_id: str, period: int = EPOCH_US) -> None:
+        self.calls.setdefault(name, deque()).append((kind, request_id, amount))
+        self.batch_credit = min(2.0, self.batch_credit + BATCH_CALL_SHARE)
+        self.called_at = self.context.now
+        self.context.actions.append(Charge(name, amount, min(2 * period, 2 * EPOCH_US)))
+
+    def call_probability(self, customer: Customer, units: float) -> float:
+        """Below 1 where the counter is overloaded; lowest for cheap requests and unused quotas."""
+        plan, context = customer.plan, self.context
+        stake = units * plan.price * max(plan.over_cost, 0.25)
+        self.mean_stake += EWMA_WEIGHT * (stake - self.mean_stake)
+        if self.share >= 1 or not stake or context.now - self.called_at > context.max_deadline:
             return 1.0
-        left = max(0.0, cust.part / max(cust.plan.burst / cust.spread, self.desk.units)) if cust.read else 0.0
-        return float(self.asking ** ((0.5 + left) * self.stake / stake))
-
-    def pace(self, ending: Ending, latency: int) -> None:
-        """A counter that does not answer is asked far less. A good answer brings back half of what was asked
-        before, then a little more: no herd on return. A spoilt one says nothing of what it can take."""
-        desk, wait = self.desk, self.desk.s.counter_timeout
-        if ending is Ending.SERVED and latency < wait // 2:
-            self.asking, self.good = min(1.0, max(self.asking + 0.01, self.goal)), True
-        elif ending in (*NOT_TAKEN, Ending.TIMEOUT) and desk.now - max(self.asked_less, desk.gap) > 2 * wait:
-            self.goal, self.good = self.asking / 2 if self.good else self.goal, False
-            self.asking, self.asked_less = max(ASK_LEAST, self.asking / 2), desk.now
-
-
-class Quota:  # the room of each customer: a sliding floor, a part to pass unasked, attempts out at once
-    def __init__(self, desk: Desk, counter: Counter) -> None:
-        self.desk, self.counter = desk, counter
-
-    def tell_quota(self, cust: Customer, kind: str, rid: str) -> None:
-        self.counter.charge(self.quota_name(cust), cust.unsent, kind, rid)
-        cust.unsent = 0.0
-
-    def quota_name(self, cust: Customer) -> str:
-        return f"q:{cust.name}:{self.desk.now // EPOCH}"
-
-    def open_name(self, cust: Customer) -> str:
-        return f"o:{cust.name}:{self.desk.now // self.desk.open_slot}"
-
-    def open_part(self, cust: Customer) -> float:
-        return max(1, cust.plan.open / cust.spread) - cust.out
-
-    def tell_open(self, cust: Customer, rid: str = "") -> None:
-        """Tells what is held here. A count lives one longest deadline: a dead gateway's part ends with it."""
-        if not rid and (not cust.plan.open or not self.desk.s.may_count or self.counter.asking < 1):
+        largest = max(plan.burst / customer.gateways, context.mean_units)
+        left = max(0.0, customer.allowance / largest) if customer.read_at else 0.0
+        return float(self.share ** ((0.5 + left) * self.mean_stake / stake))
+
+    def adapt(self, ending: Ending, latency: int) -> None:
+        """Halves the share when calls fail; restores it in steps, as all gateways return at once."""
+        context, timeout = self.context, self.context.settings.counter_timeout
+        if ending is Ending.SERVED and latency < timeout // 2:
+            self.share, self.answering = min(1.0, max(self.share + 0.01, self.target_share)), True
+        elif ending in (*REJECTED, Ending.TIMEOUT) and context.now - max(
+                self.reduced_at, context.resumed_at) > 2 * timeout:
+            self.target_share, self.answering = self.share / 2 if self.answering else self.target_share, False
+            self.share, self.reduced_at = max(MIN_CALL_SHARE, self.share / 2), context.now
+
+
+class Quota:  # sliding quota of each customer, its local allowance, and its attempts in flight
+    def __init__(self, context: Context, counter: CounterCalls) -> None:
+        self.context, self.counter = context, counter
+
+    def report_use(self, customer: Customer, kind: str, request_id: str) -> None:
+        self.counter.call(self.quota_name(customer), customer.unsent, kind, request_id)
+        customer.unsent = 0.0
+
+    def quota_name(self, customer: Customer) -> str:
+        return f"q:{customer.name}:{self.context.now // EPOCH_US}"
+
+    def open_name(self, customer: Customer) -> str:
+        return f"o:{customer.name}:{self.context.now // self.context.max_deadline}"
+
+    def open_share(self, customer: Customer) -> float:
+        return max(1, customer.plan.open / customer.gateways) - customer.in_flight
+
+    def report_open(self, customer: Customer, request_id: str = "") -> None:
+        """Reports attempts in flight, in counts that expire: a dead gateway's part ends with its count."""
+        if not request_id and (
+                not customer.plan.open or not self.context.settings.may_count or self.counter.share < 1):
             return
-        if self.desk.now // self.desk.open_slot != cust.slot:
-            cust.slot, cust.told = self.desk.now // self.desk.open_slot, 0
-        amount = cust.out + cust.asked - cust.told
-        if amount or rid:
-            cust.told += amount
-            kind, rid = ("open", rid) if rid else ("told", cust.name)
-            self.counter.charge(self.open_name(cust), amount, kind, rid, self.desk.open_slot)
-
-    def refill(self, cust: Customer) -> None:
-        """Refills the quota and the allowance of a request that the counter is not asked about."""
-        if cust.epoch != self.desk.now // EPOCH:  # use not yet told fades on under the new name
-            cust.epoch, cust.level = self.desk.now // EPOCH, 0.0
-            cust.unsent *= exp(-EPOCH / cust.window)
-        gained = cust.plan.rate * (self.desk.now - cust.at) / SECOND
-        cust.spilt += max(0.0, cust.store + gained - cust.plan.burst)
-        cust.store = min(cust.plan.burst, cust.store + gained)
-        free = (1 - cust.flow / (cust.plan.rate or 1)) * exp((cust.read - self.desk.now) / cust.window)
-        cust.part += gained * max(1 / cust.spread, free)
-        cust.part = min(cust.part, max(cust.plan.burst / cust.spread, self.desk.units))
-        cust.at = self.desk.now
-
-    def swell(self, cust: Customer) -> float:
-        """What a unit adds to its customer's count: more, the later, so that earlier ones fade over the
-        plan's window. The count slides and does not start anew: one read tells who is near the floor."""
-        return exp(self.desk.now % EPOCH / cust.window + min(0.0, SWELL - EPOCH / cust.window))
-
-    def counted(self, cust: Customer, ev: Counted, amount: float) -> None:
-        """Takes what the others added since the last read, as spread over that time, out of the room; it
-        first meets what a full room spilt. After more than a window only the faded sum tells. A count that
-        fell by more than was handed back was emptied: then only what is known here counts."""
-        if ev.name != self.quota_name(cust):
-            return  # of the epoch before
-        if ev.ending in NOT_TAKEN:
-            cust.unsent += amount
-        elif ev.ending is not Ending.SERVED:
-            cust.level += amount  # it may have been added
+        if self.context.now // self.context.max_deadline != customer.open_period:
+            customer.open_period, customer.reported_open = self.context.now // self.context.max_deadline, 0
+        amount = customer.in_flight + customer.open_calls - customer.reported_open
+        if amount or request_id:
+            customer.reported_open += amount
+            kind, request_id = ("open", request_id) if request_id else ("told", customer.name)
+            self.counter.call(self.open_name(customer), amount, kind, request_id, self.context.max_deadline)
+
+    def refill(self, customer: Customer) -> None:
+        """Refills the balance at the plan's rate, the allowance by what others leave or the even share."""
+        plan, now = customer.plan, self.context.now
+        if customer.epoch != now // EPOCH_US:  # unsent units go on fading under the new name
+            customer.epoch, customer.level = now // EPOCH_US, 0.0
+            customer.unsent *= exp(-EPOCH_US / customer.window)
+        gained = plan.rate * (now - customer.refilled_at) / SECOND_US
+        customer.overflow += max(0.0, customer.balance + gained - plan.burst)
+        customer.balance = min(plan.burst, customer.balance + gained)
+        free = (1 - customer.others_rate / (plan.rate or 1)) * exp((customer.read_at - now) / customer.window)
+        customer.allowance += gained * max(1 / customer.gateways, free)
+        customer.allowance = min(
+            customer.allowance, max(plan.burst / customer.gateways, self.context.mean_units))
+        customer.refilled_at = now
+
+    def scale(self, customer: Customer) -> float:
+        """What a unit adds to the count: it grows, so that earlier units fade and the window slides."""
+        window = customer.window
+        return exp(self.context.now % EPOCH_US / window + min(0.0, MAX_SCALE_EXPONENT - EPOCH_US / window))
+
+    def on_counted(self, customer: Customer, event: Counted, amount: float) -> None:
+        """Takes what others added since the last read, as if evenly over that time, out of the balance.
+        After more than a window only the count tells. One that fell too far was lost by the counter."""
+        if event.name != self.quota_name(customer):
+            return  # a count of the epoch before
+        if event.ending in REJECTED:
+            customer.unsent += amount
+        elif event.ending is not Ending.SERVED:
+            customer.level += amount  # it may have been added
         else:
-            self.refill(cust)
-            swell, since = self.swell(cust), max(1, min(self.desk.now - cust.read, self.desk.now % EPOCH))
-            others, span, burst = ev.level - cust.level - amount, since / cust.window, cust.plan.burst
-            cust.level, cust.read = ev.level, self.desk.now
-            gone = round(others / swell * (span / (1 - exp(-span)) if others > 0 else 1), 3)
-            if gone > -self.desk.s.largest and span > 1:
-                cust.store = burst * (1 - min(1, (ev.level - amount) / swell / burst) ** 2)
-            elif gone > -self.desk.s.largest:
-                cust.store = min(burst, cust.store - gone + min(cust.spilt, max(0.0, gone)))
-            cust.flow += (max(0.0, gone) * SECOND - cust.flow * since) / (since + cust.window)
-            cust.spilt, cust.part = 0.0, cust.store
-
-    def alone(self, held: Held) -> None:
-        """DESIGN: unanswered, only within a part of the room left; by lot, or small parts would pass none."""
-        units = held.req.units
-        self.take(held, held.cust.store >= units and held.cust.part >= units * self.desk.rng.random())
-
-    def take(self, held: Held, room: bool) -> None:
-        held.taken, held.within = room, held.within and room
-        held.cust.store -= held.req.units if room else 0.0
-        held.cust.part -= held.req.units if room else 0.0
-
-    def give_back(self, held: Held) -> None:  # not sent on inside the quota, they still are in its store
-        if held.taken and not held.hops:
-            held.taken = False
-            held.cust.store += held.req.units
-            held.cust.unsent -= held.told
+            self.refill(customer)
+            now, scale = self.context.now, self.scale(customer)
+            since = max(1, min(now - customer.read_at, now % EPOCH_US))
+            others, windows = event.level - customer.level - amount, since / customer.window
+            burst, lost = customer.plan.burst, -self.context.settings.largest
+            customer.level, customer.read_at = event.level, now
+            use = round(others / scale * (windows / (1 - exp(-windows)) if others > 0 else 1), 3)
+            if use > lost and windows > 1:
+                customer.balance = burst * (1 - min(1, (event.level - amount) / scale / burst) ** 2)
+            elif use > lost:
+                customer.balance = min(burst, customer.balance - use + min(customer.overflow, max(0.0, use)))
+            gain = max(0.0, use) * SECOND_US - customer.others_rate * since
+            customer.others_rate += gain / (since + customer.window)
+            customer.overflow, customer.allowance = 0.0, customer.balance
+
+    def decide_locally(self, pending: PendingRequest) -> None:  # by lot: the allowance may be small
+        units, customer = pending.request.units, pending.customer
+        fits = customer.balance >= units and customer.allowance >= units * self.context.rng.random()
+        self.charge(pending, fits)
+
+    def charge(self, pending: PendingRequest, fits: bool) -> None:
+        pending.charged, pending.within_quota = fits, pending.within_quota and fits
+        pending.customer.balance -= pending.request.units if fits else 0.0
+        pending.customer.allowance -= pending.request.units if fits else 0.0
+
+    def refund(self, pending: PendingRequest) -> None:  # where it was never sent on
+        if pending.charged and not pending.attempts_made:
+            pending.charged = False
+            pending.customer.balance += pending.request.units
+            pending.customer.unsent -= pending.counted_units
--- a/oakvale/policy/upkeep.py
+++ b/oakvale/policy/upkeep.py
@@ -1,51 +1,54 @@
-"""List and timers: the backends as discovery tells them, and what is done four times a second."""
+"""Upkeep: the list of backends as discovery reports it, and the work done at each batch interval."""
 
 from oakvale.interface import Backends, Entry, Fetch, ListForm, State, Timer, Wake, Watch
 from oakvale.policy.attempts import Attempts
-from oakvale.policy.records import BATCH, EPOCH, SECOND, TICK, Backend, Customer, Desk
+from oakvale.policy.records import BATCH_INTERVAL_US, BATCH_TIMER, EPOCH_US, SECOND_US
+from oakvale.policy_records import Backend, Context, Customer
 
 
-class Upkeep:
-    def __init__(self, desk: Desk, attempts: Attempts) -> None:
-        self.desk, self.attempts, self.lending = desk, attempts, attempts.lending
+class Upkeep:  # handles updates of the backend list and timers
+    def __init__(self, context: Context, attempts: Attempts) -> None:
+        self.context, self.attempts, self.lending = context, attempts, attempts.lending
 
-    def on_backends(self, ev: Backends) -> None:
-        desk, least = self.desk, self.attempts.limits.least
-        if not desk.born:
-            desk.born = desk.now
-            desk.do.append(Wake(TICK, BATCH))
-            if desk.s.on_request:
-                desk.do.append(Watch(True))
-        if ev.form is ListForm.FAILED:
-            return desk.do.append(Watch(True))
-        if ev.form is not ListForm.DELTA:
-            listed = {e.backend for e in ev.entries}
-            for key, b in desk.backends.items():
+    def on_backends(self, event: Backends) -> None:
+        context, min_limit = self.context, self.attempts.limits.min_limit
+        if not context.started_at:
+            context.started_at = context.now
+            context.actions.append(Wake(BATCH_TIMER, BATCH_INTERVAL_US))
+            if context.settings.on_request:
+                context.actions.append(Watch(True))
+        if event.form is ListForm.FAILED:
+            return context.actions.append(Watch(True))
+        if event.form is not ListForm.DELTA:
+            listed = {entry.backend for entry in event.entries}
+            for key, backend in context.backends.items():
                 if key not in listed:
-                    b.entry = Entry(key, b.entry.zone, b.entry.kind, b.entry.cell, State.GONE, b.entry.weight)
-        for e in ev.entries:
-            known = desk.backends.setdefault(e.backend, Backend(e, least))
-            if e.started > known.entry.started:
-                known.fresh(least)
-            known.entry = e
-        desk.backends = {k: b for k, b in desk.backends.items() if b.inflight or b.entry.state != State.GONE}
+                    old = backend.entry
+                    backend.entry = Entry(key, old.zone, old.kind, old.cell, State.GONE, old.weight)
+        for entry in event.entries:
+            known = context.backends.setdefault(entry.backend, Backend(entry, min_limit))
+            if entry.started > known.entry.started:
+                known.reset(min_limit)
+            known.entry = entry
+        context.backends = {
+            k: x for k, x in context.backends.items() if x.in_flight or x.entry.state != State.GONE}
 
-    def on_timer(self, ev: Timer) -> None:
-        if ev.token != TICK:
-            return self.attempts.check(*self.attempts.tokens.pop(ev.token, ("", 0)))
-        desk = self.desk
-        desk.do.append(Wake(TICK, BATCH))
-        self.attempts.health.base *= 1.005
-        self.attempts.choice.tick()
-        if self.lending.lends:
-            self.lending.batch()
-        for name in [k for k, c in desk.customers.items() if self.idle(c)]:
-            plan = desk.customers.pop(name).plan
-            self.lending.weights -= plan.price if self.lending.soft(plan) else 0.0
-        if not desk.backends:
-            desk.do.append(Fetch())
+    def on_timer(self, event: Timer) -> None:
+        if event.token != BATCH_TIMER:
+            return self.attempts.check_progress(*self.attempts.timers.pop(event.token, ("", 0)))
+        context = self.context
+        context.actions.append(Wake(BATCH_TIMER, BATCH_INTERVAL_US))
+        self.attempts.health.baseline *= 1.005
+        self.attempts.selector.tick()
+        if self.lending.enabled:
+            self.lending.send_batch()
+        for name in [k for k, customer in context.customers.items() if self.idle(customer)]:
+            plan = context.customers.pop(name).plan
+            self.lending.weights -= plan.price if self.lending.may_borrow(plan) else 0.0
+        if not context.backends:
+            context.actions.append(Fetch())
 
-    def idle(self, cust: Customer) -> bool:
-        """Dropped once the counter has forgotten it too, and a ceiling's part is sure to be full again."""
-        fills = cust.plan.ceiling_burst / (cust.plan.ceiling_rate or 1e9) * SECOND
-        return not cust.out and not cust.asked and self.desk.now - cust.seen > max(2 * EPOCH, fills)
+    def idle(self, customer: Customer) -> bool:  # its counts have expired, its share of a ceiling is full
+        refill = customer.plan.ceiling_burst / (customer.plan.ceiling_rate or 1e9) * SECOND_US
+        return not customer.in_flight and not customer.open_calls and (
+            self.context.now - customer.last_seen > max(2 * EPOCH_US, refill))
--- a/tests/drawn_events.py
+++ b/tests/drawn_events.py
@@ -29,7 +29,7 @@
 
 class Decides(Protocol):
     def handle(self, now: int, event: i.Event) -> list[i.Action]: ...
-    def resettle(self, settings: i.Settings) -> None: ...
+    def update_settings(self, settings: i.Settings) -> None: ...
 
 
 def classes(rng: random.Random) -> tuple[i.RequestClass, ...]:
@@ -225,7 +225,7 @@
         for _ in range(events):
             if self.rng.random() < 0.001:
                 self.settings = i.replace_classes(self.settings, classes(self.rng))
-                gateway.resettle(self.settings)
+                gateway.update_settings(self.settings)
             now, event = self.next()
             actions = gateway.handle(now, event)
             self.heard(event, actions)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -593,14 +593,14 @@
     n = Node(script=False)
     gateway = n.host.gateway
     assert isinstance(gateway, Gateway)
-    real, gateway.lending.batch = gateway.lending.batch, None  # type: ignore[method-assign, assignment]
-    gateway.lending.lends = True
+    real, gateway.lending.send_batch = gateway.lending.send_batch, None  # type: ignore[method-assign, assignment]
+    gateway.lending.enabled = True
     n.pass_time(250 * MS)
-    gateway.lending.batch = real  # type: ignore[method-assign]
-    before = gateway.desk.now
+    gateway.lending.send_batch = real  # type: ignore[method-assign]
+    before = gateway.context.now
     for _ in range(8):
         n.pass_time(250 * MS)
-    assert gateway.desk.now == before + 8 * 250 * MS
+    assert gateway.context.now == before + 8 * 250 * MS
     n.close()
 
 
--- a/tests/test_import_order.py
+++ b/tests/test_import_order.py
@@ -15,6 +15,7 @@
     ("__init__",),
     ("interface", "numbers"),
     ("settings", "retry_budget"),
+    ("policy_records",),
     ("base", "policy"),
     ("memory",),
     ("wire",),
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -302,7 +302,7 @@
     n = Node(script=False)
     for _ in range(40):
         n.pass_time(250 * MS)
-    assert n.host.gateway.desk.gap == 0 and n.host.gateway.desk.now == n.clock.now
+    assert n.host.gateway.context.resumed_at == 0 and n.host.gateway.context.now == n.clock.now
     n.close()
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -61,7 +61,7 @@
     d.ask()
     d.now += 1_000_000
     d.ask(units=1)
-    swelled = exp(1_000_000 / d.gw.desk.customers["a"].window)  # a unit adds more, the later it comes
+    swelled = exp(1_000_000 / d.gw.context.customers["a"].window)  # a unit adds more, the later it comes
     assert isclose(d.numbers[name], 1 + 7 + swelled)  # the refused unit went back with the next call
 
 
@@ -83,7 +83,7 @@
     passed = 0
     for _ in range(3):
         passed += sum(spend(d, 1, ending=Ending.FULL))
-        d.gw.counter.asking = 1.0
+        d.gw.counter.share = 1.0
     d.ask()
     [total] = d.numbers.values()
     assert passed and total == passed + 1
@@ -101,7 +101,7 @@
     for k in range(5000):
         d.now += 20_000
         d.ask(customer=f"d{k}")
-    assert d.gw.counter.asking == 1.0
+    assert d.gw.counter.share == 1.0
 
 
 def test_no_counter_at_all() -> None:
@@ -126,13 +126,13 @@
     for k in range(500):
         d.ask(customer=f"one-off-{k}")
         rid = f"r{d.n}"
-        d.end(rid, d.gw.desk.held[rid].out[0][0].entry.backend)
-    assert len(d.gw.desk.customers) == 500
+        d.end(rid, d.gw.context.pending[rid].in_flight[0][0].entry.backend)
+    assert len(d.gw.context.customers) == 500
     from oakvale.interface import Timer
 
     d.now += 61_000_000
     d.send(Timer(0))
-    assert not d.gw.desk.customers and not d.gw.desk.held
+    assert not d.gw.context.customers and not d.gw.context.pending
 
 
 def test_nothing_usable_still_ends_in_time() -> None:
@@ -150,7 +150,7 @@
 def test_attempts_out_are_limited_across_gateways() -> None:
     d = open_drive()
     assert spend(d, 3) == [True, True, False]
-    d.count(d.end("r1", d.gw.desk.held["r1"].out[0][0].entry.backend))
+    d.count(d.end("r1", d.gw.context.pending["r1"].in_flight[0][0].entry.backend))
     [name] = d.numbers
     assert d.numbers[name] == 1
     d.numbers[name] += 1  # another gateway's
@@ -162,12 +162,12 @@
     d = open_drive()
     assert spend(d, 2) == [True, True]
     for rid in ("r1", "r2"):
-        d.count(d.end(rid, d.gw.desk.held[rid].out[0][0].entry.backend), Ending.FULL)
-    d.gw.counter.asking = 1.0
+        d.count(d.end(rid, d.gw.context.pending[rid].in_flight[0][0].entry.backend), Ending.FULL)
+    d.gw.counter.share = 1.0
     assert spend(d, 2) == [True, True]
     assert list(d.numbers.values()) == [2]
     d.now += 4_000_000
-    d.gw.counter.asking = 1.0
+    d.gw.counter.share = 1.0
     assert spend(d, 1) == [False]  # two are still out, and are told in the new slot
     assert d.numbers[max(d.numbers)] <= 3
 
@@ -191,16 +191,16 @@
     d = Drive()
     spend(d, 1)
     [name] = d.numbers
-    d.gw.counter.asking = 0.9
+    d.gw.counter.share = 0.9
     d.now += 2_000_000
-    d.gw.desk.now = d.now
-    d.gw.quota.refill(d.gw.desk.customers["a"])  # full again; three of four units that came back were spilt
-    before = d.gw.desk.customers["a"].spilt
+    d.gw.context.now = d.now
+    d.gw.quota.refill(d.gw.context.customers["a"])  # full again; three of four units that came back were spilt
+    before = d.gw.context.customers["a"].overflow
     assert before == 3
     d.numbers[name] += 3  # used by others in that time, told only now
-    d.gw.desk.rng.random = lambda: 0.0  # type: ignore[method-assign]
+    d.gw.context.rng.random = lambda: 0.0  # type: ignore[method-assign]
     spend(d, 1)
-    assert d.gw.desk.customers["a"].store == 7  # 8, less this request alone
+    assert d.gw.context.customers["a"].balance == 7  # 8, less this request alone
 
 
 def test_use_told_across_the_end_of_a_count_does_not_swell() -> None:
@@ -211,14 +211,14 @@
     spend(d, 2)
     for _ in range(2):
         spend(d, 1, ending=Ending.FULL)  # passed unanswered, still to be told
-        d.gw.counter.asking = 1.0
+        d.gw.counter.share = 1.0
     rid, actions = d.request()  # asked in the old count, answered in the new
     d.now += 200_000
     d.count(actions)
     d.ask()
     [new] = [n for name, n in d.numbers.items() if name.endswith(str(d.now // 30_000_000))]
     assert 0 < new < 6
-    assert d.gw.desk.customers["a"].store > 0
+    assert d.gw.context.customers["a"].balance > 0
 
 
 def test_a_count_fades_so_that_a_gateway_that_never_read_it_finds_who_is_near_the_floor() -> None:
@@ -242,10 +242,10 @@
     for _ in range(200):
         for name in calls:
             d.now += 260_000
-            d.gw.counter.asking = 0.3
-            cust = d.gw.desk.customers[name]
-            cust.store, cust.at, cust.read, cust.flow = 4.0, d.now, d.now - 300_000, 0.0
-            cust.part = 4.0 if name == "calm" else 0.0
+            d.gw.counter.share = 0.3
+            cust = d.gw.context.customers[name]
+            cust.balance, cust.refilled_at, cust.read_at, cust.others_rate = 4.0, d.now, d.now - 300_000, 0.0
+            cust.allowance = 4.0 if name == "calm" else 0.0
             rid, actions = d.request(customer=name, spread=10)
             calls[name] += len(of(actions, Charge))
             d.count(actions)
@@ -257,7 +257,7 @@
     kept everybody else out, as it seldom came back to hand it back."""
     d = Drive(fleet=90)
     d.ask(customer="busy", spread=90)
-    d.gw.desk.customers["busy"].flow = 2.0  # the whole rate
+    d.gw.context.customers["busy"].others_rate = 2.0  # the whole rate
     d.tick(4_000_000)
     _, actions = d.request(customer="busy", units=2, spread=90)
     [call] = of(actions, Charge)
@@ -270,8 +270,8 @@
         spend(d, 1)
         [name] = d.numbers
         d.numbers[name] += 7
-        d.gw.counter.asking = d.gw.counter.goal = asking
-        d.gw.counter.called = 0  # so that the next one is asked in any case
+        d.gw.counter.share = d.gw.counter.target_share = asking
+        d.gw.counter.called_at = 0  # so that the next one is asked in any case
         _, actions = d.request()
         [asked] = of(actions, Charge)
         d.numbers[name] += asked.amount
@@ -312,14 +312,14 @@
     """It says nothing of what the counter can take; taken for silence, a few halve the asking."""
     d = Drive()
     d.ask("a")
-    cust = d.gw.desk.customers["a"]
+    cust = d.gw.context.customers["a"]
     level = cust.level
     for _ in range(10):
         d.now += 300_000
         _, actions = d.request("a")
         for charge in of(actions, Charge):
             d.send(Counted(charge.name, Ending.ERROR, 0.0, 2_000))
-    assert d.gw.counter.asking == 1.0 and cust.level > level + 1
+    assert d.gw.counter.share == 1.0 and cust.level > level + 1
 
 
 def test_asking_comes_back_slowly_enough_for_a_counter_that_takes_less_than_a_call_each() -> None:
@@ -330,8 +330,8 @@
     for _ in range(3):
         d.now += 300_000
         d.ask("a", ending=Ending.TIMEOUT)
-    d.gw.counter.asking = d.gw.counter.goal = low = 0.2
+    d.gw.counter.share = d.gw.counter.target_share = low = 0.2
     for _ in range(20):
         d.now += 20_000
-        d.gw.counter.pace(Ending.SERVED, 2_000)
-    assert low + 0.1 < d.gw.counter.asking < low + 0.3
+        d.gw.counter.adapt(Ending.SERVED, 2_000)
+    assert low + 0.1 < d.gw.counter.share < low + 0.3
--- a/tests/test_request_accounting.py
+++ b/tests/test_request_accounting.py
@@ -33,15 +33,17 @@
         host, module = self.host, self.host.gateway
         in_hand = list(host.requests._by_id.values())
         out = Counter(a.backend for r in in_hand for a in r.out.values())
-        assert out == Counter({k: len(b.inflight) for k, b in module.desk.backends.items() if b.inflight})
+        assert out == Counter({k: len(b.in_flight) for k, b in module.context.backends.items() if b.in_flight})
         assert sum(out.values()) == host.backend_connections - host.idle.count
-        assert sum(c.out for c in module.desk.customers.values()) == sum(out.values())
+        assert sum(c.in_flight for c in module.context.customers.values()) == sum(out.values())
         assert host.counter is not None
         owed = {name: len(calls) for name, calls in host.counter._by_name.items()}
         assert owed == {name: len(calls) for name, calls in module.counter.calls.items()}
         written = [c for connection in host.counter.connections for c in held(connection) if c.ending is None]
         assert len(written) == sum(owed.values())
-        assert {r.id for r in in_hand if not r.over} == {rid for rid, h in module.desk.held.items() if not h.over}
+        assert {r.id for r in in_hand if not r.over} == {
+            rid for rid, h in module.context.pending.items() if not h.finished
+        }
         asked = {c.request for c in host.clients.all if isinstance(c, ClientConnection)}
         waiting = {request.id for request in asked if request is not None}
         assert waiting == {r.id for r in in_hand if not r.over}
@@ -94,18 +96,18 @@
     client.close(reset=True)
     node.step()
     node.until_ended(backend)  # called off, in module and host
-    assert not any(b.inflight for b in node.host.gateway.desk.backends.values()) and not node.host.requests._by_id
+    assert not any(b.in_flight for b in node.host.gateway.context.backends.values()) and not node.host.requests._by_id
     client, backend = node.sent("b2")
     node.host.discovery.take({"index": 50, "snapshot": True, "endpoints": [row("s-9", node.backend.text)]})
     node.step()
-    assert set(node.host.gateway.desk.backends) == {1, 2}  # what is out at the one that left is still owed an end
+    assert set(node.host.gateway.context.backends) == {1, 2}  # what is out at the one that left is still owed an end
     backend.send(answer())
     node.step()
     node.host.discovery.take({"index": 51, "snapshot": False, "endpoints": []})
     node.host.discovery.take({"index": 52, "snapshot": False, "endpoints": [row("s-9", node.backend.text)]})
     node.step()
-    assert set(node.host.gateway.desk.backends) == set(node.host.backend_names._addresses) == {2}
-    assert not node.host.requests._by_id and not node.host.gateway.desk.held
+    assert set(node.host.gateway.context.backends) == set(node.host.backend_names._addresses) == {2}
+    assert not node.host.requests._by_id and not node.host.gateway.context.pending
     node.close()
 
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -125,9 +125,9 @@
     """Each further attempt that arrives costs, those that were turned away among them."""
     d = Drive(classes=(RequestClass(effect=Effect.SAFE, tries=9),))
     budget = shared(slack=4)  # two
-    d.gw = Gateway(d.gw.desk.s, 1, budget)
+    d.gw = Gateway(d.gw.context.settings, 1, budget)
     d.now += LATER
-    d.gw.desk.backends.update(Drive().gw.desk.backends)
+    d.gw.context.backends.update(Drive().gw.context.backends)
     rid, actions = d.ask()
     sent = 0
     endings = [Ending.NO_CONNECTION, Ending.FULL, Ending.ERROR, Ending.NO_CONNECTION, Ending.ERROR, Ending.FULL]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -52,16 +52,16 @@
         if finals:
             break
         backend, hop = more[0].backend, hop + 1
-    assert hop < 4 and rid not in d.gw.desk.held
+    assert hop < 4 and rid not in d.gw.context.pending
 
 
 def test_nothing_follows_the_end_of_a_request() -> None:
     d = Drive()
     rid, backend = first_attempt(d)
-    token = max(d.gw.attempts.tokens)
+    token = max(d.gw.attempts.timers)
     assert not of(d.send(Withdrawn(rid)), Refuse)
     assert not of(d.end(rid, backend, ending=Ending.RESET, over=True), Attempt)
-    assert d.send(Timer(token)) == [] and not d.gw.desk.held
+    assert d.send(Timer(token)) == [] and not d.gw.context.pending
     assert d.end("unknown", backend) == [] and d.send(Withdrawn("unknown")) == []
 
 
@@ -80,13 +80,13 @@
 ) -> None:
     """Incident GONE: backends went on working for clients that had left."""
     d = one_class(effect=effect)
-    d.gw.desk.resettle(replace(d.gw.desk.s, may_cancel=may_cancel))
+    d.gw.update_settings(replace(d.gw.context.settings, may_cancel=may_cancel))
     rid, backend = first_attempt(d)
     if begun:
         d.send(Head(rid, backend, 0))
     assert d.send(Withdrawn(rid)) == ([Cancel(rid, 0)] if called_off else [])
     assert d.send(Withdrawn(rid)) == []  # said once
-    assert not of(d.end(rid, backend, ending=Ending.CANCELLED, over=True), Attempt) and not d.gw.desk.held
+    assert not of(d.end(rid, backend, ending=Ending.CANCELLED, over=True), Attempt) and not d.gw.context.pending
 
 
 def test_a_stream_that_has_begun_is_left_alone() -> None:
@@ -94,9 +94,9 @@
     rid, backend = first_attempt(d)
     d.send(Head(rid, backend, 0))
     d.now += 10_000_000
-    assert d.send(Timer(max(d.gw.attempts.tokens))) == []
+    assert d.send(Timer(max(d.gw.attempts.timers))) == []
     d.end(rid, backend, over=True)
-    assert not d.gw.desk.held
+    assert not d.gw.context.pending
 
 
 # -- no effect twice
@@ -146,9 +146,9 @@
 
 def test_where_the_list_must_be_asked_for_it_is_subscribed_to() -> None:
     d = Drive(on_request=True)
-    assert d.send(Backends(ListForm.FAILED)) and d.gw.desk.backends
+    assert d.send(Backends(ListForm.FAILED)) and d.gw.context.backends
     fresh = Drive(on_request=True, backends=0)
-    fresh.gw.desk.born = 0
+    fresh.gw.context.started_at = 0
     assert of(fresh.send(Backends(ListForm.CACHED)), Watch)
 
 
@@ -217,6 +217,6 @@
     rid, actions = d.ask(units=1)
     [a] = of(actions, Attempt)
     d.send(Ended(rid, a.backend, 0, True, Ending.SERVED, 50_000, true_units=5))
-    assert d.gw.desk.customers["a"].store == 3
+    assert d.gw.context.customers["a"].balance == 3
     d.ask(units=1)
     assert list(d.numbers.values()) == [6]
