--- a/oakvale/driver.py
+++ b/oakvale/driver.py
@@ -1,8 +1,8 @@
-"""A lane: one decision module and what carries out its actions on the sockets.
+"""Connects one policy instance with the sockets: socket activity becomes events, and actions are carried out.
 
-What the sockets bring becomes events, each action is carried out on them. No decisions live here: the module
-says what is sent where, when it is called off and how each request ends. The gateway in service has one lane;
-in the whole system each service has its own, and all share the process's connections, buffers and bounds.
+No decisions live here: the policy decides what is sent where, when it is cancelled and how each request ends. The
+stand-alone gateway has one driver. In the whole system each service has its own, and all drivers of a process share
+its connections, buffers and limits.
 """
 
 from __future__ import annotations
@@ -21,6 +21,8 @@
 
 
 class Driver(ConnectionOwner):
+    """Base class; `dialect` is the protocol variant that its backends use."""
+
     dialect: Dialect
 
     def __init__(
@@ -51,28 +53,28 @@
     def backend_connections(self, count: int) -> None:
         self.shared.backend_connections = count
 
-    # ---- what the owner of a lane says
+    # ---- to be implemented by subclasses
 
     def address(self, backend: int) -> Address | None:
-        """Where a backend listens, None where it is not known any more."""
+        """The address of a backend; None if it is no longer known."""
         raise NotImplementedError
 
     def serves(self, backend: int) -> bool:
-        """Neither leaving nor left: a connection to it may be kept."""
+        """Whether a backend takes requests, so that an idle connection to it may be kept."""
         raise NotImplementedError
 
     def max_connection_idle(self, request: InHand) -> int | None:
-        """Microseconds that a connection may have been idle and carry this request; None for any."""
+        """Longest idle time, in microseconds, of a connection that may carry this request; None for any."""
         return None
 
     def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
-        """The final answer of a request that is given up."""
+        """The final answer of a request that was refused or failed."""
         raise NotImplementedError
 
     # ---- events
 
     def dispatch(self, event: i.Event) -> None:
-        """Hands the module an event and carries out its actions. What these bring at once waits its turn."""
+        """Passes an event to the policy and carries out its actions; events that these cause are queued."""
         self._events.append(event)
         if self._dispatching:
             return
@@ -89,33 +91,35 @@
                 self._action_handlers[type(action)](action)
         except Exception:
             self.log.exception("event failed", extra={"kind": type(event).__name__})
-            self._after_fault(event)
+            self._recover(event)
 
-    def _after_fault(self, event: i.Event) -> None:
-        """A fault in one request's handling: that request is answered, the rest served. A timer is set again,
-        or the module's own work at intervals would end with it."""
+    def _recover(self, event: i.Event) -> None:
+        """After an exception: answers the request concerned. A timer is set again, or periodic work would end."""
         if isinstance(event, i.Timer):
-            self.loop.wake_at(self.loop.now + self.limits.fault_pause, self._due, event.token)
+            self.loop.wake_at(self.loop.now + self.limits.fault_pause, self._on_timer, event.token)
         request = self.requests.get(getattr(event, "id", ""))
         if request is not None and not request.over:
             self.final(request, Answer(500, [(b"content-type", b"text/plain")], b"internal error\n"))
             self._events.append(i.Withdrawn(request.id))
 
     def request_received(self, request: InHand, event: i.Request) -> None:
+        """Registers a new request and passes it to the policy."""
         self.tally.requests += 1
         self.requests.add(request)
         self.dispatch(event)
 
     def client_gone(self, request: InHand) -> None:
+        """The client has left: withdraws the request and cancels attempts that are not wholly written."""
         if not request.over:
             self.abandon(request)
             self.dispatch(i.Withdrawn(request.id))
             for attempt in [out for out in request.out.values() if not out.written]:
-                self.cancel_attempt(attempt)  # it can't run yet: nothing more of it goes out, whatever its effect
+                self.cancel_attempt(attempt)  # not wholly sent, so it can't run, whatever its effect
 
     def attempt_ended(
         self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
     ) -> None:
+        """Records the end of an attempt, passes on a usable answer, and reports the end to the policy."""
         request = attempt.request
         if request.out.pop(attempt.hop, None) is None:
             return
@@ -123,9 +127,9 @@
         if request.abandoned:
             self.tally.abandoned_attempts[ending.value] += 1
         if answer is not None and not request.over:
-            passed = self.dialect.passes(attempt, ending, answer)
-            if passed is not None:
-                self.final(request, passed)
+            forwarded = self.dialect.passes(attempt, ending, answer)
+            if forwarded is not None:
+                self.final(request, forwarded)
         self.requests.drop_if_done(request)
         self.dispatch(
             i.Ended(
@@ -147,16 +151,16 @@
             return
         hop, now = request.hops, self.loop.now
         request.hops += 1
-        due = min(request.deadline, now + action.timeout) if action.timeout else request.deadline
-        attempt = AttemptOut(request, action.backend, hop, now, due)
+        deadline = min(request.deadline, now + action.timeout) if action.timeout else request.deadline
+        attempt = AttemptOut(request, action.backend, hop, now, deadline)
         request.out[hop] = attempt
-        if request.over or due <= now or hop >= self.settings.max_attempts:
+        if request.over or deadline <= now or hop >= self.settings.max_attempts:
             return self.attempt_ended(attempt, i.Ending.MOOT)
         connection = self.idle.take(action.backend, now, self.max_connection_idle(request))
         if connection is not None:
             return connection.use(attempt, self)
         address = self.address(action.backend)
-        if address is None or not self._room_for_backend():
+        if address is None or not self._may_connect():
             return self.attempt_ended(attempt, i.Ending.NO_CONNECTION)
         try:
             BackendConnection(self, attempt, address)
@@ -164,7 +168,7 @@
             self.log.warning("no socket for an attempt", extra={"why": str(error)})
             self.attempt_ended(attempt, i.Ending.NO_CONNECTION)
 
-    def _room_for_backend(self) -> bool:
+    def _may_connect(self) -> bool:
         return self.backend_connections < self.limits.backends or self.idle.end_oldest()
 
     def _cancel(self, action: i.Cancel) -> None:
@@ -174,7 +178,7 @@
             self.cancel_attempt(attempt)
 
     def cancel_attempt(self, attempt: AttemptOut, ending: i.Ending = i.Ending.CANCELLED) -> None:
-        """Ends an attempt with its connection: nothing more of it is sent, and its backend learns of it at once."""
+        """Ends an attempt and closes its connection, so that its backend notices at once."""
         if attempt.connection is not None:
             attempt.connection.end()
         self.attempt_ended(attempt, ending)
@@ -190,9 +194,9 @@
             self.final(request, self.final_answer(request, action))
 
     def _wake(self, action: i.Wake) -> None:
-        self.loop.wake_at(self.loop.now + action.delay, self._due, action.token)
+        self.loop.wake_at(self.loop.now + action.delay, self._on_timer, action.token)
 
-    def _due(self, token: int) -> None:
+    def _on_timer(self, token: int) -> None:
         self.dispatch(i.Timer(token))
 
     def _charge(self, action: i.Charge) -> None:
--- a/oakvale/host.py
+++ b/oakvale/host.py
@@ -1,4 +1,4 @@
-"""The gateway in service: its lane, and what is its own: counter, discovery, classes, plans, answers."""
+"""The stand-alone gateway: a driver with its counter, its discovery, and the answers to its clients."""
 
 from __future__ import annotations
 
@@ -19,6 +19,8 @@
 
 
 class Host(Driver):
+    """Owns the connections to clients, backends, counter and discovery."""
+
     def __init__(self, configuration: Configuration, loop: Loop) -> None:
         super().__init__(SharedResources(loop, configuration.limits), configuration.settings, configuration.seed)
         self.names = configuration.names
@@ -28,9 +30,9 @@
         self.counter = Counter(self, configuration.counter) if configuration.counter else None
         self.discovery = Discovery(self, configuration.discovery)
         self.terms = lru_cache(self.limits.cached)(partial(terms, self.settings))
-        self.unix_time = loop.net.unix_time  # the clock of the kernel's stamps
+        self.unix_time = loop.net.unix_time  # the clock of the kernel's timestamps
 
-    # ---- what a lane asks
+    # ---- implementation of Driver
 
     def address(self, backend: int) -> Address | None:
         return self.backend_names.address(backend)
@@ -43,26 +45,27 @@
         if isinstance(action, i.Fail):
             return Answer(502, headers, b"failed\n")
         if action.retry_after:
-            # in hundredths, upwards: few different heads, which need not be made anew
+            # rounded up to hundredths of a second: few different heads, which are cached
             headers.append((b"retry-after", b"%.2f" % (-(-action.retry_after // 10_000) / 100)))
-        # too much was asked, or those who were asked could not serve it
+        # 429: over quota, no attempt was made; 503: the backends could not serve it
         return Answer(503 if request.hops else 429, headers, b"try again later\n")
 
-    # ---- what a client's connection asks
+    # ---- called by client connections
 
     def waited(self, arrived: int) -> int:
-        """One from the future or from long ago tells of a step of the clock."""
+        """Microseconds since an arrival; 0 where the clock has stepped, as its timestamp is implausible."""
         waited = (self.unix_time() - arrived) // 1000 if arrived else 0
         return waited if 0 < waited < self.limits.clock_step else 0
 
     def open(self, client: object, incoming: Incoming, came: int) -> Answer | InHand:
+        """Answers a request at once, or registers nothing yet and returns it for `begin`."""
         if incoming.target == HEALTH:
             return plain(200, "ok") if self.can_serve() else plain(503, "not ready")
         if incoming.method not in METHODS:
             raise BadRequest(405, "only GET and POST")
         request = decode(incoming, came, self.names, self.limits.client_wait, self.terms)
         if self.requests.get(request.id) is not None:
-            raise BadRequest(409, "X-Trace-Id is of a request in hand")
+            raise BadRequest(409, "X-Trace-Id is in use by another pending request")
         if self.refuses_requests():
             return plain(503, "no room")
         return InHand(
@@ -77,22 +80,27 @@
         )
 
     def begin(self, request: InHand) -> None:
+        """Starts to handle a request that `open` returned."""
         self.request_received(request, request.event)
 
     def counted(self, name: str, ending: i.Ending, level: float, sent: int) -> None:
+        """Reports the end of a counter call to the policy."""
         self.tally.calls[ending.value] += 1
         self.dispatch(i.Counted(name, ending, level, self.loop.now - sent))
 
     def backends_changed(self, form: i.ListForm, entries: tuple[i.Entry, ...], freed: list[int]) -> None:
+        """Reports an update of the backend list, and closes idle connections to removed backends."""
         self.listed = self.listed or bool(entries)
         self.dispatch(i.Backends(form, entries))
         for backend in freed:
             self.idle.free(backend)
 
     def can_serve(self) -> bool:
+        """Whether a backend list has arrived and the process is not stopping."""
         return self.listed and not self.stopping
 
     def refuses_requests(self) -> bool:
+        """Whether new requests are turned away at once."""
         return self.admission_closed or self.requests.full()
 
     def _charge(self, action: i.Charge) -> None:
--- a/oakvale/interface.py
+++ b/oakvale/interface.py
@@ -1,6 +1,6 @@
-"""The types, events, actions and settings that `oakvale.policy` works with. No decisions live here.
+"""Events, actions and settings of `oakvale.policy`. No decisions live here.
 
-Times are integer microseconds, counter names are strings, ids are passed through untouched.
+Times and durations are integer microseconds, counter names are strings, ids are passed through unchanged.
 """
 
 from __future__ import annotations
@@ -10,6 +10,8 @@
 
 
 class Effect(Enum):
+    """Whether a request may run twice: safe, or discarded by its key for a time, or not at all."""
+
     SAFE = "safe"
     KEYED = "keyed"
     UNSAFE = "unsafe"
@@ -28,16 +30,21 @@
     MOOT = "moot"
 
 
+# endings after which the request has certainly not run
 NEVER_RAN = frozenset({Ending.FULL, Ending.NO_CONNECTION, Ending.MOOT})
 
 
 class State(Enum):
+    """State of a backend, as discovery reports it."""
+
     DRAINING = 0
     READY = 1
     GONE = 2
 
 
 class ListForm(Enum):
+    """What an update of the backend list holds: changes, the whole list, one kept from before, or nothing."""
+
     DELTA = 0
     FULL = 1
     CACHED = 2
@@ -46,35 +53,41 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    aim: int = 1_000_000
-    deadline: int = 5_000_000
+    """What requests of one kind have in common."""
+
+    aim: int = 1_000_000  # an answer within this time has its full worth
+    deadline: int = 5_000_000  # the time that clients usually wait
     effect: Effect = Effect.SAFE
-    group: str = "all"
-    memory: int = 0
+    group: str = "all"  # where repetitions of a keyed request are discarded: all, zone or cell
+    memory: int = 0  # for how long they are
     worth: float = 1.0
     stream: bool = False
-    tries: int = 0  # attempts at most; 0: as the settings say
+    tries: int = 0  # attempts at most; 0: `Settings.max_attempts`
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    rate: float = 0.0  # units a second; 0: no quota on the rate
+    """Quota of a customer; a quota on the rate refills at `rate` up to `burst`."""
+
+    rate: float = 0.0  # units per second; 0: no quota on the rate
     burst: float = 0.0
-    open: int = 0  # attempts out at once; 0: no such quota
-    price: float = 1.0
-    over_worth: float = 0.0
+    open: int = 0  # attempts in flight at once; 0: no such quota
+    price: float = 1.0  # value factor of its units
+    over_worth: float = 0.0  # of a unit beyond the quota
     over_cost: float = 0.0
-    ceiling_rate: float = 0.0
+    ceiling_rate: float = 0.0  # hard limit in units per second; 0: none
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
+    """What the policy is configured with."""
+
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    fleet: int = 1
-    position: int = 0
+    fleet: int = 1  # number of gateways
+    position: int = 0  # of this one among them
     zone: int = 0
     on_request: bool = False
     report: tuple[str, ...] = ()
@@ -83,22 +96,23 @@
     retry_after: bool = True
     may_cancel: bool = False
     copies: bool = False
-    may_count: bool = False
+    may_count: bool = False  # there is a shared counter
     counter_timeout: int = 50_000
     meter_period: int = 0
-    largest: float = 1.0
-    post_paid: bool = False
+    largest: float = 1.0  # units of a request, at most
+    post_paid: bool = False  # answers tell the true units
     cross_zone_price: float = 0.0
     drain_grace: int = 0
-    cold_from: float = 1.0
-    ramp: int = 0
+    cold_from: float = 1.0  # share of its load that a backend takes right after its start
+    ramp: int = 0  # until it takes all of it
     fall_multiple: float = 1.0
     fall_span: int = 1_000_000
     must_ask_in: int = 10_000_000
-    late_earns: bool = False  # an answer past its aim is still worth something
+    late_earns: bool = False  # an answer past its aim has worth
 
 
 def replace_classes(settings: Settings, classes: tuple[RequestClass, ...]) -> Settings:
+    """The same settings with other request classes."""
     return replace(settings, classes=classes)
 
 
@@ -107,6 +121,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
+    """A backend in an update of the list."""
+
     backend: int
     zone: int = 0
     kind: int = 0
@@ -114,35 +130,41 @@
     state: State = State.READY
     weight: float = 1.0
     started: int = 0
-    slots: float = 0.0  # requests that it works on at once; 0: not known
+    slots: float = 0.0  # requests that it handles at once; 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
 class Backends:
+    """An update of the backend list."""
+
     form: ListForm
     entries: tuple[Entry, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
+    """A new request. Its customer's requests are spread over `gateway_count` gateways from `first_gateway` on."""
+
     id: str
     customer: str
-    class_index: int
-    plan: int
+    class_index: int  # in `Settings.classes`
+    plan: int  # index in `Settings.plans`
     units: float
     gateway_count: int
     first_gateway: int
     deadline: int  # clock time at which the client gives up
     flags: int = 0
-    preferred_backend: int = 0  # the backend that its first attempt had best go to; 0: none is known
+    preferred_backend: int = 0  # for its first attempt; 0: none
 
 
 @dataclass(slots=True, frozen=True)
 class Ended:
+    """An attempt ended."""
+
     id: str
     backend: int
-    hop: int
-    over: bool
+    hop: int  # index of the attempt among those of its request
+    over: bool  # the request needs no further answer
     ending: Ending
     latency: int
     used: int = 0
@@ -152,6 +174,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Head:
+    """The head of an answer arrived."""
+
     id: str
     backend: int
     hop: int
@@ -159,16 +183,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Withdrawn:
+    """The client of a request has left."""
+
     id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Timer:
+    """A timer that `Wake` set is due."""
+
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Counted:
+    """The end of the call that a `Charge` asked for; `level` is the count after it."""
+
     name: str
     ending: Ending
     level: float
@@ -177,6 +207,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Probed:
+    """A probe of a backend ended."""
+
     backend: int
     ending: Ending
     latency: int
@@ -185,6 +217,8 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
+    """A message of another gateway."""
+
     sender: int
     data: bytes = field(default=b"")
 
@@ -197,6 +231,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Attempt:
+    """Send a request to a backend; `timeout` 0: until the deadline of its client."""
+
     id: str
     backend: int
     timeout: int = 0
@@ -204,29 +240,39 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
+    """Cancel an attempt."""
+
     id: str
     hop: int
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
+    """Answer that the request has not run, or can safely be repeated."""
+
     id: str
     retry_after: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
+    """Answer that the request may have run."""
+
     id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Wake:
+    """Set a timer."""
+
     token: int
     delay: int
 
 
 @dataclass(slots=True, frozen=True)
 class Charge:
+    """Add an amount to a count of the shared counter, which expires after `ttl`."""
+
     name: str
     amount: float
     ttl: int
@@ -234,16 +280,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Watch:
+    """Subscribe to updates of the backend list, or end that."""
+
     on: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Fetch:
-    pass
+    """Ask for the whole backend list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
+    """Write a log line."""
+
     text: str
 
 
--- a/oakvale/retry_budget.py
+++ b/oakvale/retry_budget.py
@@ -1,6 +1,7 @@
-"""Budgets of further attempts, which the decisions are handed: one for a gateway by itself, one that a fleet shares.
+"""Retry budgets, which bound the attempts after a request's first: for a single gateway, or shared by a fleet.
 
-No I/O and no clock. `take` is asked before a further attempt, `ended` is told of each attempt's end.
+No I/O and no clock: times are passed in, in microseconds. `try_spend` is called before each retry and
+`record_attempt_end` at the end of each attempt.
 """
 
 from __future__ import annotations
@@ -12,95 +13,99 @@
 
 from oakvale.interface import NEVER_RAN, Ending
 
-MAX_SAVED_ATTEMPTS = 10.0  # further attempts that a gateway by itself saves up
-EARNED_PER_ANSWER = 0.1  # what an answer earns, the customary tenth
-NEVER_ARRIVED = frozenset({Ending.NO_CONNECTION, Ending.MOOT})  # the backend saw nothing of it
+MAX_SAVED_ATTEMPTS = 10.0  # upper bound of the retries that answers earn
+EARNED_PER_ANSWER = 0.1  # retries
+NEVER_ARRIVED = frozenset({Ending.NO_CONNECTION, Ending.MOOT})  # the backend received nothing
 
-RATIO_FRACTION = 0.75  # of what requests allow, and of the slack: the rest is for what is told late
+RATIO_FRACTION = 0.75  # used of the ratio and of the slack; the rest covers requests that are counted late
 SLACK_FRACTION = 0.5
-FIRST_WINDOW_FRACTION = 1 - RATIO_FRACTION  # of what requests allow, in the first window of a life
-SLOTS_PER_WINDOW = 20  # parts that a window is counted in
+FIRST_WINDOW_FRACTION = 1 - RATIO_FRACTION  # of the ratio, in the first window after a start
+SLOTS_PER_WINDOW = 20  # resolution of the sliding window
 
 
 @dataclass(slots=True)
 class RetryCost:
-    """What a request's attempts have taken of the budget."""
+    """What the attempts of one request have cost so far."""
 
-    arrived: bool = False  # one of them did, or may have
+    arrived: bool = False  # an attempt has reached a backend, or may have
     last_cost: float = 0.0  # charged for the latest attempt
 
 
 class RetryBudget(Protocol):
     def can_retry(self, now: int) -> bool:
-        """Whether a whole further attempt is left."""
+        """Whether the budget covers a whole retry."""
 
     def try_spend(self, spent: RetryCost, ending: Ending, now: int) -> bool:
-        """Whether another attempt may follow one that ended so."""
+        """Charges for a retry after an attempt that ended so; returns whether it may be made."""
 
     def record_attempt_end(self, spent: RetryCost, ending: Ending, learned: bool, now: int) -> None:
-        """An attempt ended; `learned`: and it tells something of its backend."""
+        """Records the end of an attempt; `learned`: it says something about its backend."""
 
 
 class LocalRetryBudget:
-    """Of a gateway by itself: answers earn, attempts that may have run cost."""
+    """The budget of a single gateway: answers earn retries, retries of attempts that may have run cost one."""
 
     def __init__(self) -> None:
-        self.left = MAX_SAVED_ATTEMPTS
+        self.saved_attempts = MAX_SAVED_ATTEMPTS
 
     def can_retry(self, now: int) -> bool:
-        return self.left >= 1
+        return self.saved_attempts >= 1
 
     def try_spend(self, spent: RetryCost, ending: Ending, now: int) -> bool:
         cost = 0 if ending in NEVER_RAN else 1
-        if self.left < cost:
+        if self.saved_attempts < cost:
             return False
-        self.left -= cost
+        self.saved_attempts -= cost
         return True
 
     def record_attempt_end(self, spent: RetryCost, ending: Ending, learned: bool, now: int) -> None:
         if learned:
-            self.left = min(MAX_SAVED_ATTEMPTS, self.left + EARNED_PER_ANSWER * (ending is Ending.SERVED))
+            self.saved_attempts = min(
+                MAX_SAVED_ATTEMPTS, self.saved_attempts + EARNED_PER_ANSWER * (ending is Ending.SERVED)
+            )
 
 
 @dataclass(slots=True, frozen=True)
 class RetryLimits:
-    """What all gateways together may add: arrivals past the first of each request, within a window."""
+    """Bounds on the retries of all gateways together in every window: `ratio` of the requests, plus `slack`."""
 
-    window: int
-    ratio: float = 0.0  # of the requests
+    window: int  # microseconds
+    ratio: float = 0.0
     slack: float = 0.0
 
 
 class FleetRetryBudget:
-    """A gateway's part in a fleet's. Every attempt that reaches a backend after another of its request did costs
-    one, whatever becomes of it. In every window, a gateway adds a part of what its own requests allow and its even
-    share of a part of the slack: so all of them stay below the whole without a word between them. What is less than
-    one is drawn for, and is spent by the draw. A life before may have spent all that was its own, just before its end:
-    in its first window a gateway gets what that had to leave."""
-
-    def __init__(self, terms: RetryLimits, gateways: Callable[[], int], draw: Callable[[], float], now: int) -> None:
-        self._terms, self._gateways, self._draw = terms, gateways, draw
-        self._slots: deque[list[float]] = deque()  # number of the slot, requests, spent
+    """A gateway's share of the fleet's budget.
+
+    Each attempt that reaches a backend after another of its request costs one retry. In every window a gateway uses
+    at most a fraction of what its own requests allow and an even share of a fraction of the slack, so that the fleet
+    keeps its bound without communication. A remainder below one is drawn for and spent by the draw. As the process
+    before a restart may have spent its whole share, the first window uses only the fraction it had to leave.
+    """
+
+    def __init__(self, limits: RetryLimits, gateways: Callable[[], int], draw: Callable[[], float], now: int) -> None:
+        self._limits, self._gateways, self._draw = limits, gateways, draw
+        self._slots: deque[list[float]] = deque()  # slot number, requests, retries spent
         self._requests = self._spent = 0.0
-        self._born = now
+        self._started_at = now
 
     def record_request(self, now: int) -> None:
-        """A request of a client for this service."""
-        self._slot(now)[1] += 1
+        """Counts a request of a client for this service."""
+        self._current_slot(now)[1] += 1
         self._requests += 1
 
     def can_retry(self, now: int) -> bool:
-        return self._room(now) >= 1
+        return self._available(now) >= 1
 
     def try_spend(self, spent: RetryCost, ending: Ending, now: int) -> bool:
         if not spent.arrived:
             return True  # it would be the first to arrive
-        room = self._room(now)
-        if room <= 0:
+        available = self._available(now)
+        if available <= 0:
             return False
-        spent.last_cost = min(1.0, room)
+        spent.last_cost = min(1.0, available)
         self._spend(spent.last_cost, now)
-        return room >= 1 or self._draw() < room
+        return available >= 1 or self._draw() < available
 
     def record_attempt_end(self, spent: RetryCost, ending: Ending, learned: bool, now: int) -> None:
         if ending in NEVER_ARRIVED:
@@ -109,24 +114,26 @@
             spent.arrived = True
         spent.last_cost = 0.0
 
-    def _room(self, now: int) -> float:
-        self._slot(now)
-        terms, gateways = self._terms, self._gateways()
-        if now - self._born <= terms.window:
-            return FIRST_WINDOW_FRACTION * terms.ratio * self._requests - self._spent
-        share = SLACK_FRACTION * terms.slack / gateways if gateways else 0.0
-        return share + RATIO_FRACTION * terms.ratio * self._requests - self._spent
+    def _available(self, now: int) -> float:
+        self._current_slot(now)
+        limits, gateways = self._limits, self._gateways()
+        if now - self._started_at <= limits.window:
+            return FIRST_WINDOW_FRACTION * limits.ratio * self._requests - self._spent
+        share = SLACK_FRACTION * limits.slack / gateways if gateways else 0.0
+        return share + RATIO_FRACTION * limits.ratio * self._requests - self._spent
 
     def _spend(self, amount: float, now: int) -> None:
-        self._slot(now)[2] += amount
+        self._current_slot(now)[2] += amount
         self._spent += amount
 
-    def _slot(self, now: int) -> list[float]:
-        number = now * SLOTS_PER_WINDOW // self._terms.window
+    def _current_slot(self, now: int) -> list[float]:
+        number = now * SLOTS_PER_WINDOW // self._limits.window
         if not self._slots or self._slots[-1][0] != number:
             self._slots.append([number, 0.0, 0.0])
             while self._slots[0][0] < number - SLOTS_PER_WINDOW:
                 self._slots.popleft()
             self._requests = sum(slot[1] for slot in self._slots if slot[0] > number - SLOTS_PER_WINDOW)
-            self._spent = sum(slot[2] for slot in self._slots)  # of a slot more, as the oldest is not over yet
+            self._spent = sum(
+                slot[2] for slot in self._slots
+            )  # one slot more: the oldest is still partly in the window
         return self._slots[-1]
--- a/oakvale/settings.py
+++ b/oakvale/settings.py
@@ -1,4 +1,4 @@
-"""Decodes 'the settings', the same object on the simulator's wire and in a gateway's configuration.
+"""Decodes the settings object, which is the same on the simulator's wire and in a gateway's configuration.
 
 No decisions live here.
 """
@@ -21,10 +21,12 @@
 
 
 def section(data: dict[str, Any], name: str) -> dict[str, Any]:
+    """A table of the settings; empty where it is missing."""
     return data.get(name) or {}
 
 
 def decode(data: dict[str, Any]) -> i.Settings:
+    """The settings as the policy takes them; what is missing gets its default."""
     limits, rules, extra = section(data, "limits"), section(data, "rules"), section(data, "specifics")
     report, prices = section(data, "report"), section(data, "prices")
     classes = tuple(
@@ -83,7 +85,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NameIndexes:
-    """What the settings call their classes, plans, zones and kinds: each one's place is its number."""
+    """Indexes of classes, plans, zones and kinds by their names in the settings."""
 
     classes: dict[str, int]
     plans: dict[str, int]
@@ -92,12 +94,14 @@
 
 
 def decode_names(data: dict[str, Any]) -> NameIndexes:
-    def places(rows: list[Any]) -> dict[str, int]:
+    """The indexes by order in the settings, as the policy's events use them."""
+
+    def indexes(rows: list[Any]) -> dict[str, int]:
         return {str(r["name"] if isinstance(r, dict) else r): k for k, r in enumerate(rows)}
 
     return NameIndexes(
-        places(data.get("classes") or []),
-        places(data.get("tiersOfService") or []),
-        places(data.get("zones") or []),
-        places(data.get("kinds") or []),
+        indexes(data.get("classes") or []),
+        indexes(data.get("tiersOfService") or []),
+        indexes(data.get("zones") or []),
+        indexes(data.get("kinds") or []),
     )
--- a/oakvale/shared.py
+++ b/oakvale/shared.py
@@ -1,4 +1,4 @@
-"""What the owners of connections in a process share, and what each of them is: a lane, a plant, the `ctl` side."""
+"""Resources that the connections of a process share, and the base class of all that own connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SharedResources:
-    """What all owners of a process's connections hold together."""
+    """Loop, limits, buffers, requests and counters of a process, shared by all owners of connections."""
 
     def __init__(self, loop: Loop, limits: Limits) -> None:
         self.loop, self.limits = loop, limits
@@ -32,7 +32,7 @@
 
 
 class ConnectionOwner:
-    """Whom connections belong to: the process's shared parts, under the names that connections ask for."""
+    """Base class of owners of connections: the shared resources, under the names that connections use."""
 
     def __init__(self, shared: SharedResources) -> None:
         self.shared = shared
@@ -53,28 +53,29 @@
         return self.shared.stopping
 
     @stopping.setter
-    def stopping(self, stops: bool) -> None:
-        self.shared.stopping = stops
+    def stopping(self, stopping: bool) -> None:
+        self.shared.stopping = stopping
 
     @property
     def ended(self) -> bool:
         return self.shared.ended
 
     @ended.setter
-    def ended(self, ends: bool) -> None:
-        self.shared.ended = ends
+    def ended(self, ended: bool) -> None:
+        self.shared.ended = ended
 
     def waited(self, arrived: int) -> int:
-        """Microseconds since the kernel's stamp of an arrival; 0 where the time of day, which jumps, is not asked."""
+        """Microseconds since the kernel's timestamp of an arrival; 0 where the wall clock is not used."""
         return 0
 
     def abandon(self, request: InHand) -> None:
-        """Its client left: nobody waits for an answer any more."""
+        """Marks a request as finished without an answer, as its client has left."""
         request.over = request.abandoned = True
         self.tally.abandoned["at_backend" if request.out else "waiting"] += 1
         self.requests.drop_if_done(request)
 
     def final(self, request: InHand, answer: Answer) -> None:
+        """Sends the final answer of a request to its client."""
         request.over = True
         request.client.give(answer)
         self.requests.drop_if_done(request)
