--- a/tests/drawn_events.py
+++ b/tests/drawn_events.py
@@ -1,7 +1,7 @@
-"""Events drawn over all kinds of settings, each from what the module did before: the same seed, the same events.
+"""Random events for the policy over random settings, reproducible by seed.
 
-What is out comes back in time: an attempt ends, a call is answered by a counter that others use too, a timer
-falls due. Between these, requests come and clients go, the list changes, the clock jumps.
+Attempts end, counter calls are answered and timers fall due after each action that asked for them. In between,
+requests arrive, clients leave, the backend list changes and the clock jumps.
 """
 
 from __future__ import annotations
@@ -83,7 +83,7 @@
 
 
 class Drawn:
-    """One gateway's events. `trouble` tells how often a backend or the counter fails."""
+    """Events of one gateway. `trouble` is the share of attempts that fail, `counter_trouble` that of counter calls."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -129,7 +129,7 @@
         rid, cls = f"r{self.n}", rng.randrange(len(s.classes))
         wait = s.classes[cls].deadline if rng.random() < 0.8 else rng.randrange(1, 6 * SECOND)
         if rng.random() < 0.01:
-            cls = len(s.classes)  # of none that is known
+            cls = len(s.classes)  # an unknown class
         self.live = [*self.live[-30:], rid]
         customer = min(int(rng.expovariate(0.4)), 12)
         return i.Request(
@@ -144,7 +144,7 @@
         )
 
     def strays(self) -> i.Event:
-        """What comes of its own accord, some of it about what is long over."""
+        """An event that no action caused, sometimes about a request that has ended."""
         rng, rid = self.rng, self.rng.choice(self.live or ["none"])
         draw = rng.randrange(7)
         if draw < 2:
@@ -164,9 +164,9 @@
             self.crowd = rng.randrange(6)
             self.now += rng.choice((600 * MS, 3 * SECOND, 40 * SECOND, 100 * SECOND))
             if rng.random() < 0.5:
-                self.levels.clear()  # the counter was emptied meanwhile
+                self.levels.clear()  # the counter lost its state
         pause = int(rng.expovariate(1 / self.pause))
-        if self.crowd:  # what came while the gateway stood still
+        if self.crowd:  # arrived during the pause
             self.crowd -= 1
             self.n += 1
             return self.now, self.request()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Drives one gateway by hand."""
+"""Harness for the policy of one gateway, and a call of the command line."""
 
 from __future__ import annotations
 
@@ -51,21 +51,21 @@
 )
 
 
-class Drive:
-    """A gateway, a clock and a counter that keeps what it is told."""
+class GatewayHarness:
+    """A policy instance with a clock and an in-memory counter."""
 
     def __init__(self, backends: int = 12, seed: int = 1, **changes: Any) -> None:
-        self.gw = Gateway(replace(SETTINGS, **changes), seed)
-        self.now = 990_000_000  # a count begins here, so that a unit adds one to it
-        self.n = 0
+        self.gateway = Gateway(replace(SETTINGS, **changes), seed)
+        self.now = 990_000_000  # start of a count epoch, where a unit adds exactly one
+        self.request_count = 0
         self.numbers: dict[str, float] = {}
         self.send(Backends(ListForm.CACHED, tuple(Entry(k + 1) for k in range(backends))))
 
     def send(self, event: Event) -> list[Action]:
-        return self.gw.handle(self.now, event)
+        return self.gateway.handle(self.now, event)
 
     def tick(self, span: int) -> None:
-        """Lets time pass with the ticks that a running gateway has."""
+        """Advances the clock with the batch timers that a running gateway has."""
         end = self.now + span
         while self.now < end:
             self.now = min(end, self.now + 250_000)
@@ -80,12 +80,12 @@
         spread: int = 2,
         patience: int = 3_000_000,
     ) -> tuple[str, list[Action]]:
-        self.n += 1
-        rid = f"r{self.n}"
-        return rid, self.send(Request(rid, customer, cls, plan, units, spread, 0, self.now + patience))
+        self.request_count += 1
+        request_id = f"r{self.request_count}"
+        return request_id, self.send(Request(request_id, customer, cls, plan, units, spread, 0, self.now + patience))
 
     def count(self, actions: list[Action], ending: Ending = Ending.SERVED) -> list[Action]:
-        """Answers the counter calls among the actions, and what follows from them."""
+        """Answers the counter calls among the actions, and those that follow; returns the resulting actions."""
         out: list[Action] = []
         for charge in of(actions, Charge):
             if ending is Ending.SERVED:
@@ -99,12 +99,12 @@
     def ask(
         self, customer: str = "a", units: float = 1, plan: int = 0, ending: Ending = Ending.SERVED, **kw: Any
     ) -> tuple[str, list[Action]]:
-        rid, actions = self.request(customer, units, plan, **kw)
-        return rid, actions + self.count(actions, ending)
+        request_id, actions = self.request(customer, units, plan, **kw)
+        return request_id, actions + self.count(actions, ending)
 
     def end(
         self,
-        rid: str,
+        request_id: str,
         backend: int,
         hop: int = 0,
         ending: Ending = Ending.SERVED,
@@ -112,7 +112,7 @@
         latency: int = 100_000,
     ) -> list[Action]:
         over = ending is Ending.SERVED if over is None else over
-        return self.send(Ended(rid, backend, hop, over, ending, latency))
+        return self.send(Ended(request_id, backend, hop, over, ending, latency))
 
 
 def of(actions: list[Action], kind: type[T]) -> list[T]:
@@ -127,7 +127,7 @@
 
 
 def invoke(words: list[str], env: dict[str, str] | None = None) -> Invoked:
-    """The command line, called in this process."""
+    """Calls the command line in this process."""
     out, err, code = io.StringIO(), io.StringIO(), 0
     with mock.patch.dict(os.environ, env or {}), redirect_stdout(out), redirect_stderr(err):
         try:
--- a/tests/node.py
+++ b/tests/node.py
@@ -1,6 +1,6 @@
-"""A gateway's sockets driven by hand: a clock that is handed in, stand-ins on loopback sockets, one thread.
+"""Test harness for a gateway's sockets: a fake clock and stub peers on loopback sockets, in one thread.
 
-`Node.until` turns the loop until something is so; the loop's own wait for events is the only synchronisation.
+`Node.until` runs the event loop until a condition holds; the loop's wait for events is the only synchronisation.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 
 class Script:
-    """Stands where the module does: keeps the events and answers with the actions it was told to."""
+    """Replaces the policy: records the events and returns scripted actions."""
 
     def __init__(self) -> None:
         self.events: list[i.Event] = []
@@ -73,7 +73,7 @@
 
 
 class StandIn:
-    """The other side of a connection: what came, and a socket to answer on."""
+    """The peer's side of a connection: the data received, and a socket to answer on."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.came, self.ended = sock, b"", False
@@ -102,7 +102,7 @@
 
 
 class Party:
-    """A stand-in's listening socket."""
+    """Listening socket of a stub server."""
 
     def __init__(self) -> None:
         self.listener = listening(("127.0.0.1", 0), 16)
@@ -137,7 +137,7 @@
 
 
 class Node:
-    """A server on loopback with one known backend, a counter and discovery, each a stand-in."""
+    """A gateway on loopback with one known backend, a counter and discovery, each a stub."""
 
     def __init__(self, script: bool = True, settings: dict[str, Any] | None = None, **limits: Any) -> None:
         self.clock = FakeClock()
@@ -194,7 +194,7 @@
         self.turns(3)
 
     def _kept(self, peer: StandIn) -> StandIn:
-        """A stand-in that is no longer named would close its connection."""
+        """Keeps a reference, as a garbage-collected peer would close its connection."""
         self.peers.append(peer)
         return peer
 
@@ -205,7 +205,7 @@
         client.send(request(rid, **headers))
 
     def came(self, kind: type[Any], n: int = 1) -> Any:
-        """The n-th event of a kind, once it has come."""
+        """Waits for the n-th event of a type and returns it."""
         self.until(lambda: len(self.script.of(kind)) >= n)
         return self.script.of(kind)[n - 1]
 
@@ -213,7 +213,7 @@
         return self._kept(self.until(party.take))
 
     def reads(self, peer: StandIn, end: bytes = b"\r\n\r\n") -> bytes:
-        """What a stand-in has been sent, once it holds `end`."""
+        """Waits until the data that a peer received contains `end` and returns it."""
         self.until(lambda: end in peer.read())
         return peer.came
 
@@ -250,6 +250,6 @@
 
 
 def chunk(*objects: Any) -> bytes:
-    """A chunk of discovery's watch: each object a line."""
+    """One HTTP chunk of the discovery stream, with one JSON object per line."""
     data = b"".join((json.dumps(o) if o is not None else "").encode() + b"\n" for o in objects)
     return b"%x\r\n%s\r\n" % (len(data), data)
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,22 +1,22 @@
-"""Attempts: time-outs, further attempts, the final answer."""
+"""Attempts: timeouts, retries, the final answer."""
 
 from oakvale.interface import Attempt, Ending, Refuse
-from tests.helpers import Drive, of
+from tests.helpers import GatewayHarness, of
 
 
 def test_a_client_that_gives_up_before_the_aim_gets_its_answer_at_once() -> None:
-    d = Drive()
-    rid, actions = d.ask(patience=500_000)
+    harness = GatewayHarness()
+    request_id, actions = harness.ask(patience=500_000)
     [first] = of(actions, Attempt)
-    d.now += 500_000  # its deadline, well before the aim
-    actions = d.end(rid, first.backend, ending=Ending.TIMEOUT)
+    harness.now += 500_000  # the deadline of the client, well before the aim
+    actions = harness.end(request_id, first.backend, ending=Ending.TIMEOUT)
     assert not of(actions, Attempt)
-    assert [a.id for a in of(actions, Refuse)] == [rid]
+    assert [a.id for a in of(actions, Refuse)] == [request_id]
 
 
 def test_an_attempt_that_was_out_of_time_is_not_sent_again() -> None:
-    d = Drive()
-    rid, actions = d.ask()
+    harness = GatewayHarness()
+    request_id, actions = harness.ask()
     [first] = of(actions, Attempt)
-    actions = d.end(rid, first.backend, ending=Ending.MOOT)
+    actions = harness.end(request_id, first.backend, ending=Ending.MOOT)
     assert not of(actions, Attempt) and of(actions, Refuse)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,7 +1,7 @@
-"""Behaviour stays: drawn events bring the actions that they always brought.
+"""Regression test of all decisions: digests of the actions that follow random events.
 
-A decision that is meant to change changes these marks; `python -m tests.test_policy` prints them anew. Numbers
-count to nine digits, so that no library's last bit tells.
+An intended change of a decision changes the digests; `python -m tests.test_policy` prints them. Floats are compared
+to nine digits, so that rounding in a library does not matter.
 """
 
 import hashlib
--- a/tests/test_request_accounting.py
+++ b/tests/test_request_accounting.py
@@ -1,4 +1,4 @@
-"""The module's picture of what is out, owed and in hand is what the sockets hold, whatever ends how."""
+"""The policy's records of attempts, counter calls and requests match those of the sockets, whatever ends how."""
 
 from collections import Counter
 
@@ -8,7 +8,7 @@
 
 
 class Watched(Node):
-    """A gateway with its real module and a counter that answers; the picture is compared after each step."""
+    """A gateway with the real policy and a counter that answers; the records are compared after each step."""
 
     def __init__(self) -> None:
         super().__init__(script=False)
@@ -55,7 +55,7 @@
         return client, self.until(lambda: self.backend_with(rid.encode()))
 
     def backend_with(self, rid: bytes) -> StandIn | None:
-        """The connection on which the attempt came: a new one, or one that is used again."""
+        """The connection, new or reused, on which an attempt arrived."""
         while (side := self.backend.take()) is not None:
             self.backends.append(self._kept(side))
         for side in self.backends:
@@ -85,22 +85,22 @@
         node.compare()
         backend.send(reply)
         node.step()
-        while not client.read():  # tried again, and served then
+        while not client.read():  # retried, and then served
             again = node.until(lambda: node.backend_with(f"a{n}".encode()))  # noqa: B023
             again.send(answer())
             node.step()
         assert client.came.startswith(b"HTTP/1.1 ")
-        node.clock.now += 2_500 * MS  # what was left alone for its failure is tried again
+        node.clock.now += 2_500 * MS  # past the ejection of the backend
         node.step()
     client, backend = node.sent("b1")
     client.close(reset=True)
     node.step()
-    node.until_ended(backend)  # called off, in module and host
+    node.until_ended(backend)  # cancelled, in policy and host
     assert not any(b.in_flight for b in node.host.gateway.context.backends.values()) and not node.host.requests._by_id
     client, backend = node.sent("b2")
     node.host.discovery.take({"index": 50, "snapshot": True, "endpoints": [row("s-9", node.backend.text)]})
     node.step()
-    assert set(node.host.gateway.context.backends) == {1, 2}  # what is out at the one that left is still owed an end
+    assert set(node.host.gateway.context.backends) == {1, 2}  # its attempt has not ended yet
     backend.send(answer())
     node.step()
     node.host.discovery.take({"index": 51, "snapshot": False, "endpoints": []})
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Further attempts: what a gateway by itself allows, and what a fleet adds in every window."""
+"""Retry budgets: of a single gateway, and of a fleet in every window."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from oakvale.interface import Attempt, Effect, Ending, RequestClass
 from oakvale.policy.gateway import Gateway
 from oakvale.retry_budget import MAX_SAVED_ATTEMPTS, FleetRetryBudget, LocalRetryBudget, RetryCost, RetryLimits
-from tests.helpers import Drive, of
+from tests.helpers import GatewayHarness, of
 
 MS, SECOND = 1_000, 1_000_000
 TERMS = RetryLimits(10 * SECOND, 0.2, 62)
@@ -22,7 +22,7 @@
 
 
 def further(budget: FleetRetryBudget, now: int, ending: Ending = Ending.ERROR) -> bool:
-    """Of a request whose first attempt has arrived."""
+    """Spends on a retry of a request whose first attempt has arrived."""
     return budget.try_spend(RetryCost(arrived=True), ending, now)
 
 
@@ -42,16 +42,16 @@
     assert not further(budget, LATER)
     for _ in range(42):
         budget.record_request(LATER)
-    assert further(budget, LATER) and budget.can_retry(LATER)  # 2.1, at 0.05 a request
+    assert further(budget, LATER) and budget.can_retry(LATER)  # 2.1, at 0.05 per request
     assert further(budget, LATER) and not budget.can_retry(LATER)
     later = LATER + 12 * SECOND
     for _ in range(14):
         budget.record_request(later)
-    assert [further(budget, later) for _ in range(34)].count(True) >= 33  # 2.1 and the share
+    assert [further(budget, later) for _ in range(34)].count(True) >= 33  # 2.1 and the share of the slack
 
 
 def test_its_share_of_the_slack_comes_a_window_after_its_start() -> None:
-    """A life before may have spent it."""
+    """The process before a restart may have spent it."""
     budget = shared(gateways=10, slack=62)
     assert not further(budget, 10 * SECOND)
     taken = [further(budget, LATER) for _ in range(9)]
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("gateways", [1, 5, 85])
 @pytest.mark.parametrize("load", [2, 40, 600])
 def test_every_window_of_a_fleet_holds(gateways: int, load: int) -> None:
-    """Outages after calm: every request is tried again as often as it may be."""
+    """Outages after calm periods; every request is retried as often as the budget allows."""
     rng = random.Random(gateways * load)
     fleet = [FleetRetryBudget(TERMS, lambda: gateways, rng.random, 0) for _ in range(gateways)]
     now, asked, added = 0, list[int](), list[int]()
@@ -122,13 +122,13 @@
 
 
 def test_a_gateway_uses_the_budget_that_it_is_handed() -> None:
-    """Each further attempt that arrives costs, those that were turned away among them."""
-    d = Drive(classes=(RequestClass(effect=Effect.SAFE, tries=9),))
+    """Each retry that arrives costs one, also if it is rejected."""
+    harness = GatewayHarness(classes=(RequestClass(effect=Effect.SAFE, tries=9),))
     budget = shared(slack=4)  # two
-    d.gw = Gateway(d.gw.context.settings, 1, budget)
-    d.now += LATER
-    d.gw.context.backends.update(Drive().gw.context.backends)
-    rid, actions = d.ask()
+    harness.gateway = Gateway(harness.gateway.context.settings, 1, budget)
+    harness.now += LATER
+    harness.gateway.context.backends.update(GatewayHarness().gateway.context.backends)
+    request_id, actions = harness.ask()
     sent = 0
     endings = [Ending.NO_CONNECTION, Ending.FULL, Ending.ERROR, Ending.NO_CONNECTION, Ending.ERROR, Ending.FULL]
     for hop, ending in enumerate(endings):
@@ -136,5 +136,5 @@
         if not found:
             break
         sent += 1
-        actions = d.end(rid, found[0].backend, hop, ending)
-    assert sent == 5  # one that never came, the first, two more, and one of those again after a refused connection
+        actions = harness.end(request_id, found[0].backend, hop, ending)
+    assert sent == 5  # one that never arrived, the first, two retries, and one after a refused connection
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -1,4 +1,4 @@
-"""The size and width of the decisions, and that all of their files are named to the operators."""
+"""Size and line width of oakvale/policy, and that the deploy file lists its modules."""
 
 import tomllib
 from pathlib import Path
