--- a/tests/data_plane.py
+++ b/tests/data_plane.py
@@ -15,7 +15,7 @@
 from oakvale.ratelimit.counter_state import Receipt
 from oakvale.retry_budget import RetryLimits
 from oakvale.shared import SharedResources
-from tests.node import MS, FakeClock, Node, Party, StandIn, answer
+from tests.node import MS, FakeClock, Node, StubConnection, StubServer, answer
 
 KEY = "ctnfzs989anu6wsjnban"
 CONFIG = {
@@ -74,7 +74,7 @@
         limits = Limits.fill(1024, 200 << 20, 300 * MS, 9_000 * MS, 150 * MS, 100)
         self.limits = replace(limits, timer_slack=0, wake_slack=0)
         self.loop = Loop(self.clock, self.limits)
-        self.first, self.second, self.other = Party(), Party(), Party()
+        self.first, self.second, self.other = StubServer(), StubServer(), StubServer()
         self.rate_limiter, self.peers = FakeGauge(), []
         self.router = RequestRouter(
             SharedResources(self.loop, self.limits),
@@ -108,7 +108,7 @@
         method: str = "GET",
         body: bytes = b"",
         **headers: str,
-    ) -> StandIn:
+    ) -> StubConnection:
         fields = {"Host": "a.example", "Attempt-Id": rid, "Time-Left": "5000"}
         fields |= {"Authorization": f"Bearer {key}"} if key else {}
         fields |= {"Content-Length": str(len(body))} if body else {}
@@ -118,7 +118,7 @@
         client.send(f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode() + body)
         return client
 
-    def at_backend(self) -> tuple[str, StandIn, bytes]:
+    def at_backend(self) -> tuple[str, StubConnection, bytes]:
         """The next request that came to a backend of service one: which, its connection, what it read."""
 
         def look() -> Any:
@@ -130,7 +130,7 @@
         name, peer = self.until(look)
         return name, self._kept(peer), self.reads(peer)
 
-    def status(self, client: StandIn) -> int:
+    def status(self, client: StubConnection) -> int:
         return int(self.reads(client).split()[1])
 
     def close(self) -> None:
--- a/tests/drawn_events.py
+++ b/tests/drawn_events.py
@@ -27,7 +27,7 @@
 )
 
 
-class Decides(Protocol):
+class Policy(Protocol):
     def handle(self, now: int, event: i.Event) -> list[i.Action]: ...
     def update_settings(self, settings: i.Settings) -> None: ...
 
@@ -82,7 +82,7 @@
     )
 
 
-class Drawn:
+class RandomEvents:
     """Events of one gateway. `trouble` is the share of attempts that fail, `counter_trouble` that of counter calls."""
 
     def __init__(self, seed: int) -> None:
@@ -94,17 +94,17 @@
         self.latency = self.rng.choice((20 * MS, 150 * MS))
         self.levels: dict[str, float] = {}
         self.hops: Counter[str] = Counter()
-        self.live: list[str] = []  # the latest requests
-        self.done: set[str] = set()
+        self.recent: list[str] = []  # the latest requests
+        self.finished: set[str] = set()
         self.due: list[tuple[int, int, i.Event]] = []
-        self.n = self.crowd = 0
-        self.later(0, self.listing(i.ListForm.CACHED))
+        self.sequence = self.queued = 0
+        self.schedule(0, self.backend_list(i.ListForm.CACHED))
 
-    def later(self, delay: int, event: i.Event) -> None:
-        self.n += 1
-        heapq.heappush(self.due, (self.now + delay, self.n, event))
+    def schedule(self, delay: int, event: i.Event) -> None:
+        self.sequence += 1
+        heapq.heappush(self.due, (self.now + delay, self.sequence, event))
 
-    def listing(self, form: i.ListForm) -> i.Backends:
+    def backend_list(self, form: i.ListForm) -> i.Backends:
         rng, entries = self.rng, []
         for backend in range(1, 9):
             if form is not i.ListForm.DELTA or rng.random() < 0.3:
@@ -126,14 +126,14 @@
 
     def request(self) -> i.Request:
         rng, s = self.rng, self.settings
-        rid, cls = f"r{self.n}", rng.randrange(len(s.classes))
+        request_id, cls = f"r{self.sequence}", rng.randrange(len(s.classes))
         wait = s.classes[cls].deadline if rng.random() < 0.8 else rng.randrange(1, 6 * SECOND)
         if rng.random() < 0.01:
             cls = len(s.classes)  # an unknown class
-        self.live = [*self.live[-30:], rid]
+        self.recent = [*self.recent[-30:], request_id]
         customer = min(int(rng.expovariate(0.4)), 12)
         return i.Request(
-            rid,
+            request_id,
             f"c{customer}",
             cls,
             customer % len(s.plans),
@@ -143,17 +143,19 @@
             self.now + wait,
         )
 
-    def strays(self) -> i.Event:
+    def unsolicited(self) -> i.Event:
         """An event that no action caused, sometimes about a request that has ended."""
-        rng, rid = self.rng, self.rng.choice(self.live or ["none"])
+        rng, request_id = self.rng, self.rng.choice(self.recent or ["none"])
         draw = rng.randrange(7)
         if draw < 2:
-            self.done.add(rid)
-            return i.Withdrawn(rid)
+            self.finished.add(request_id)
+            return i.Withdrawn(request_id)
         if draw < 4:
-            return i.Head(rid, rng.randrange(1, 9), rng.randrange(2))
+            return i.Head(request_id, rng.randrange(1, 9), rng.randrange(2))
         if draw == 4:
-            return self.listing(rng.choice((i.ListForm.DELTA, i.ListForm.DELTA, i.ListForm.FULL, i.ListForm.FAILED)))
+            return self.backend_list(
+                rng.choice((i.ListForm.DELTA, i.ListForm.DELTA, i.ListForm.FULL, i.ListForm.FAILED))
+            )
         if draw == 5:
             return i.Counted("q:none:1", i.Ending.SERVED, 1.0, MS)
         return rng.choice((i.Timer(10**9), i.Probed(1, i.Ending.SERVED, MS), i.PeerMessage(1)))
@@ -161,42 +163,42 @@
     def next(self) -> tuple[int, i.Event]:
         rng = self.rng
         if rng.random() < 0.004:
-            self.crowd = rng.randrange(6)
+            self.queued = rng.randrange(6)
             self.now += rng.choice((600 * MS, 3 * SECOND, 40 * SECOND, 100 * SECOND))
             if rng.random() < 0.5:
                 self.levels.clear()  # the counter lost its state
         pause = int(rng.expovariate(1 / self.pause))
-        if self.crowd:  # arrived during the pause
-            self.crowd -= 1
-            self.n += 1
+        if self.queued:  # arrived during the pause
+            self.queued -= 1
+            self.sequence += 1
             return self.now, self.request()
         if self.due and self.due[0][0] <= self.now + pause:
             at, _, event = heapq.heappop(self.due)
             self.now = max(self.now, at)
         else:
             self.now += pause
-            self.n += 1
-            event = self.request() if rng.random() < 0.95 else self.strays()
+            self.sequence += 1
+            event = self.request() if rng.random() < 0.95 else self.unsolicited()
         return self.now, event
 
-    def heard(self, event: i.Event, actions: list[i.Action]) -> None:
+    def record(self, event: i.Event, actions: list[i.Action]) -> None:
         if isinstance(event, i.Ended) and event.over:
-            self.done.add(event.id)
+            self.finished.add(event.id)
         for action in actions:
             if isinstance(action, i.Attempt):
                 self.attempt(action)
             elif isinstance(action, i.Charge):
                 self.charge(action)
             elif isinstance(action, i.Cancel):
-                self.later(
-                    0, i.Ended(action.id, 0, action.hop, action.id in self.done, i.Ending.CANCELLED, self.latency)
+                self.schedule(
+                    0, i.Ended(action.id, 0, action.hop, action.id in self.finished, i.Ending.CANCELLED, self.latency)
                 )
             elif isinstance(action, i.Wake):
-                self.later(action.delay + self.rng.randrange(20 * MS), i.Timer(action.token))
+                self.schedule(action.delay + self.rng.randrange(20 * MS), i.Timer(action.token))
             elif isinstance(action, i.Fetch):
-                self.later(100 * MS, self.listing(i.ListForm.FULL))
+                self.schedule(100 * MS, self.backend_list(i.ListForm.FULL))
             elif isinstance(action, i.Refuse | i.Fail):
-                self.done.add(action.id)
+                self.finished.add(action.id)
 
     def attempt(self, action: i.Attempt) -> None:
         rng, hop = self.rng, self.hops[action.id]
@@ -205,8 +207,8 @@
         ending = rng.choice(ENDINGS) if rng.random() < self.trouble else i.Ending.SERVED
         if rng.random() < 0.1 * self.trouble:
             latency += 4 * SECOND  # it hangs
-        over = action.id in self.done or ending is i.Ending.SERVED or rng.random() < 0.05
-        self.later(
+        over = action.id in self.finished or ending is i.Ending.SERVED or rng.random() < 0.05
+        self.schedule(
             latency,
             i.Ended(action.id, action.backend, hop, over, ending, latency, true_units=rng.choice((0.0, 0.5, 2.0))),
         )
@@ -219,14 +221,14 @@
             self.levels[action.name] = self.levels.get(action.name, 0.0) + action.amount + others
         level = self.levels.get(action.name, 0.0) if ending is i.Ending.SERVED else 0.0
         latency = self.settings.counter_timeout if ending is i.Ending.TIMEOUT else rng.randrange(MS, 30 * MS)
-        self.later(latency, i.Counted(action.name, ending, round(level, 3), latency))
+        self.schedule(latency, i.Counted(action.name, ending, round(level, 3), latency))
 
-    def play(self, gateway: Decides, events: int) -> Iterator[tuple[int, i.Event, list[i.Action]]]:
+    def play(self, gateway: Policy, events: int) -> Iterator[tuple[int, i.Event, list[i.Action]]]:
         for _ in range(events):
             if self.rng.random() < 0.001:
                 self.settings = i.replace_classes(self.settings, classes(self.rng))
                 gateway.update_settings(self.settings)
             now, event = self.next()
             actions = gateway.handle(now, event)
-            self.heard(event, actions)
+            self.record(event, actions)
             yield now, event, actions
--- a/tests/node.py
+++ b/tests/node.py
@@ -54,7 +54,7 @@
         return self.now
 
 
-class Script:
+class ScriptedPolicy:
     """Replaces the policy: records the events and returns scripted actions."""
 
     def __init__(self) -> None:
@@ -72,7 +72,7 @@
         return [e for e in self.events if type(e) is kind]
 
 
-class StandIn:
+class StubConnection:
     """The peer's side of a connection: the data received, and a socket to answer on."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -101,7 +101,7 @@
         self.sock.close()
 
 
-class Party:
+class StubServer:
     """Listening socket of a stub server."""
 
     def __init__(self) -> None:
@@ -112,9 +112,9 @@
     def text(self) -> str:
         return f"{self.address[0]}:{self.address[1]}"
 
-    def take(self) -> StandIn | None:
+    def take(self) -> StubConnection | None:
         try:
-            return StandIn(self.listener.accept()[0])
+            return StubConnection(self.listener.accept()[0])
         except BlockingIOError:
             return None
 
@@ -141,7 +141,7 @@
 
     def __init__(self, script: bool = True, settings: dict[str, Any] | None = None, **limits: Any) -> None:
         self.clock = FakeClock()
-        self.backend, self.counter, self.discovery = Party(), Party(), Party()
+        self.backend, self.counter, self.discovery = StubServer(), StubServer(), StubServer()
         self.listener = listening(("127.0.0.1", 0), 64)
         self.address: tuple[str, int] = self.listener.getsockname()
         known = {"index": 41, "snapshot": True, "endpoints": [row("s-1", self.backend.text)]}
@@ -161,8 +161,8 @@
         self.server = Server(self.configuration, self.listener, self.loop)
         self.host = self.server.host
         self.host.unix_time = lambda: 0  # nothing has waited
-        self.script = Script()
-        self.peers: list[StandIn] = []
+        self.script = ScriptedPolicy()
+        self.peers: list[StubConnection] = []
         if script:
             self.host.gateway = self.script  # type: ignore[assignment]
         self.server.begin()
@@ -181,7 +181,7 @@
         self.script.answers[i.Timer] = lambda _: list(actions)
         self.host.dispatch(i.Timer(1))
 
-    def until_ended(self, peer: StandIn) -> None:
+    def until_ended(self, peer: StubConnection) -> None:
         """Turns the loop until the gateway has ended a stand-in's connection; reads what comes before."""
         self.until(lambda: (peer.read(), peer.ended)[1])
 
@@ -193,15 +193,15 @@
         self.clock.now += span
         self.turns(3)
 
-    def _kept(self, peer: StandIn) -> StandIn:
+    def _kept(self, peer: StubConnection) -> StubConnection:
         """Keeps a reference, as a garbage-collected peer would close its connection."""
         self.peers.append(peer)
         return peer
 
-    def client(self) -> StandIn:
-        return self._kept(StandIn(socket.create_connection(self.address)))
+    def client(self) -> StubConnection:
+        return self._kept(StubConnection(socket.create_connection(self.address)))
 
-    def ask(self, client: StandIn, rid: str = "9b1f03aa5c7e2d41", **headers: Any) -> None:
+    def ask(self, client: StubConnection, rid: str = "9b1f03aa5c7e2d41", **headers: Any) -> None:
         client.send(request(rid, **headers))
 
     def came(self, kind: type[Any], n: int = 1) -> Any:
@@ -209,10 +209,10 @@
         self.until(lambda: len(self.script.of(kind)) >= n)
         return self.script.of(kind)[n - 1]
 
-    def taken(self, party: Party) -> StandIn:
+    def taken(self, party: StubServer) -> StubConnection:
         return self._kept(self.until(party.take))
 
-    def reads(self, peer: StandIn, end: bytes = b"\r\n\r\n") -> bytes:
+    def reads(self, peer: StubConnection, end: bytes = b"\r\n\r\n") -> bytes:
         """Waits until the data that a peer received contains `end` and returns it."""
         self.until(lambda: end in peer.read())
         return peer.came
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -9,16 +9,16 @@
 from oakvale.base.net import Sock
 from tests.data_plane import KEY, Gate, sealed
 from tests.data_plane_model import World
-from tests.node import MS, StandIn
+from tests.node import MS, StubConnection
 
 LARGE = b"x" * 60_000  # more than small kernel buffers take for a backend that does not read
 
 
-def unread_connection(gate: Gate) -> StandIn:
+def unread_connection(gate: Gate) -> StubConnection:
     """The next connection to a backend, which has read nothing of it."""
     backend = gate.until(lambda: gate.first.take() or gate.second.take())
     gate.peers.append(backend)
-    assert isinstance(backend, StandIn)
+    assert isinstance(backend, StubConnection)
     return backend
 
 
@@ -38,7 +38,7 @@
     gate.loop.net.stream = stream  # type: ignore[method-assign]
 
 
-def sends(gate: Gate, client: StandIn, data: bytes) -> None:
+def sends(gate: Gate, client: StubConnection, data: bytes) -> None:
     """Sends more than the kernel takes at once: the gateway reads meanwhile."""
     rest = memoryview(data)
     while rest:
@@ -175,7 +175,7 @@
     world.finish()
 
 
-def while_it_stands_still(gate: Gate, client: StandIn, ends: str) -> None:
+def while_it_stands_still(gate: Gate, client: StubConnection, ends: str) -> None:
     """The client asks and ends while the gateway is not scheduled."""
     if ends == "half":
         client.sock.shutdown(socket.SHUT_WR)
--- a/tests/test_attempts_wire.py
+++ b/tests/test_attempts_wire.py
@@ -8,7 +8,7 @@
 from oakvale import interface as i
 from oakvale.interface import Ending
 from oakvale.wire.backends import BackendConnection, load_report
-from tests.node import MS, Node, Party, StandIn, answer, request, row
+from tests.node import MS, Node, StubConnection, StubServer, answer, request, row
 
 RESET = True
 
@@ -20,7 +20,7 @@
     return node
 
 
-def pushed(node: Node, backend: StandIn, data: bytes) -> None:
+def pushed(node: Node, backend: StubConnection, data: bytes) -> None:
     """Sends more than the sockets hold, as the gateway takes it."""
     while data:
         try:
@@ -32,7 +32,7 @@
         node.turns(1)
 
 
-def started(node: Node, rid: str = "a1") -> tuple[StandIn, StandIn]:
+def started(node: Node, rid: str = "a1") -> tuple[StubConnection, StubConnection]:
     """A client whose request has come to the backend."""
     client = node.client()
     node.ask(client, rid)
@@ -472,7 +472,7 @@
     client, backend = started(sending)
     backend.send(answer())
     sending.reads(client, b"slots")
-    elsewhere = Party()
+    elsewhere = StubServer()
     entry = row("s-1", elsewhere.text) if change == "moved" else row("s-1", sending.backend.text, status=change)
     sending.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [entry]})
     sending.until(lambda: backend.read() and backend.ended)
@@ -491,7 +491,7 @@
     assert node.came(i.Ended).ending is Ending.NO_CONNECTION  # both are busy
     ones[0][1].send(answer())
     node.came(i.Ended, 2)
-    other = Party()
+    other = StubServer()
     node.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [row("s-2", other.text)]})
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 2)]
     node.ask(node.client(), "a4")
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -9,7 +9,7 @@
 from oakvale import interface as i
 from oakvale.policy.gateway import Gateway
 from oakvale.wire.clients import ClientConnection
-from tests.node import MS, Node, StandIn, answer, request
+from tests.node import MS, Node, StubConnection, answer, request
 
 SECOND = 1_000_000
 
@@ -18,7 +18,7 @@
     return [i.Refuse(request.id, 250_000)]
 
 
-def refused_clients(node: Node, n: int) -> list[StandIn]:
+def refused_clients(node: Node, n: int) -> list[StubConnection]:
     """Clients that have had their answer and keep their connections."""
     node.script.answers[i.Request] = refuse
     clients = [node.client() for _ in range(n)]
@@ -28,7 +28,7 @@
     return clients
 
 
-def dripping(node: Node, times: int, pause: int) -> StandIn:
+def dripping(node: Node, times: int, pause: int) -> StubConnection:
     """A client that sends a byte of its request at a time."""
     client, data = node.client(), request("a1")
     for k in range(times):
@@ -355,7 +355,7 @@
 
 def test_a_large_answer_goes_as_the_client_takes_it_and_holds_nobody_up(node: Node) -> None:
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
-    slow = StandIn(socket.socket())
+    slow = StubConnection(socket.socket())
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.sock.setblocking(True)
     slow.sock.connect(node.address)
@@ -380,7 +380,7 @@
 
 def test_a_client_that_never_takes_its_answer_is_dropped_in_time(node: Node) -> None:
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
-    slow = StandIn(socket.socket())
+    slow = StubConnection(socket.socket())
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.sock.setblocking(True)
     slow.sock.connect(node.address)
--- a/tests/test_counter_wire.py
+++ b/tests/test_counter_wire.py
@@ -8,7 +8,7 @@
 from oakvale import interface as i
 from oakvale.interface import Ending
 from oakvale.wire.counter import Call, answer
-from tests.node import MS, Node, StandIn
+from tests.node import MS, Node, StubConnection
 
 TIMEOUT = 80 * MS
 
@@ -19,7 +19,7 @@
     node.turns()
 
 
-def one(node: Node, name: str = "q:a:1", amount: float = 2.0) -> StandIn:
+def one(node: Node, name: str = "q:a:1", amount: float = 2.0) -> StubConnection:
     """Makes a call and gives the counter's side of the connection."""
     call(node, i.Charge(name, amount, 4_000_000))
     counter = node.taken(node.counter)
--- a/tests/test_discovery_wire.py
+++ b/tests/test_discovery_wire.py
@@ -4,12 +4,12 @@
 
 from oakvale import interface as i
 from oakvale.interface import ListForm, State
-from tests.node import MS, Node, StandIn, chunk, row
+from tests.node import MS, Node, StubConnection, chunk, row
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def watch(node: Node, since: int = 41) -> StandIn:
+def watch(node: Node, since: int = 41) -> StubConnection:
     discovery = node.taken(node.discovery)
     asked = node.reads(discovery)
     assert asked.startswith(b"GET /catalog/members?follow=1&since=%d HTTP/1.1\r\n" % since)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,10 +11,10 @@
 
 from oakvale import interface as i
 from oakvale.policy.gateway import Gateway
-from tests.drawn_events import Drawn
+from tests.drawn_events import RandomEvents
 
 EVENTS = 300
-MARKS = (
+DIGESTS = (
     "3b869dd8",
     "aca1eb09",
     "66d0b4f7",
@@ -50,22 +50,22 @@
 )
 
 
-def written(action: i.Action) -> str:
+def formatted(action: i.Action) -> str:
     fields = (f"{x:.9g}" if isinstance(x, float) else str(x) for x in astuple(action))
     return f"{type(action).__name__} {' '.join(fields)}"
 
 
-def mark(seed: int) -> str:
-    drawn, digest = Drawn(seed), hashlib.sha256()
-    for _, _, actions in drawn.play(Gateway(drawn.settings, seed), EVENTS):
-        digest.update("\n".join([*map(written, actions), ""]).encode())
+def digest_of(seed: int) -> str:
+    random_events, digest = RandomEvents(seed), hashlib.sha256()
+    for _, _, actions in random_events.play(Gateway(random_events.settings, seed), EVENTS):
+        digest.update("\n".join([*map(formatted, actions), ""]).encode())
     return digest.hexdigest()[:8]
 
 
-@pytest.mark.parametrize("seed", range(len(MARKS)))
+@pytest.mark.parametrize("seed", range(len(DIGESTS)))
 def test_the_same_events_bring_the_same_actions(seed: int) -> None:
-    assert mark(seed) == MARKS[seed]
+    assert digest_of(seed) == DIGESTS[seed]
 
 
 if __name__ == "__main__":
-    print(*map(mark, range(len(MARKS))))
+    print(*map(digest_of, range(len(DIGESTS))))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 from oakvale.interface import Ending, ListForm
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
-from tests.node import MS, Node, Party, StandIn, chunk, row
+from tests.node import MS, Node, StubConnection, StubServer, chunk, row
 from tests.test_counter_wire import call, one, outcomes
 from tests.test_discovery_wire import HEAD, change, lists, watch
 from tests.test_start import config
@@ -27,12 +27,12 @@
 
     def __init__(self, path: Path, **kw: Any) -> None:
         super().__init__(**kw)
-        self.path, self.new_discovery, self.new_counter = path, Party(), Party()
+        self.path, self.new_discovery, self.new_counter = path, StubServer(), StubServer()
         environment = {"LB_CONFIG": str(path), "LB_DISCOVERY": self.discovery.text}
         self.configuration = replace(self.configuration, environment=environment)
         self.server.configuration = self.configuration
 
-    def reload(self, discovery: Party | None = None, counter: Party | None = None) -> None:
+    def reload(self, discovery: StubServer | None = None, counter: StubServer | None = None) -> None:
         self.path.write_text(
             json.dumps(
                 config(discovery=(discovery or self.new_discovery).text, counter=(counter or self.new_counter).text)
@@ -54,7 +54,7 @@
     n.close()
 
 
-def new_watch(node: Reloaded) -> StandIn:
+def new_watch(node: Reloaded) -> StubConnection:
     watching = node.taken(node.new_discovery)
     assert node.reads(watching).startswith(b"GET /catalog/members?follow=1&since=0 HTTP/1.1\r\n")
     return watching
--- a/tests/test_request_accounting.py
+++ b/tests/test_request_accounting.py
@@ -4,7 +4,7 @@
 
 from oakvale.wire.clients import ClientConnection
 from oakvale.wire.counter import Call, CounterConnection
-from tests.node import MS, Node, StandIn, answer, row
+from tests.node import MS, Node, StubConnection, answer, row
 
 
 class Watched(Node):
@@ -12,8 +12,8 @@
 
     def __init__(self) -> None:
         super().__init__(script=False)
-        self.sides: list[StandIn] = []
-        self.backends: list[StandIn] = []
+        self.sides: list[StubConnection] = []
+        self.backends: list[StubConnection] = []
         self.totals: Counter[str] = Counter()
 
     def step(self, turns: int = 4) -> None:
@@ -48,13 +48,13 @@
         waiting = {request.id for request in asked if request is not None}
         assert waiting == {r.id for r in in_hand if not r.over}
 
-    def sent(self, rid: str) -> tuple[StandIn, StandIn]:
+    def sent(self, rid: str) -> tuple[StubConnection, StubConnection]:
         client = self.client()
         self.ask(client, rid, X_Call_Terms="units=1,spread=1,first=0")
         self.step()
         return client, self.until(lambda: self.backend_with(rid.encode()))
 
-    def backend_with(self, rid: bytes) -> StandIn | None:
+    def backend_with(self, rid: bytes) -> StubConnection | None:
         """The connection, new or reused, on which an attempt arrived."""
         while (side := self.backend.take()) is not None:
             self.backends.append(self._kept(side))
