--- a/tests/node.py
+++ b/tests/node.py
@@ -160,7 +160,7 @@
         self.loop = Loop(self.clock, self.configuration.limits)
         self.server = Server(self.configuration, self.listener, self.loop)
         self.host = self.server.host
-        self.host.unix_time = lambda: 0  # nothing has waited
+        self.host.unix_time = lambda: 0  # arrivals without a delay
         self.script = ScriptedPolicy()
         self.peers: list[StubConnection] = []
         if script:
@@ -168,21 +168,21 @@
         self.server.begin()
         self.loop.turn(0)
 
-    def until(self, so: Callable[[], Any], seconds: float = 5.0) -> Any:
-        """Turns the loop until `so` gives something true, which it returns."""
+    def until(self, condition: Callable[[], Any], seconds: float = 5.0) -> Any:
+        """Runs the loop until `condition` returns a true value, and returns that."""
         end = time.monotonic() + seconds
-        while not (value := so()):
-            assert time.monotonic() < end, "it never came about"
+        while not (value := condition()):
+            assert time.monotonic() < end, "the condition did not become true in time"
             self.loop.turn(0.01)
         return value
 
     def acts(self, *actions: i.Action) -> None:
-        """Has the module do something of its own accord."""
+        """Has the policy return these actions now."""
         self.script.answers[i.Timer] = lambda _: list(actions)
         self.host.dispatch(i.Timer(1))
 
     def until_ended(self, peer: StubConnection) -> None:
-        """Turns the loop until the gateway has ended a stand-in's connection; reads what comes before."""
+        """Runs the loop until the gateway has closed the connection to `peer`, and reads what comes before."""
         self.until(lambda: (peer.read(), peer.ended)[1])
 
     def turns(self, n: int = 5) -> None:
@@ -201,8 +201,8 @@
     def client(self) -> StubConnection:
         return self._kept(StubConnection(socket.create_connection(self.address)))
 
-    def ask(self, client: StubConnection, rid: str = "9b1f03aa5c7e2d41", **headers: Any) -> None:
-        client.send(request(rid, **headers))
+    def ask(self, client: StubConnection, request_id: str = "9b1f03aa5c7e2d41", **headers: Any) -> None:
+        client.send(request(request_id, **headers))
 
     def came(self, kind: type[Any], n: int = 1) -> Any:
         """Waits for the n-th event of a type and returns it."""
@@ -227,11 +227,11 @@
 
 
 def request(
-    rid: str = "9b1f03aa5c7e2d41", method: str = "GET", target: str = "", body: bytes = b"", **headers: Any
+    request_id: str = "9b1f03aa5c7e2d41", method: str = "GET", target: str = "", body: bytes = b"", **headers: Any
 ) -> bytes:
     fields = {
         "Host": "app.svc",
-        "X-Trace-Id": rid,
+        "X-Trace-Id": request_id,
         "X-Tier": "team",
         "X-Expires-In": "4000m",
         "X-Call-Terms": "units=2,spread=3,first=1",
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -102,11 +102,11 @@
     assert node.reads(client, b"failed\n").startswith(b"HTTP/1.1 502")
 
 
-GOOD: dict[str, Any] = {"rid": "a1", "target": "/slot-lookup?key=00000000b4d65521"}
+GOOD: dict[str, Any] = {"request_id": "a1", "target": "/slot-lookup?key=00000000b4d65521"}
 BAD: list[tuple[dict[str, Any], int]] = [
     ({"X_Trace_Id": ""}, 400),
-    ({"rid": "has space"}, 400),
-    ({"rid": "x" * 65}, 400),
+    ({"request_id": "has space"}, 400),
+    ({"request_id": "x" * 65}, 400),
     ({"target": "/slot-lookup"}, 400),
     ({"target": "/slot-lookup?key=xyz"}, 400),
     ({"target": "/slot-lookup?key=b4d65521"}, 400),
@@ -156,7 +156,7 @@
     ({"X_Call_Terms": "units=1,spread=1,first=0,units=4"}, 400),
     ({"X_Call_Terms": "units=1,spread=1,first=0,note=" + "x" * 200}, 400),
     ({"X_Tier": "team\r\nX-Tier: team"}, 400),
-    ({"rid": "a1\r\nX-Trace-Id: a2"}, 400),
+    ({"request_id": "a1\r\nX-Trace-Id: a2"}, 400),
     ({"X_Expires_In": "nanm"}, 400),
     ({"X_Expires_In": "1_0m"}, 400),
     ({"X_Expires_In": "9" * 40 + "m"}, 400),
--- a/tests/test_request_accounting.py
+++ b/tests/test_request_accounting.py
@@ -7,7 +7,7 @@
 from tests.node import MS, Node, StubConnection, answer, row
 
 
-class Watched(Node):
+class CheckedNode(Node):
     """A gateway with the real policy and a counter that answers; the records are compared after each step."""
 
     def __init__(self) -> None:
@@ -30,36 +30,38 @@
             self.compare()
 
     def compare(self) -> None:
-        host, module = self.host, self.host.gateway
+        host, policy = self.host, self.host.gateway
         in_hand = list(host.requests._by_id.values())
         out = Counter(a.backend for r in in_hand for a in r.out.values())
-        assert out == Counter({k: len(b.in_flight) for k, b in module.context.backends.items() if b.in_flight})
+        assert out == Counter(
+            {number: len(backend.in_flight) for number, backend in policy.context.backends.items() if backend.in_flight}
+        )
         assert sum(out.values()) == host.backend_connections - host.idle.count
-        assert sum(c.in_flight for c in module.context.customers.values()) == sum(out.values())
+        assert sum(c.in_flight for c in policy.context.customers.values()) == sum(out.values())
         assert host.counter is not None
         owed = {name: len(calls) for name, calls in host.counter._by_name.items()}
-        assert owed == {name: len(calls) for name, calls in module.counter.calls.items()}
+        assert owed == {name: len(calls) for name, calls in policy.counter.calls.items()}
         written = [c for connection in host.counter.connections for c in held(connection) if c.ending is None]
         assert len(written) == sum(owed.values())
         assert {r.id for r in in_hand if not r.over} == {
-            rid for rid, h in module.context.pending.items() if not h.finished
+            request_id for request_id, pending in policy.context.pending.items() if not pending.finished
         }
         asked = {c.request for c in host.clients.all if isinstance(c, ClientConnection)}
         waiting = {request.id for request in asked if request is not None}
         assert waiting == {r.id for r in in_hand if not r.over}
 
-    def sent(self, rid: str) -> tuple[StubConnection, StubConnection]:
+    def sent(self, request_id: str) -> tuple[StubConnection, StubConnection]:
         client = self.client()
-        self.ask(client, rid, X_Call_Terms="units=1,spread=1,first=0")
+        self.ask(client, request_id, X_Call_Terms="units=1,spread=1,first=0")
         self.step()
-        return client, self.until(lambda: self.backend_with(rid.encode()))
+        return client, self.until(lambda: self.backend_with(request_id.encode()))
 
-    def backend_with(self, rid: bytes) -> StubConnection | None:
+    def backend_with(self, request_id: bytes) -> StubConnection | None:
         """The connection, new or reused, on which an attempt arrived."""
         while (side := self.backend.take()) is not None:
             self.backends.append(self._kept(side))
         for side in self.backends:
-            if rid in side.read():
+            if request_id in side.read():
                 side.came = b""
                 return side
         return None
@@ -70,7 +72,7 @@
 
 
 def test_every_ending_leaves_the_same_picture_in_module_and_host() -> None:
-    node = Watched()
+    node = CheckedNode()
     endings = [
         answer(),
         answer("500 Oops"),
@@ -112,7 +114,7 @@
 
 
 def test_calls_lost_with_their_connection_are_lost_in_both() -> None:
-    node = Watched()
+    node = CheckedNode()
     client = node.client()
     node.ask(client, "a1", X_Call_Terms="units=1,spread=1,first=0")
     node.until(lambda: node.host.gateway.counter.calls)
