--- a/tests/node.py
+++ b/tests/node.py
@@ -1,6 +1,6 @@
-"""A gateway's sockets driven by hand: a clock that is handed in, stand-ins on loopback sockets, one thread.
+"""Test harness for a gateway's sockets: a fake clock and stub peers on loopback sockets, in one thread.
 
-`Node.until` turns the loop until something is so; the loop's own wait for events is the only synchronisation.
+`Node.until` runs the event loop until a condition holds; the loop's wait for events is the only synchronisation.
 """
 
 from __future__ import annotations
@@ -54,8 +54,8 @@
         return self.now
 
 
-class Script:
-    """Stands where the module does: keeps the events and answers with the actions it was told to."""
+class ScriptedPolicy:
+    """Replaces the policy: records the events and returns scripted actions."""
 
     def __init__(self) -> None:
         self.events: list[i.Event] = []
@@ -72,8 +72,8 @@
         return [e for e in self.events if type(e) is kind]
 
 
-class StandIn:
-    """The other side of a connection: what came, and a socket to answer on."""
+class StubConnection:
+    """The peer's side of a connection: the data received, and a socket to answer on."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.came, self.ended = sock, b"", False
@@ -101,8 +101,8 @@
         self.sock.close()
 
 
-class Party:
-    """A stand-in's listening socket."""
+class StubServer:
+    """Listening socket of a stub server."""
 
     def __init__(self) -> None:
         self.listener = listening(("127.0.0.1", 0), 16)
@@ -112,9 +112,9 @@
     def text(self) -> str:
         return f"{self.address[0]}:{self.address[1]}"
 
-    def take(self) -> StandIn | None:
+    def take(self) -> StubConnection | None:
         try:
-            return StandIn(self.listener.accept()[0])
+            return StubConnection(self.listener.accept()[0])
         except BlockingIOError:
             return None
 
@@ -137,11 +137,11 @@
 
 
 class Node:
-    """A server on loopback with one known backend, a counter and discovery, each a stand-in."""
+    """A gateway on loopback with one known backend, a counter and discovery, each a stub."""
 
     def __init__(self, script: bool = True, settings: dict[str, Any] | None = None, **limits: Any) -> None:
         self.clock = FakeClock()
-        self.backend, self.counter, self.discovery = Party(), Party(), Party()
+        self.backend, self.counter, self.discovery = StubServer(), StubServer(), StubServer()
         self.listener = listening(("127.0.0.1", 0), 64)
         self.address: tuple[str, int] = self.listener.getsockname()
         known = {"index": 41, "snapshot": True, "endpoints": [row("s-1", self.backend.text)]}
@@ -160,29 +160,29 @@
         self.loop = Loop(self.clock, self.configuration.limits)
         self.server = Server(self.configuration, self.listener, self.loop)
         self.host = self.server.host
-        self.host.unix_time = lambda: 0  # nothing has waited
-        self.script = Script()
-        self.peers: list[StandIn] = []
+        self.host.unix_time = lambda: 0  # arrivals without a delay
+        self.script = ScriptedPolicy()
+        self.peers: list[StubConnection] = []
         if script:
             self.host.gateway = self.script  # type: ignore[assignment]
         self.server.begin()
         self.loop.turn(0)
 
-    def until(self, so: Callable[[], Any], seconds: float = 5.0) -> Any:
-        """Turns the loop until `so` gives something true, which it returns."""
+    def until(self, condition: Callable[[], Any], seconds: float = 5.0) -> Any:
+        """Runs the loop until `condition` returns a true value, and returns that."""
         end = time.monotonic() + seconds
-        while not (value := so()):
-            assert time.monotonic() < end, "it never came about"
+        while not (value := condition()):
+            assert time.monotonic() < end, "the condition did not become true in time"
             self.loop.turn(0.01)
         return value
 
     def acts(self, *actions: i.Action) -> None:
-        """Has the module do something of its own accord."""
+        """Has the policy return these actions now."""
         self.script.answers[i.Timer] = lambda _: list(actions)
-        self.host.give(i.Timer(1))
+        self.host.dispatch(i.Timer(1))
 
-    def until_ended(self, peer: StandIn) -> None:
-        """Turns the loop until the gateway has ended a stand-in's connection; reads what comes before."""
+    def until_ended(self, peer: StubConnection) -> None:
+        """Runs the loop until the gateway has closed the connection to `peer`, and reads what comes before."""
         self.until(lambda: (peer.read(), peer.ended)[1])
 
     def turns(self, n: int = 5) -> None:
@@ -193,27 +193,27 @@
         self.clock.now += span
         self.turns(3)
 
-    def _kept(self, peer: StandIn) -> StandIn:
-        """A stand-in that is no longer named would close its connection."""
+    def _kept(self, peer: StubConnection) -> StubConnection:
+        """Keeps a reference, as a garbage-collected peer would close its connection."""
         self.peers.append(peer)
         return peer
 
-    def client(self) -> StandIn:
-        return self._kept(StandIn(socket.create_connection(self.address)))
+    def client(self) -> StubConnection:
+        return self._kept(StubConnection(socket.create_connection(self.address)))
 
-    def ask(self, client: StandIn, rid: str = "9b1f03aa5c7e2d41", **headers: Any) -> None:
-        client.send(request(rid, **headers))
+    def ask(self, client: StubConnection, request_id: str = "9b1f03aa5c7e2d41", **headers: Any) -> None:
+        client.send(request(request_id, **headers))
 
     def came(self, kind: type[Any], n: int = 1) -> Any:
-        """The n-th event of a kind, once it has come."""
+        """Waits for the n-th event of a type and returns it."""
         self.until(lambda: len(self.script.of(kind)) >= n)
         return self.script.of(kind)[n - 1]
 
-    def taken(self, party: Party) -> StandIn:
+    def taken(self, party: StubServer) -> StubConnection:
         return self._kept(self.until(party.take))
 
-    def reads(self, peer: StandIn, end: bytes = b"\r\n\r\n") -> bytes:
-        """What a stand-in has been sent, once it holds `end`."""
+    def reads(self, peer: StubConnection, end: bytes = b"\r\n\r\n") -> bytes:
+        """Waits until the data that a peer received contains `end` and returns it."""
         self.until(lambda: end in peer.read())
         return peer.came
 
@@ -227,11 +227,11 @@
 
 
 def request(
-    rid: str = "9b1f03aa5c7e2d41", method: str = "GET", target: str = "", body: bytes = b"", **headers: Any
+    request_id: str = "9b1f03aa5c7e2d41", method: str = "GET", target: str = "", body: bytes = b"", **headers: Any
 ) -> bytes:
     fields = {
         "Host": "app.svc",
-        "X-Trace-Id": rid,
+        "X-Trace-Id": request_id,
         "X-Tier": "team",
         "X-Expires-In": "4000m",
         "X-Call-Terms": "units=2,spread=3,first=1",
@@ -250,6 +250,6 @@
 
 
 def chunk(*objects: Any) -> bytes:
-    """A chunk of discovery's watch: each object a line."""
+    """One HTTP chunk of the discovery stream, with one JSON object per line."""
     data = b"".join((json.dumps(o) if o is not None else "").encode() + b"\n" for o in objects)
     return b"%x\r\n%s\r\n" % (len(data), data)
--- a/tests/test_attempts_wire.py
+++ b/tests/test_attempts_wire.py
@@ -8,7 +8,7 @@
 from oakvale import interface as i
 from oakvale.interface import Ending
 from oakvale.wire.backends import BackendConnection, load_report
-from tests.node import MS, Node, Party, StandIn, answer, request, row
+from tests.node import MS, Node, StubConnection, StubServer, answer, request, row
 
 RESET = True
 
@@ -20,7 +20,7 @@
     return node
 
 
-def pushed(node: Node, backend: StandIn, data: bytes) -> None:
+def pushed(node: Node, backend: StubConnection, data: bytes) -> None:
     """Sends more than the sockets hold, as the gateway takes it."""
     while data:
         try:
@@ -32,7 +32,7 @@
         node.turns(1)
 
 
-def started(node: Node, rid: str = "a1") -> tuple[StandIn, StandIn]:
+def started(node: Node, rid: str = "a1") -> tuple[StubConnection, StubConnection]:
     """A client whose request has come to the backend."""
     client = node.client()
     node.ask(client, rid)
@@ -364,7 +364,7 @@
 def test_a_called_off_attempt_closes_its_connection_at_once(sending: Node) -> None:
     _, backend = started(sending)
     sending.script.answers[i.Timer] = lambda _: [i.Cancel("a1", 0)]
-    sending.host.give(i.Timer(1))
+    sending.host.dispatch(i.Timer(1))
     assert sending.came(i.Ended).ending is Ending.CANCELLED
     sending.until(lambda: backend.read() and backend.ended)
     assert sending.host.backend_connections == 0
@@ -383,7 +383,7 @@
 def test_cancelling_twice_or_what_has_ended_is_passed_over(sending: Node) -> None:
     started(sending)
     sending.script.answers[i.Timer] = lambda _: [i.Cancel("a1", 0), i.Cancel("a1", 0), i.Cancel("zz", 0)]
-    sending.host.give(i.Timer(1))
+    sending.host.dispatch(i.Timer(1))
     assert len(sending.script.of(i.Ended)) == 1
 
 
@@ -426,7 +426,7 @@
         backend.send(stray)
     else:
         backend.close()
-    sending.host.give(i.Timer(1))
+    sending.host.dispatch(i.Timer(1))
     client.came = b""
     # in the same turn as the request: the loop has not told of the end yet
     sending.ask(client, "a2")
@@ -472,7 +472,7 @@
     client, backend = started(sending)
     backend.send(answer())
     sending.reads(client, b"slots")
-    elsewhere = Party()
+    elsewhere = StubServer()
     entry = row("s-1", elsewhere.text) if change == "moved" else row("s-1", sending.backend.text, status=change)
     sending.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [entry]})
     sending.until(lambda: backend.read() and backend.ended)
@@ -491,7 +491,7 @@
     assert node.came(i.Ended).ending is Ending.NO_CONNECTION  # both are busy
     ones[0][1].send(answer())
     node.came(i.Ended, 2)
-    other = Party()
+    other = StubServer()
     node.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [row("s-2", other.text)]})
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 2)]
     node.ask(node.client(), "a4")
