--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -9,7 +9,7 @@
 from oakvale import interface as i
 from oakvale.policy.gateway import Gateway
 from oakvale.wire.clients import ClientConnection
-from tests.node import MS, Node, StandIn, answer, request
+from tests.node import MS, Node, StubConnection, answer, request
 
 SECOND = 1_000_000
 
@@ -18,7 +18,7 @@
     return [i.Refuse(request.id, 250_000)]
 
 
-def refused_clients(node: Node, n: int) -> list[StandIn]:
+def refused_clients(node: Node, n: int) -> list[StubConnection]:
     """Clients that have had their answer and keep their connections."""
     node.script.answers[i.Request] = refuse
     clients = [node.client() for _ in range(n)]
@@ -28,7 +28,7 @@
     return clients
 
 
-def dripping(node: Node, times: int, pause: int) -> StandIn:
+def dripping(node: Node, times: int, pause: int) -> StubConnection:
     """A client that sends a byte of its request at a time."""
     client, data = node.client(), request("a1")
     for k in range(times):
@@ -102,11 +102,11 @@
     assert node.reads(client, b"failed\n").startswith(b"HTTP/1.1 502")
 
 
-GOOD: dict[str, Any] = {"rid": "a1", "target": "/slot-lookup?key=00000000b4d65521"}
+GOOD: dict[str, Any] = {"request_id": "a1", "target": "/slot-lookup?key=00000000b4d65521"}
 BAD: list[tuple[dict[str, Any], int]] = [
     ({"X_Trace_Id": ""}, 400),
-    ({"rid": "has space"}, 400),
-    ({"rid": "x" * 65}, 400),
+    ({"request_id": "has space"}, 400),
+    ({"request_id": "x" * 65}, 400),
     ({"target": "/slot-lookup"}, 400),
     ({"target": "/slot-lookup?key=xyz"}, 400),
     ({"target": "/slot-lookup?key=b4d65521"}, 400),
@@ -156,7 +156,7 @@
     ({"X_Call_Terms": "units=1,spread=1,first=0,units=4"}, 400),
     ({"X_Call_Terms": "units=1,spread=1,first=0,note=" + "x" * 200}, 400),
     ({"X_Tier": "team\r\nX-Tier: team"}, 400),
-    ({"rid": "a1\r\nX-Trace-Id: a2"}, 400),
+    ({"request_id": "a1\r\nX-Trace-Id: a2"}, 400),
     ({"X_Expires_In": "nanm"}, 400),
     ({"X_Expires_In": "1_0m"}, 400),
     ({"X_Expires_In": "9" * 40 + "m"}, 400),
@@ -303,9 +303,9 @@
     turns = node.loop.turns
     node.loop.turn(0.05)  # a turn that has nothing to do waits
     assert node.loop.turns == turns + 1 and len(node.script.of(i.Request)) == 1
-    node.host.give(i.Timer(1))
+    node.host.dispatch(i.Timer(1))
     node.script.answers[i.Timer] = lambda _: [i.Refuse("a1", 1)]
-    node.host.give(i.Timer(2))
+    node.host.dispatch(i.Timer(2))
     node.came(i.Request, 2)
 
 
@@ -348,14 +348,14 @@
     node.turns(20)
     assert node.script.of(i.Withdrawn) == []
     node.script.answers[i.Timer] = lambda _: [i.Refuse("a1", 1)]
-    node.host.give(i.Timer(1))
+    node.host.dispatch(i.Timer(1))
     assert b"HTTP/1.1 429" in node.reads(client, b"later\n")
     node.until(lambda: client.read() and client.ended)
 
 
 def test_a_large_answer_goes_as_the_client_takes_it_and_holds_nobody_up(node: Node) -> None:
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
-    slow = StandIn(socket.socket())
+    slow = StubConnection(socket.socket())
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.sock.setblocking(True)
     slow.sock.connect(node.address)
@@ -380,7 +380,7 @@
 
 def test_a_client_that_never_takes_its_answer_is_dropped_in_time(node: Node) -> None:
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
-    slow = StandIn(socket.socket())
+    slow = StubConnection(socket.socket())
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.sock.setblocking(True)
     slow.sock.connect(node.address)
@@ -566,7 +566,7 @@
     client.send(head)
     node.reads(client, b"HTTP/1.1 100 Continue\r\n\r\n")
     client.send(b"body")
-    assert node.came(i.Request).cls == 1
+    assert node.came(i.Request).class_index == 1
 
 
 def test_a_fault_in_the_module_answers_that_request_and_serves_the_rest(
@@ -593,14 +593,14 @@
     n = Node(script=False)
     gateway = n.host.gateway
     assert isinstance(gateway, Gateway)
-    real, gateway.lending.batch = gateway.lending.batch, None  # type: ignore[method-assign, assignment]
-    gateway.lending.lends = True
+    real, gateway.lending.send_batch = gateway.lending.send_batch, None  # type: ignore[method-assign, assignment]
+    gateway.lending.enabled = True
     n.pass_time(250 * MS)
-    gateway.lending.batch = real  # type: ignore[method-assign]
-    before = gateway.desk.now
+    gateway.lending.send_batch = real  # type: ignore[method-assign]
+    before = gateway.context.now
     for _ in range(8):
         n.pass_time(250 * MS)
-    assert gateway.desk.now == before + 8 * 250 * MS
+    assert gateway.context.now == before + 8 * 250 * MS
     n.close()
 
 
@@ -610,7 +610,7 @@
     def fails() -> bool:
         raise RuntimeError("odd")
 
-    monkeypatch.setattr(node.host, "takes_no_more", fails)
+    monkeypatch.setattr(node.host, "refuses_requests", fails)
     client = node.client()
     node.ask(client)
     assert node.reads(client, b"error\n").startswith(b"HTTP/1.1 500")
