--- a/tests/test_lab_experiments.py
+++ b/tests/test_lab_experiments.py
@@ -146,7 +146,9 @@
     found = variants.patches(Spec(name="big", set={"oakvale.base.limits.MB": 2}))
     assert found["oakvale.base.limits.MB"] == found["oakvale.config.bounds.MB"] == 2
     assert all(getattr(*variants.found(name)) == oakvale.base.limits.MB for name in found)
-    swapped = variants.patches(Spec(name="other", swap={"oakvale.config.durations.micros": "oakvale.numbers.whole"}))
+    swapped = variants.patches(
+        Spec(name="other", swap={"oakvale.config.durations.micros": "oakvale.numbers.parse_integer"})
+    )
     same = [name for name in swapped if name.endswith(".micros")]
     assert len({id(swapped[name]) for name in same}) == 1 and "oakvale.config.model.micros" in same
 
