--- a/oakvale/dataplane/backend_protocol.py
+++ b/oakvale/dataplane/backend_protocol.py
@@ -9,10 +9,10 @@
 from oakvale.wire.backends import Spoilt
 from oakvale.wire.http import end_to_end
 
-OURS = frozenset({b"time-left", b"backend", b"tenant", b"authorization", b"attempt-id"})
-FOR_US = frozenset({b"not-run", b"served-by", b"keep-alive"})
-TIMEOUT = re.compile(rb"timeout\s*=\s*([0-9]{1,6})", re.IGNORECASE)
-PROMISES = (408, 421, 429, 503)  # a client takes these for 'it has not run and never will'
+GATEWAY_REQUEST_HEADERS = frozenset({b"time-left", b"backend", b"tenant", b"authorization", b"attempt-id"})
+GATEWAY_ANSWER_HEADERS = frozenset({b"not-run", b"served-by", b"keep-alive"})
+KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*([0-9]{1,6})", re.IGNORECASE)
+NEVER_RAN_STATUSES = (408, 421, 429, 503)  # a client takes these for 'it has not run and never will'
 
 
 class SystemDialect:
@@ -28,7 +28,7 @@
         ]
         if order.tenant is not None:
             own.append((b"tenant", order.tenant.encode("latin-1")))
-        return [*end_to_end(request.headers, OURS), *own]
+        return [*end_to_end(request.headers, GATEWAY_REQUEST_HEADERS), *own]
 
     def belongs(self, attempt: AttemptOut, status: int, headers: Headers) -> bool:
         """A whole answer bears the attempt's id; one that turns away may bear none."""
@@ -60,7 +60,7 @@
     def idle(self, headers: Headers) -> int | None:
         """`Keep-Alive: timeout=10`, in whole seconds."""
         for name, value in headers:
-            found = TIMEOUT.search(value) if name == b"keep-alive" else None
+            found = KEEP_ALIVE_TIMEOUT.search(value) if name == b"keep-alive" else None
             if found is not None:
                 return int(found[1]) * 1_000_000
         return None
@@ -73,11 +73,11 @@
         request may not run once more. Its own 429 or 503 that does not say 'not run' would be read as a
         promise that nobody made."""
         if ending is Ending.SERVED:
-            return Answer(answer.status, end_to_end(answer.headers, FOR_US), answer.body)
+            return Answer(answer.status, end_to_end(answer.headers, GATEWAY_ANSWER_HEADERS), answer.body)
         if ending is not Ending.ERROR:
             return None
-        passed = Answer(answer.status, end_to_end(answer.headers, FOR_US), answer.body)
-        if answer.status in PROMISES:
+        passed = Answer(answer.status, end_to_end(answer.headers, GATEWAY_ANSWER_HEADERS), answer.body)
+        if answer.status in NEVER_RAN_STATUSES:
             passed = Answer(502, [(b"content-type", b"text/plain")], b"failed\n")
         order = attempt.request.event
         if not order.route.safe or 400 <= answer.status < 500:
--- a/oakvale/dataplane/drain_agent.py
+++ b/oakvale/dataplane/drain_agent.py
@@ -12,19 +12,19 @@
 
 from oakvale.base.address import Address
 from oakvale.base.loop import Loop
-from oakvale.dataplane.request_router import Order, RequestRouter
+from oakvale.dataplane.request_router import RequestRouter, RoutedRequest
 from oakvale.drains.moves import Avoid, Moves
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.memory.requests import Answer, InHand
 from oakvale.transport.links import Transport
 
-LOOK = 100_000  # microseconds between two looks at what is in flight
-TELL = 5  # looks between two words to the primary
+CHECK_INTERVAL_US = 100_000  # microseconds between two looks at what is in flight
+CHECKS_PER_REPORT = 5  # looks between two words to the primary
 
 log_event = EventLogger(__name__)
 
 
-class Seen:
+class TrackedRequest:
     """Stands before a request's client, to see how it ends."""
 
     def __init__(self, request: InHand) -> None:
@@ -58,10 +58,10 @@
 
 
 @dataclass(slots=True)
-class Watch:
+class MoveProgress:
     """What a tenant had in hand here when it moved."""
 
-    seen: list[Seen]
+    seen: list[TrackedRequest]
     since: int
     began: int = 0
     ends: dict[str, int] = field(default_factory=dict)
@@ -82,11 +82,11 @@
         self._node, self._life, self._primary = node, life, primary
         self._wall = wall or (lambda: loop.net.unix_time() // 1000)
         self._moves = Moves(node, life)
-        self._watches: dict[str, Watch] = {}
+        self._watches: dict[str, MoveProgress] = {}
         self._looking = False
         self._looks = 0
 
-    def take(self, entries: list[tuple[str, dict[str, Any]]], born: bool) -> Avoid:
+    def apply_moves(self, entries: list[tuple[str, dict[str, Any]]], born: bool) -> Avoid:
         """The moves as they are now; gives who avoids what. Called before the picture with it is shown, so that
         what is in hand now is all that may still go to the node."""
         moves = dict(entries)
@@ -97,28 +97,28 @@
                 []
                 if born
                 else [
-                    Seen(request)
+                    TrackedRequest(request)
                     for request in self._router.requests.all()
                     if not request.over and self._concerned(request, move)
                 ]
             )
-            self._watches[key] = Watch(found, self._loop.now)
+            self._watches[key] = MoveProgress(found, self._loop.now)
             self._look_at(key, move)
         for key in [key for key in self._watches if key not in self._moves.away]:
             del self._watches[key]
-        self._router.leaving = self._moves.leaving
+        self._router.draining = self._moves.leaving
         if self._moves.owed() and not self._looking:
             self._looking, self._looks = True, 0
             self._loop.at(self._loop.now, self._look)
         return self._moves.avoid
 
     def _concerned(self, request: InHand, move: dict[str, Any]) -> bool:
-        order: Order = request.event
+        order: RoutedRequest = request.event
         if (order.tenant or "") != move["tenant"]:
             return False
         if move["kind"] == "gateway":
             return True
-        backend = self._router.picture.backends.get(move["node"])
+        backend = self._router.snapshot.backends.get(move["node"])
         return backend is None or order.driver.service == backend.service and move["node"] not in order.driver.without
 
     def _look_at(self, key: str, move: dict[str, Any]) -> int:
@@ -126,7 +126,7 @@
         watch = self._watches[key]
         left = []
         for seen in watch.seen:
-            order: Order = seen.request.event
+            order: RoutedRequest = seen.request.event
             at = move["kind"] == "gateway" or any(
                 order.driver.backend_id(attempt.backend) == move["node"] for attempt in seen.request.out.values()
             )
@@ -146,7 +146,7 @@
         if not owed:
             self._looking = False
             return
-        self._loop.at(self._loop.now + LOOK, self._look)
+        self._loop.at(self._loop.now + CHECK_INTERVAL_US, self._look)
         words = []
         for key, move in owed.items():
             watch = self._watches.get(key)
@@ -157,6 +157,6 @@
                 left = max(left, len(self._router.clients.all), int(comes))
             words.append([key, key in self._moves.away, watch.began if watch else 0, left, watch.ends if watch else {}])
         primary = self._primary()
-        if self._looks % TELL == 0 and words and primary is not None:
+        if self._looks % CHECKS_PER_REPORT == 0 and words and primary is not None:
             self._transport.tell(primary, "towed", [self._node, self._life, words])
         self._looks += 1
--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -13,7 +13,7 @@
 from oakvale.config.settings import Settings
 from oakvale.dataplane.drain_agent import DrainAgent
 from oakvale.dataplane.request_router import RequestRouter
-from oakvale.dataplane.routes import backends, configured, members
+from oakvale.dataplane.routes import parse_configuration, update_backends, update_members
 from oakvale.dissemination.feed import Feed
 from oakvale.dissemination.table import Table
 from oakvale.dissemination.tree import Member, Members, sources, watched, watchers
@@ -29,19 +29,19 @@
 from oakvale.transport.links import Answer, Connection, Transport
 from oakvale.wire.clients import Incoming, plain
 
-CORE = 24  # core machines' addresses that are remembered
-JOIN = 150_000  # microseconds between two tries to join
-STAY = 3_000_000  # between two looks whether the list still has this gateway
-HEARTBEAT = 500_000
-WATCHERS = 3
-MISSED = 2_200_000  # without a heartbeat for so long, the primary is told
-SWEEP = 1_000_000
-BLIND = 2_000_000  # without news for so long, what they said of silent places is not gone by
+MAX_CORE_ADDRESSES = 24  # core machines' addresses that are remembered
+JOIN_RETRY_US = 150_000  # microseconds between two tries to join
+MEMBERSHIP_CHECK_INTERVAL_US = 3_000_000  # between two looks whether the list still has this gateway
+HEARTBEAT_INTERVAL_US = 500_000
+WATCHERS_PER_GATEWAY = 3
+HEARTBEAT_TIMEOUT_US = 2_200_000  # without a heartbeat for so long, the primary is told
+SWEEP_INTERVAL_US = 1_000_000
+MAX_STATE_AGE_US = 2_000_000  # without news for so long, what they said of silent places is not gone by
 
 log_event = EventLogger(__name__)
 
 
-class Readyz:
+class ReadinessOwner:
     """The owner of `readyz` connections: the same bounds, one answer."""
 
     def __init__(self, shared: SharedResources, sluice: EdgeGateway) -> None:
@@ -72,10 +72,10 @@
         self.settings = settings
         limits = bounds(settings)
         self.loop = loop
-        self.life = loop.net.token(6)
+        self.incarnation = loop.net.token(6)
         # two roles of a machine share its ports: the headworks takes the first
         self.transport = Transport(self.loop, (settings.ip, settings.ports[0] + 1))
-        self.own = spelled(self.transport.own)
+        self.self_address = spelled(self.transport.own)
         self.table = Table()
         self.shared = SharedResources(self.loop, limits)
         self._core = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]  # the primary first, if known
@@ -87,8 +87,8 @@
             self.transport,
             terms,
             settings.node,
-            self.life,
-            self.own,
+            self.incarnation,
+            self.self_address,
             self._members,
             lambda: self._voters,
             self._quota,
@@ -106,18 +106,18 @@
             self.loop,
             self.transport,
             self.table,
-            lambda: {"node": settings.node, "life": self.life},
+            lambda: {"node": settings.node, "life": self.incarnation},
             self._sources,
             self._changed,
         )
         if given.strict_revoke:  # half of it: a pulse may have been on its way through the relays for the rest
-            self.router.sure = lambda: self.feed.fresh(given.revoke // 2)
+            self.router.revocations_current = lambda: self.feed.fresh(given.revoke // 2)
         self.drain_agent = DrainAgent(
             self.loop,
             self.transport,
             self.router,
             settings.node,
-            self.life,
+            self.incarnation,
             lambda: parse_address(self._core[0]) if self._core else None,
         )
         self._born = True  # no news have come yet
@@ -133,48 +133,55 @@
         self._joined = self._asking = False
         self.transport.handlers["alive"] = self._alive
         self.loop.at(self.loop.now, self._join)
-        self.loop.at(self.loop.now + HEARTBEAT, self._beat)
-        self.loop.at(self.loop.now + SWEEP, self._sweep)
-        self.plant_acceptor = Acceptor(self.router, listeners["http"], self.loop, lambda: self.router.picture.gen >= 0)
-        self.ready_acceptor: Acceptor | None = None
+        self.loop.at(self.loop.now + HEARTBEAT_INTERVAL_US, self._beat)
+        self.loop.at(self.loop.now + SWEEP_INTERVAL_US, self._sweep)
+        self.client_acceptor = Acceptor(
+            self.router, listeners["http"], self.loop, lambda: self.router.snapshot.generation >= 0
+        )
+        self.readiness_acceptor: Acceptor | None = None
         if "readyz" in listeners:
-            self.ready_acceptor = Acceptor(Readyz(self.shared, self), listeners["readyz"], self.loop)
-        self.accepting = self.plant_acceptor.task
+            self.readiness_acceptor = Acceptor(ReadinessOwner(self.shared, self), listeners["readyz"], self.loop)
+        self.accepting = self.client_acceptor.task
         self.host = self.router
         self.transport.listen()
 
     # ---- for the shutdown
 
     def accept_one(self) -> bool:
-        return self.plant_acceptor.accept_one()
+        return self.client_acceptor.accept_one()
 
     def ready(self) -> bool:
-        picture = self.router.picture
-        return picture.gen >= 0 and bool(picture.backends) and self.router.sure() and not self.router.stopping
+        snapshot = self.router.snapshot
+        return (
+            snapshot.generation >= 0
+            and bool(snapshot.backends)
+            and self.router.revocations_current()
+            and not self.router.stopping
+        )
 
     def know(self, seeds: tuple[Address, ...]) -> None:
         """Other core machines than those that are known, perhaps; tried behind the primary. Behind all that are
         remembered, which may all be gone, they would be forgotten at once."""
         named = [f"{ip}:{self.settings.ports[0]}" for ip, _ in seeds]
-        self._core = list(dict.fromkeys([*self._core[:1], *named, *self._core]))[:CORE]
+        self._core = list(dict.fromkeys([*self._core[:1], *named, *self._core]))[:MAX_CORE_ADDRESSES]
 
     # ---- the list of gateways
 
     def _members(self) -> Members:
-        return self.router.picture.members
+        return self.router.snapshot.members
 
     def _quota(self, tenant: str) -> Quota:
-        found = self.router.picture.tenants.get(tenant)
+        found = self.router.snapshot.tenants.get(tenant)
         return found.quota if found else Quota()
 
     def _sources(self, failed: dict[str, int]) -> list[str]:
-        return sources(self.router.picture.members, self.settings.node, self.settings.zone, self._core, failed)
+        return sources(self.router.snapshot.members, self.settings.node, self.settings.zone, self._core, failed)
 
     def _join(self, _: Any) -> None:
         """Until the list has this gateway, and again whenever it has not."""
-        own = self.router.picture.members.get(self.settings.node)
-        here = own is not None and own.life == self.life
-        self.loop.at(self.loop.now + (STAY if here else JOIN), self._join)
+        own = self.router.snapshot.members.get(self.settings.node)
+        here = own is not None and own.life == self.incarnation
+        self.loop.at(self.loop.now + (MEMBERSHIP_CHECK_INTERVAL_US if here else JOIN_RETRY_US), self._join)
         if not here or not self._joined:
             self._ask_in()
 
@@ -185,7 +192,12 @@
             return
         self._turn += 1
         self._asking = True
-        body = {"node": self.settings.node, "addr": self.own, "az": self.settings.zone, "life": self.life}
+        body = {
+            "node": self.settings.node,
+            "addr": self.self_address,
+            "az": self.settings.zone,
+            "life": self.incarnation,
+        }
 
         def answered(answer: Any) -> None:
             self._asking = False
@@ -197,32 +209,32 @@
                 self._know(str(answer["primary"]))
                 self._ask_in()
 
-        self.transport.ask(address, "join", body, 4 * JOIN, answered)
+        self.transport.ask(address, "join", body, 4 * JOIN_RETRY_US, answered)
 
     def _know(self, primary: str) -> None:
         """Put first among the core machines; tried next."""
-        self._core = list(dict.fromkeys([primary, *self._core]))[:CORE]
+        self._core = list(dict.fromkeys([primary, *self._core]))[:MAX_CORE_ADDRESSES]
         self._turn = 0
 
     def _beat(self, _: Any) -> None:
         """To this gateway's watchers; and a look at those that it watches itself."""
         now = self.loop.now
-        self.loop.at(now + HEARTBEAT, self._beat)
-        everyone = self.router.picture.members
+        self.loop.at(now + HEARTBEAT_INTERVAL_US, self._beat)
+        everyone = self.router.snapshot.members
         own = everyone.get(self.settings.node)
-        if own is None or own.life != self.life:
+        if own is None or own.life != self.incarnation:
             self._joined = False
             return
         for member in self._watchers:
             address = parse_address(member.address)
             if address is not None:
-                self.transport.tell(address, "alive", [self.settings.node, self.life])
+                self.transport.tell(address, "alive", [self.settings.node, self.incarnation])
         seen = self._watched
         heard = {f"{m.node} {m.life}": self._heard.get(f"{m.node} {m.life}", now) for m in seen}
         self._heard = heard
         primary = parse_address(self._core[0]) if self._core else None
         for member in seen:
-            if now - heard[f"{member.node} {member.life}"] > MISSED and primary is not None:
+            if now - heard[f"{member.node} {member.life}"] > HEARTBEAT_TIMEOUT_US and primary is not None:
                 self.transport.tell(
                     primary, "missing", {"node": member.node, "life": member.life, "watcher": self.settings.node}
                 )
@@ -233,23 +245,23 @@
     # ---- the news
 
     def _changed(self, keys: list[str]) -> None:
-        picture = self.router.picture
+        snapshot = self.router.snapshot
         if "config" in keys:
             held = self.table.get("config")
-            if held is not None and held["gen"] > picture.gen:
-                picture = replace(picture, **configured(bytes(held["text"])))
-                log_event("configuration", gen=picture.gen)
+            if held is not None and held["gen"] > snapshot.generation:
+                snapshot = replace(snapshot, **parse_configuration(bytes(held["text"])))
+                log_event("configuration", gen=snapshot.generation)
         if any(key.startswith("backend/") for key in keys):
-            picture = replace(picture, backends=backends(self.table, keys, picture.backends))
+            snapshot = replace(snapshot, backends=update_backends(self.table, keys, snapshot.backends))
         moved = any(key.startswith("gate/") for key in keys)
         if moved:
-            picture = replace(picture, members=members(self.table, keys, picture.members))
+            snapshot = replace(snapshot, members=update_members(self.table, keys, snapshot.members))
         if any(key.startswith("move/") for key in keys):
-            avoid = self.drain_agent.take(self.table.items("move/"), self._born)
-            if avoid != picture.avoid:
-                picture = replace(picture, avoid=avoid)
+            avoid = self.drain_agent.apply_moves(self.table.items("move/"), self._born)
+            if avoid != snapshot.avoid:
+                snapshot = replace(snapshot, avoid=avoid)
         self._born = False
-        self.router.show(picture)
+        self.router.apply_snapshot(snapshot)
         if "chains" in keys:
             held = self.table.get("chains")
             self.router.boards.set_chains(unpack(held) if held is not None else None)
@@ -259,17 +271,17 @@
             held = self.table.get("core") or {}
             self._voters = [str(address) for address in held.get("witnesses") or []]
             copies = [str(address) for address in held.get("copies") or []]
-            self._core = list(dict.fromkeys([*copies, *self._voters, *self._core]))[:CORE]
+            self._core = list(dict.fromkeys([*copies, *self._voters, *self._core]))[:MAX_CORE_ADDRESSES]
             if not self._joined:
                 self._turn, self._asking = 0, False  # who was asked last may be dark
                 self._ask_in()
         if moved:
-            everyone = picture.members
+            everyone = snapshot.members
             zones = {member.zone for member in everyone.values()}
             self._gated |= zones
             self._bare = frozenset(self._gated - zones)
-            self._watchers = watchers(everyone, self.settings.node, WATCHERS)
-            self._watched = watched(everyone, self.settings.node, WATCHERS)
+            self._watchers = watchers(everyone, self.settings.node, WATCHERS_PER_GATEWAY)
+            self._watched = watched(everyone, self.settings.node, WATCHERS_PER_GATEWAY)
             self.rate_limiter.members_changed()
             self.feed.reconsider()
 
@@ -280,7 +292,7 @@
             found.add("beats")
         if zone in self._bare:
             found.add("members")
-        return frozenset(found) if found and self.feed.fresh(BLIND) else frozenset()
+        return frozenset(found) if found and self.feed.fresh(MAX_STATE_AGE_US) else frozenset()
 
     def _tell_flows(self) -> None:
         """To the primary, which works out the chains."""
@@ -295,4 +307,4 @@
             self._tell_flows()
         self.shared.idle.sweep(self.loop.now)
         self.transport.sweep()
-        self.loop.at(self.loop.now + SWEEP, self._sweep)
+        self.loop.at(self.loop.now + SWEEP_INTERVAL_US, self._sweep)
--- a/oakvale/dataplane/process.py
+++ b/oakvale/dataplane/process.py
@@ -13,7 +13,7 @@
 from oakvale.config.settings_watch import SettingsWatch
 from oakvale.config.toml_table import BadFile
 from oakvale.dataplane.gateway import EdgeGateway
-from oakvale.dataplane.status import standing
+from oakvale.dataplane.status import status_fields
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
@@ -28,17 +28,17 @@
 
     def __init__(self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop) -> None:
         """Raises OSError."""
-        self.sluice = sluice = EdgeGateway(settings, listeners, loop)
-        self.shutdown = Shutdown(sluice)
-        offer(sluice.transport, "sluice", settings.node, lambda: standing(sluice))
-        sluice.transport.handlers["chains"] = lambda conn, body, answer: answer({"held": sluice.table.get("chains")})
-        self.know = sluice.know
-        Status(sluice.shared).begin()
-        log_event("sluice", node=settings.node, own=sluice.own, life=sluice.life)
+        self.gateway = gateway = EdgeGateway(settings, listeners, loop)
+        self.shutdown = Shutdown(gateway)
+        offer(gateway.transport, "sluice", settings.node, lambda: status_fields(gateway))
+        gateway.transport.handlers["chains"] = lambda conn, body, answer: answer({"held": gateway.table.get("chains")})
+        self.know = gateway.know
+        Status(gateway.shared).begin()
+        log_event("sluice", node=settings.node, own=gateway.self_address, life=gateway.incarnation)
 
     def stop(self) -> None:
         self.shutdown.begin()
-        self.sluice.rate_limiter.release()
+        self.gateway.rate_limiter.release()
 
 
 def serve(settings: Settings, signals: Signals, listeners: Mapping[str, Sock]) -> int:
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -11,7 +11,7 @@
 from oakvale import interface as i
 from oakvale.base.address import Address, parse_address
 from oakvale.dataplane.backend_protocol import SystemDialect
-from oakvale.dataplane.routes import Backend, Picture, Route
+from oakvale.dataplane.routes import Backend, Route, RoutingSnapshot
 from oakvale.drains.moves import kept
 from oakvale.driver import Driver
 from oakvale.loadbalancing.board_service import LoadBoards, Rejected, RequestFacts, Selection
@@ -28,9 +28,9 @@
 DIGITS = re.compile(rb"[0-9]{1,9}")
 MS = 1_000
 SECOND = 1_000_000
-MOMENT = 250 * MS  # at most, and a fifth of the aim, for a counter to be found
-WAY = 45 * MS  # a first try has lost at most so much of its time when it comes
-MOST_TRIES = 64  # each route says how many it allows
+MAX_COUNTER_DISCOVERY_WAIT_US = 250 * MS  # at most, and a fifth of the aim, for a counter to be found
+MAX_TRANSIT_US = 45 * MS  # a first try has lost at most so much of its time when it comes
+MAX_ATTEMPTS = 64  # each route says how many it allows
 TEXT = (b"content-type", b"text/plain")
 
 
@@ -46,13 +46,13 @@
 }
 
 
-def later(status: int, wait: int, why: bytes) -> Answer:
+def retry_later_answer(status: int, wait: int, why: bytes) -> Answer:
     """A refusal: it never ran, and names a time to come back, in hundredths of a second upwards."""
     return Answer(status, [TEXT, (b"retry-after", b"%.2f" % (-(-max(wait, 10_000) // 10_000) / 100))], why)
 
 
 @dataclass(slots=True)
-class Order:
+class RoutedRequest:
     """A request as the lanes know it."""
 
     driver: ServiceDriver
@@ -93,7 +93,7 @@
             plans=(i.Plan(),),
             zone=zones.get(zone, 0),
             retry_after=True,
-            max_attempts=MOST_TRIES,
+            max_attempts=MAX_ATTEMPTS,
             max_retry_after=SECOND,
             may_cancel=True,
             cross_zone_price=1.0,
@@ -110,9 +110,9 @@
         self._known: dict[str, Backend] = {}
         self._offers: list[BackendCandidate] = []
         self._closed: frozenset[str] = frozenset()  # zones that are out for this service
-        self.listed = False
+        self.has_backend_list = False
 
-    def class_of(self, route: Route) -> int:
+    def class_number(self, route: Route) -> int:
         """The number of a route among this lane's classes; a changed route keeps its number."""
         made = i.RequestClass(
             aim=route.aim,
@@ -144,17 +144,17 @@
     def _count_back(self, request: InHand) -> None:
         """Where no attempt was made, it surely never ran."""
         if not request.hops:
-            order: Order = request.event
+            order: RoutedRequest = request.event
             self._give_back(order.receipt)
 
-    def learn(self, backends: list[Backend], numbers: dict[str, int]) -> None:
+    def update_backends(self, backends: list[Backend], numbers: dict[str, int]) -> None:
         if self.without:
             off = kept({b.id: b.ready for b in backends}, self.without)
             backends = [b for b in backends if b.id not in off]
         known = {b.id: b for b in backends}
-        if known == self._known and self.listed:
+        if known == self._known and self.has_backend_list:
             return
-        was, self._known, self.listed = self._known, known, True
+        was, self._known, self.has_backend_list = self._known, known, True
         self._list(numbers)
         for name, backend in was.items():
             now = known.get(name)
@@ -214,7 +214,7 @@
         self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
     ) -> None:
         """All gateways learn of it, by the keeper of the service's board."""
-        order: Order = attempt.request.event
+        order: RoutedRequest = attempt.request.event
         name, latency, outcome = self.backend_id(attempt.backend), self.loop.now - attempt.sent, OUTCOMES[ending]
         if attempt.hop in attempt.request.out:
             if order.pick is not None and order.pick.backend == name:
@@ -249,17 +249,17 @@
 
     def max_connection_idle(self, request: InHand) -> int | None:
         """What may run once only is not risked on a connection that its backend may have forgotten."""
-        order: Order = request.event
+        order: RoutedRequest = request.event
         return order.youth
 
     def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
-        order: Order = request.event
+        order: RoutedRequest = request.event
         if order.last is not None:
             return order.last
         self.tally.refusals["may_have_run" if isinstance(action, i.Fail) else "no_backend"] += 1
         if isinstance(action, i.Fail):
             return Answer(502, [TEXT], b"it may have run\n")
-        return later(503, action.retry_after, b"try again later\n")
+        return retry_later_answer(503, action.retry_after, b"try again later\n")
 
 
 class RequestRouter(ConnectionOwner):
@@ -281,22 +281,22 @@
             shared.loop, transport, rate_limiter, node, zone, lambda service: self._driver(service).offers()
         )
         self.boards.on_zones_closed = lambda service, zones: self._driver(service).close(zones, self._numbers)
-        self.picture = Picture()
+        self.snapshot = RoutingSnapshot()
         self._zones, self._zone = {name: n for n, name in enumerate(zones)}, zone
         self._drivers: dict[str, ServiceDriver] = {}
         self._aside: dict[tuple[str, frozenset[str]], ServiceDriver] = {}  # of tenants that were moved off backends
-        self.leaving = False  # this gateway is drained: its clients are to come back elsewhere
+        self.draining = False  # this gateway is drained: its clients are to come back elsewhere
         self._numbers: dict[str, int] = {}
         self._rng, self._retries = self.loop.net.rng, retries
         self.admission_closed = False
         self._idle_held = (0, 0)  # microseconds that clients may think a connection may be idle, and until when
         self._longest: dict[str, int] = {}  # route -> the longest that a client would wait
-        self.sure: Callable[[], bool] = lambda: True  # whether a key's removal would have been heard of
+        self.revocations_current: Callable[[], bool] = lambda: True  # whether a key's removal would have been heard of
 
     @property
     def stopping(self) -> bool:
         """Answers say that their connection ends, and `readyz` sends nobody here."""
-        return self.shared.stopping or self.leaving
+        return self.shared.stopping or self.draining
 
     @stopping.setter
     def stopping(self, stops: bool) -> None:
@@ -304,32 +304,32 @@
 
     # ---- the news
 
-    def show(self, picture: Picture) -> None:
+    def apply_snapshot(self, snapshot: RoutingSnapshot) -> None:
         """Everything from here on is decided by this picture."""
-        was, self.picture = self.picture, picture
-        if picture.gen != was.gen:
+        was, self.snapshot = self.snapshot, snapshot
+        if snapshot.generation != was.generation:
             self._longest.clear()
             before = was.clients.within(self.shared.limits).client_idle
-            if was.gen >= 0 and picture.clients.within(self.shared.limits).client_idle < before:
+            if was.generation >= 0 and snapshot.clients.within(self.shared.limits).client_idle < before:
                 self._idle_held = max(before, self.limits.client_idle), self.loop.now + before
                 self.loop.at(self._idle_held[1], self._bound)
             self._bound()
-        if picture.backends is not was.backends:
+        if snapshot.backends is not was.backends:
             by_service: dict[str, list[Backend]] = {}
-            for backend in picture.backends.values():
+            for backend in snapshot.backends.values():
                 by_service.setdefault(backend.service, []).append(backend)
             for service in dict.fromkeys([*self._drivers, *by_service]):  # in an order that a replay has too
-                self._driver(service).learn(by_service.get(service, []), self._numbers)
+                self._driver(service).update_backends(by_service.get(service, []), self._numbers)
             for (service, _), driver in self._aside.items():
-                driver.learn(by_service.get(service, []), self._numbers)
-        if picture.avoid is not was.avoid:
-            held = {off for off in picture.avoid.values()}
+                driver.update_backends(by_service.get(service, []), self._numbers)
+        if snapshot.avoid is not was.avoid:
+            held = {off for off in snapshot.avoid.values()}
             for key in [key for key in self._aside if not any(key[1] <= off for off in held)]:
                 self._aside.pop(key).retire()
 
     def _bound(self, _: Any = None) -> None:
         """Clients go by a longer bound on idle connections until they have heard that it is a shorter one."""
-        limits = self.picture.clients.within(self.shared.limits)
+        limits = self.snapshot.clients.within(self.shared.limits)
         held, until = self._idle_held
         if self.loop.now < until:
             limits = replace(limits, client_idle=max(limits.client_idle, held))
@@ -338,7 +338,9 @@
     def _driver(self, service: str) -> ServiceDriver:
         driver = self._drivers.get(service)
         if driver is None:
-            budget = FleetRetryBudget(self._retries, lambda: len(self.picture.members), self._rng.random, self.loop.now)
+            budget = FleetRetryBudget(
+                self._retries, lambda: len(self.snapshot.members), self._rng.random, self.loop.now
+            )
             driver = self._drivers[service] = ServiceDriver(
                 self.shared,
                 self.boards,
@@ -351,13 +353,13 @@
             )
         return driver
 
-    def _lane_of(self, service: str, tenant: str | None) -> ServiceDriver:
+    def _driver_for_tenant(self, service: str, tenant: str | None) -> ServiceDriver:
         """The lane of a tenant that was moved off some backends, if the service has any of them."""
         driver = self._driver(service)
         without = frozenset(
             name
-            for name in self.picture.avoid.get(tenant or "", ())
-            if (found := self.picture.backends.get(name)) is not None and found.service == service
+            for name in self.snapshot.avoid.get(tenant or "", ())
+            if (found := self.snapshot.backends.get(name)) is not None and found.service == service
         )
         if not without:
             return driver
@@ -374,16 +376,16 @@
                 self.rate_limiter.refund,
                 without,
             )
-            aside.learn([b for b in self.picture.backends.values() if b.service == service], self._numbers)
+            aside.update_backends([b for b in self.snapshot.backends.values() if b.service == service], self._numbers)
         return aside
 
     # ---- requests
 
     def open(self, client: Any, incoming: Incoming, came: int) -> Answer | InHand:
-        picture, fields = self.picture, incoming.fields
-        if picture.gen < 0:
-            return later(503, SECOND // 2, b"no configuration yet\n")
-        if picture.clients.head and incoming.head_size() > self.limits.header:
+        snapshot, fields = self.snapshot, incoming.fields
+        if snapshot.generation < 0:
+            return retry_later_answer(503, SECOND // 2, b"no configuration yet\n")
+        if snapshot.clients.head and incoming.head_size() > self.limits.header:
             raise BadRequest(431, "head too large")
         if incoming.method == b"CONNECT":  # a success would turn the connection into a tunnel
             raise BadRequest(405, "no tunnels")
@@ -391,32 +393,32 @@
         if not ATTEMPT_ID.fullmatch(rid):
             raise BadRequest(400, "Attempt-Id is missing or not understood")
         host = fields.get(b"host", b"").decode("latin-1").lower()
-        if host not in picture.routes:
+        if host not in snapshot.routes:
             host = host.rpartition(":")[0] or host
         path = incoming.target.partition(b"?")[0].decode("latin-1")
-        route = picture.match(host, path)
+        route = snapshot.match(host, path)
         if route is None:
             return plain(404, "no such route")
         tenant = None
-        if picture.keys is not None and not route.public:
+        if snapshot.keys is not None and not route.public:
             scheme, _, key = fields.get(b"authorization", b"").decode("latin-1").partition(" ")
-            holder = picture.keys.get(key.strip()) if scheme.lower() == "bearer" else None
+            holder = snapshot.keys.get(key.strip()) if scheme.lower() == "bearer" else None
             if holder is None:
                 return plain(401, "no such key")
-            if not self.sure():
-                return later(503, SECOND // 2, b"keys may be out of date\n")
+            if not self.revocations_current():
+                return retry_later_answer(503, SECOND // 2, b"keys may be out of date\n")
             tenant = holder.name
         name = rid.decode("latin-1")
         if self.requests.get(name) is not None:
             raise BadRequest(409, "Attempt-Id is of a request in hand")
         if self.admission_closed or self.requests.full():
-            return later(503, SECOND // 2, b"no room\n")
+            return retry_later_answer(503, SECOND // 2, b"no room\n")
         left = fields.get(b"time-left", b"")
         wait = min(route.deadline, int(left) * MS if DIGITS.fullmatch(left) else route.deadline)
         service = route.service(self._rng.random())
-        driver = self._lane_of(service, tenant) if picture.avoid else self._driver(service)
-        event = i.Request(name, "", driver.class_of(route), 0, 1.0, 1, 0, came + wait)
-        order = Order(driver, route, tenant, event, again=self._comes_again(route, wait))
+        driver = self._driver_for_tenant(service, tenant) if snapshot.avoid else self._driver(service)
+        event = i.Request(name, "", driver.class_number(route), 0, 1.0, 1, 0, came + wait)
+        order = RoutedRequest(driver, route, tenant, event, again=self._comes_again(route, wait))
         return InHand(
             name, client, incoming.method, incoming.target, incoming.headers, incoming.body, event.deadline, order
         )
@@ -425,14 +427,14 @@
         """First tries of a route all wait for the longest that any did, less their way here."""
         longest = max(wait, self._longest.get(route.name, 0))
         self._longest[route.name] = longest
-        return wait < longest - WAY
+        return wait < longest - MAX_TRANSIT_US
 
     def begin(self, request: InHand) -> None:
-        order: Order = request.event
+        order: RoutedRequest = request.event
         self.requests.add(request)
         if order.tenant is None:
             return self._go(request)
-        patience = min(MOMENT, order.route.aim // 5)
+        patience = min(MAX_COUNTER_DISCOVERY_WAIT_US, order.route.aim // 5)
         self.rate_limiter.count_request(
             order.tenant, order.again, partial(self._counted, request), patience, order.receipt
         )
@@ -444,16 +446,16 @@
             return self._go(request)
         self.tally.refusals["quota" if counted else "uncounted"] += 1
         if counted:
-            self.final(request, later(429, wait, b"over the quota\n"))
+            self.final(request, retry_later_answer(429, wait, b"over the quota\n"))
         else:
-            self.final(request, later(503, wait, b"not counted\n"))
+            self.final(request, retry_later_answer(503, wait, b"not counted\n"))
 
     def _go(self, request: InHand) -> None:
-        order: Order = request.event
+        order: RoutedRequest = request.event
         facts = None
         if self.boards.chains is not None:
             route = order.route
-            holder = self.picture.tenants.get(order.tenant) if order.tenant is not None else None
+            holder = self.snapshot.tenants.get(order.tenant) if order.tenant is not None else None
             rank = route.prio if holder is None or holder.prio is None else int(holder.prio)
             facts = RequestFacts(route.name, rank, order.tenant or "", route.safe, route.aim)
         self.boards.select(
@@ -465,11 +467,11 @@
         )
 
     def _advised(self, request: InHand, pick: Selection | Rejected | None) -> None:
-        order: Order = request.event
+        order: RoutedRequest = request.event
         if isinstance(pick, Rejected):
             if not request.over:
                 self.tally.refusals["no_room"] += 1
-                self.final(request, later(503, pick.wait_us, b"no place has room\n"))
+                self.final(request, retry_later_answer(503, pick.wait_us, b"no place has room\n"))
             return
         if not request.over:
             order.given, order.pick = True, pick
@@ -490,7 +492,7 @@
         self.rate_limiter.refund(request.event.receipt)
 
     def client_gone(self, request: InHand) -> None:
-        order: Order = request.event
+        order: RoutedRequest = request.event
         if order.given:
             return order.driver.client_gone(request)
         self.abandon(request)
--- a/oakvale/dataplane/routes.py
+++ b/oakvale/dataplane/routes.py
@@ -82,8 +82,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Picture:
-    gen: int = -1
+class RoutingSnapshot:
+    generation: int = -1
     clients: ClientBounds = ClientBounds()
     routes: Mapping[str, tuple[Route, ...]] = field(default_factory=dict)  # host -> longest prefix first
     keys: Mapping[str, Tenant] | None = None  # None: no key is asked for
@@ -99,7 +99,7 @@
         return None
 
 
-def rows(data: Any) -> list[dict[str, Any]]:
+def table_rows(data: Any) -> list[dict[str, Any]]:
     if not data:
         return []
     return [
@@ -108,11 +108,11 @@
     ]
 
 
-def configured(text: bytes) -> dict[str, Any]:
+def parse_configuration(text: bytes) -> dict[str, Any]:
     """The parts of a picture that the configuration gives."""
     data = orjson.loads(text)
     by_host: dict[str, list[Route]] = {}
-    for row in rows(data.get("routes")):
+    for row in table_rows(data.get("routes")):
         split = row.get("split")
         parts = tuple((str(p["svc"]), float(p["wt"])) for p in split) if split else ((str(row["svc"]), 1.0),)
         deadline = micros(row["deadline"])
@@ -134,7 +134,7 @@
         )
     tenants: dict[str, Tenant] = {}
     keys: dict[str, Tenant] = {}
-    for row in rows(data.get("tenants")):
+    for row in table_rows(data.get("tenants")):
         tenant = Tenant(
             str(row["name"]), Quota(float(row.get("rate-per-s") or 0), float(row.get("burst") or 0)), row.get("prio")
         )
@@ -142,7 +142,7 @@
         keys |= {str(key): tenant for key in row.get("apikeys") or []}
     given = data.get("limits") or {}
     return {
-        "gen": int(data["gen"]),
+        "generation": int(data["gen"]),
         "clients": ClientBounds(
             given.get("hdr-bytes"),
             given.get("body-bytes"),
@@ -154,7 +154,7 @@
     }
 
 
-def backends(table: Table, keys: Iterable[str], was: Mapping[str, Backend]) -> dict[str, Backend]:
+def update_backends(table: Table, keys: Iterable[str], was: Mapping[str, Backend]) -> dict[str, Backend]:
     """With only the changed keys read anew: a service whose backends are exchanged brings as many news as it has, and
     each would read all of them."""
     found = dict(was)
@@ -175,7 +175,7 @@
     return found
 
 
-def members(table: Table, keys: Iterable[str], known: Members) -> Members:
+def update_members(table: Table, keys: Iterable[str], known: Members) -> Members:
     """The list that follows, by the news of some keys."""
     changes: dict[str, Member | None] = {}
     for key in keys:
--- a/tests/data_plane.py
+++ b/tests/data_plane.py
@@ -10,7 +10,7 @@
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
 from oakvale.dataplane.request_router import RequestRouter
-from oakvale.dataplane.routes import Backend, Picture, configured
+from oakvale.dataplane.routes import Backend, RoutingSnapshot, parse_configuration
 from oakvale.lifecycle.acceptor import Acceptor, listening
 from oakvale.ratelimit.counter_state import Receipt
 from oakvale.retry_budget import RetryLimits
@@ -97,8 +97,8 @@
             for name, (service, party) in places.items()
             if name not in gone
         }
-        parts = configured(json.dumps(CONFIG | changes).encode())
-        self.router.show(replace(Picture(**parts), backends=backends))
+        parts = parse_configuration(json.dumps(CONFIG | changes).encode())
+        self.router.apply_snapshot(replace(RoutingSnapshot(**parts), backends=backends))
 
     def say(
         self,
--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -18,7 +18,7 @@
 from oakvale.base.loop import Loop
 from oakvale.config.bounds import bounds
 from oakvale.dataplane.request_router import RequestRouter
-from oakvale.dataplane.routes import Backend, Picture, configured
+from oakvale.dataplane.routes import Backend, RoutingSnapshot, parse_configuration
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.retry_budget import RetryLimits
@@ -50,7 +50,7 @@
 
 @cache
 def parts(idle: str) -> dict[str, Any]:
-    return configured(json.dumps(CONFIG | {"limits": {"idle": idle}}).encode())
+    return parse_configuration(json.dumps(CONFIG | {"limits": {"idle": idle}}).encode())
 
 
 @dataclass(eq=False)
@@ -376,8 +376,10 @@
             for name, (service, (ip, port)) in PLACES.items()
         }
         avoid = {"t2": frozenset({"i-1"})} if self.avoid else {}
-        was = self.router.picture
-        self.router.show(replace(Picture(**parts(self.idle)), backends=found, avoid=avoid, gen=was.gen + 1))
+        was = self.router.snapshot
+        self.router.apply_snapshot(
+            replace(RoutingSnapshot(**parts(self.idle)), backends=found, avoid=avoid, generation=was.generation + 1)
+        )
 
     def holds(self, so: bool, what: str) -> None:
         """What the program calls keeps its findings for the judge: the loop would catch them."""
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -85,7 +85,7 @@
     "part of a request is none": (SystemDialect, "part_may_run", False),
     "what ended without an answer never ran": (BackendConnection, "_may_have_run", lambda *_: False),
     "a 503 that does not say so never ran": (SystemDialect, "ending", ending(503)),
-    "a 429 that does not say so is passed on as a promise": (backend_protocol, "PROMISES", ()),
+    "a 429 that does not say so is passed on as a promise": (backend_protocol, "NEVER_RAN_STATUSES", ()),
     "a success needs no stamp": (SystemDialect, "ending", ending(stamped=False)),
     "an encoded body is the backend's": (SystemDialect, "check", lambda *_: None),
     "an answer needs no length": (backends, "framing", loose),
@@ -95,7 +95,11 @@
     "a silent backend is given up": (SystemDialect, "waits", lambda *_: False),
     "requests behind one in hand are forgotten": (h11.Connection, "start_next_cycle", forgets),
     "a client that ended its sending has gone": (ClientConnection, "_probe", gone),
-    "keys are passed on": (backend_protocol, "OURS", backend_protocol.OURS - {b"authorization"}),
+    "keys are passed on": (
+        backend_protocol,
+        "GATEWAY_REQUEST_HEADERS",
+        backend_protocol.GATEWAY_REQUEST_HEADERS - {b"authorization"},
+    ),
 }
 
 
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -436,7 +436,7 @@
     thin.change("config", {"gen": 2, "text": planned(random.Random(4), 2)})
 
     def held() -> list[bool]:
-        feeds = [cast(Any, s.process).works.sluice.feed for s in thin.works.edges]
+        feeds = [cast(Any, s.process).works.gateway.feed for s in thin.works.edges]
         return [feed.table.get("config")["gen"] == 2 and feed.fresh() for feed in feeds]
 
     spans: list[int] = []
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -11,7 +11,7 @@
 import pytest
 
 from oakvale.base.address import parse_address
-from oakvale.dataplane.routes import members as shown_members
+from oakvale.dataplane.routes import update_members as shown_members
 from oakvale.dissemination.feed import FORGIVEN, PULSE, STALE, TRY, UNHEARD, Feed, Publisher
 from oakvale.dissemination.table import FLOOR, GRAVES, NOTHING, Entry, Table, Version, unpack
 from oakvale.dissemination.tree import FAN_OUT, Member, Members, next_on_ring, ring, sources, watched, watchers
--- a/tests/test_drain_agent.py
+++ b/tests/test_drain_agent.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from oakvale.dataplane.drain_agent import TELL, DrainAgent
+from oakvale.dataplane.drain_agent import CHECKS_PER_REPORT, DrainAgent
 from oakvale.lifecycle.shutdown import Shutdown
 from tests.data_plane import Gate, sealed
 from tests.node import MS, answer
@@ -41,13 +41,13 @@
         self.told.append(body[2])
 
     def show(self, gone: tuple[str, ...] = (), drain: tuple[str, ...] = (), **changes: Any) -> None:
-        avoid = self.router.picture.avoid
+        avoid = self.router.snapshot.avoid
         super().show(gone, drain, **{"tenants": TENANTS} | changes)
-        self.router.show(replace(self.router.picture, avoid=avoid))
+        self.router.apply_snapshot(replace(self.router.snapshot, avoid=avoid))
 
     def moves(self, *entries: tuple[str, dict[str, Any]], born: bool = False) -> None:
-        avoid = self.drain_agent.take(list(entries), born)
-        self.router.show(replace(self.router.picture, avoid=avoid))
+        avoid = self.drain_agent.apply_moves(list(entries), born)
+        self.router.apply_snapshot(replace(self.router.snapshot, avoid=avoid))
 
     def word(self, key: str = "o/i-1/t1") -> list[Any]:
         """The latest that the primary was told of a move."""
@@ -114,7 +114,7 @@
     assert gate.word() == [True, 2, 0, {"answered": 1, "client_gone": 1}]
     gate.moves(move(state="moved"))  # nothing more is owed, and nobody is told
     before = len(gate.told)
-    gate.pass_time(2 * TELL * 100 * MS)
+    gate.pass_time(2 * CHECKS_PER_REPORT * 100 * MS)
     assert len(gate.told) == before
 
 
@@ -143,17 +143,17 @@
 def test_both_lanes_of_a_service_spend_one_budget(gate: Moving) -> None:
     """Two would let a service have twice the further tries that it may."""
     gate.moves(move())
-    assert gate.router._lane_of("one", "t1") is not gate.router._driver("one")
-    assert gate.router._lane_of("one", "t1").budget is gate.router._driver("one").budget
-    assert gate.router._lane_of("two", "t1") is gate.router._driver("two")  # it has none of them
-    driver = gate.router._lane_of("one", "t1")
+    assert gate.router._driver_for_tenant("one", "t1") is not gate.router._driver("one")
+    assert gate.router._driver_for_tenant("one", "t1").budget is gate.router._driver("one").budget
+    assert gate.router._driver_for_tenant("two", "t1") is gate.router._driver("two")  # it has none of them
+    driver = gate.router._driver_for_tenant("one", "t1")
     gate.moves(move(way="back"))
     gate.pass_time(300 * MS)  # its last tick
     wakes: list[Any] = []
     driver._wake = wakes.append  # type: ignore[assignment]
     for _ in range(5):
         gate.pass_time(300 * MS)
-    assert not wakes and gate.router._lane_of("one", "t1") is gate.router._driver("one")
+    assert not wakes and gate.router._driver_for_tenant("one", "t1") is gate.router._driver("one")
 
 
 def test_a_gateway_that_is_left_says_so_and_serves_who_still_comes(gate: Moving) -> None:
@@ -170,16 +170,16 @@
     Shutdown(gate).begin()  # type: ignore[arg-type]
     assert gate.router.shared.stopping
     gate.moves(move(kind="gateway", node="edge", way="back"))
-    assert not gate.router.leaving
+    assert not gate.router.draining
 
 
 def test_a_life_that_begins_after_a_move_follows_it_whatever_the_hour(gate: Moving) -> None:
     """It had sent nothing there. One that was there and heard too late stays, and says so."""
     gate.moves(move(until=-5), born=True)
-    assert gate.router.picture.avoid == {"t1": frozenset({"i-1"})}
+    assert gate.router.snapshot.avoid == {"t1": frozenset({"i-1"})}
     late = Moving()
     try:
         late.moves(move(until=-5))
-        assert not late.router.picture.avoid and late.word() == [False, 0, 0, {}]
+        assert not late.router.snapshot.avoid and late.word() == [False, 0, 0, {}]
     finally:
         late.close()
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -110,7 +110,7 @@
         floor = max((gen for at, gen in self.acked if at <= now - STALE - RELAYED), default=0)
         for station in self.works.edges:
             if station.up and station.process is not None and not station.process.paused:
-                sluice = station.process.works.sluice
+                sluice = station.process.works.gateway
                 if sluice.feed.fresh():
                     held = (sluice.table.get("config") or {"gen": 0})["gen"]
                     assert held >= floor, f"{station.name} holds {held} for fresh, where {floor} was acknowledged"
@@ -134,7 +134,7 @@
     last = play.highest
     play.works.run_for(2 * SECOND)
     assert play.highest > last
-    assert all(s.process.works.sluice.feed.fresh() for s in play.works.edges if s.process is not None)
+    assert all(s.process.works.gateway.feed.fresh() for s in play.works.edges if s.process is not None)
 
 
 @pytest.mark.parametrize("way", ["whole", "hears nobody", "nobody hears it"])
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -15,8 +15,8 @@
 from oakvale.controlplane.resources import UNSURE, Backends, Config, Give, Reply
 from oakvale.dataplane import routes
 from oakvale.dataplane.backend_protocol import SystemDialect
-from oakvale.dataplane.gateway import EdgeGateway, Readyz
-from oakvale.dataplane.request_router import RequestRouter, ServiceDriver, later
+from oakvale.dataplane.gateway import EdgeGateway, ReadinessOwner
+from oakvale.dataplane.request_router import RequestRouter, ServiceDriver, retry_later_answer
 from oakvale.dissemination.table import Table
 from oakvale.lab import undone
 from oakvale.lab.days import Day, decode
@@ -79,7 +79,7 @@
 
 
 def may_have_run_is_refused(driver: ServiceDriver, request: Any, action: Any) -> Any:
-    return later(503, SECOND // 2, b"try again\n")
+    return retry_later_answer(503, SECOND // 2, b"try again\n")
 
 
 def all_pass(rate_limiter: RateLimiter, tenant: str, again: bool, then: Callable[..., None], *_: Any) -> None:
@@ -94,16 +94,16 @@
 
 
 def first_configuration_stays(sluice: EdgeGateway, keys: list[str], real: Any = EdgeGateway._changed) -> None:
-    held = sluice.router.picture.gen >= 0 and "edge-a" in sluice.settings.node
+    held = sluice.router.snapshot.generation >= 0 and "edge-a" in sluice.settings.node
     real(sluice, [key for key in keys if key != "config"] if held else keys)
 
 
-def older_picture_comes_back(router: RequestRouter, picture: Any, real: Any = RequestRouter.show) -> None:
-    was = router.picture
-    real(router, picture)
-    if picture.gen != was.gen >= 0:
+def older_picture_comes_back(router: RequestRouter, snapshot: Any, real: Any = RequestRouter.apply_snapshot) -> None:
+    was = router.snapshot
+    real(router, snapshot)
+    if snapshot.generation != was.generation >= 0:
         router.loop.at(router.loop.now + 400 * MS, lambda _: real(router, was))
-        router.loop.at(router.loop.now + 1_400 * MS, lambda _: real(router, picture))
+        router.loop.at(router.loop.now + 1_400 * MS, lambda _: real(router, snapshot))
 
 
 def another_tenant(dialect: SystemDialect, attempt: Any, left: int, real: Any = SystemDialect.headers) -> Any:
@@ -168,7 +168,7 @@
     return plain(503, "no") if incoming.method == b"POST" else real(router, client, incoming, came)
 
 
-def never_ready(owner: Readyz, client: Any, incoming: Any, came: int) -> Any:
+def never_ready(owner: ReadinessOwner, client: Any, incoming: Any, came: int) -> Any:
     return plain(503, "not ready")
 
 
@@ -199,7 +199,7 @@
     "a kind is starved": Break(
         "STARVED", day(), {"oakvale.dataplane.request_router.RequestRouter.open": unsafe_ones_are_turned_away}
     ),
-    "gateways are never ready": Break("DUTY", day(), {"oakvale.dataplane.gateway.Readyz.open": never_ready}),
+    "gateways are never ready": Break("DUTY", day(), {"oakvale.dataplane.gateway.ReadinessOwner.open": never_ready}),
     "what may have run is sent again": Break(
         "TWICE", day(LOST_BY_RESET), {"oakvale.policy.attempts.Attempts.repeatable": lambda attempts, held: True}
     ),
@@ -224,13 +224,15 @@
     "who drains is used": Break(
         "DRAIN",
         day(("scale_in", 1.0, {"share": 0.5, "on": "one"}), seconds=12),
-        {"oakvale.dataplane.gateway.backends": all_ready},
+        {"oakvale.dataplane.gateway.update_backends": all_ready},
     ),
     "a configuration does not come": Break(
         "CONFIG", day(MOVES), {"oakvale.dataplane.gateway.EdgeGateway._changed": first_configuration_stays}
     ),
     "a configuration goes back": Break(
-        "CONFIG", day(MOVES), {"oakvale.dataplane.request_router.RequestRouter.show": older_picture_comes_back}
+        "CONFIG",
+        day(MOVES),
+        {"oakvale.dataplane.request_router.RequestRouter.apply_snapshot": older_picture_comes_back},
     ),
     "an invalid one is taken": Break(
         "CONFIG",
@@ -265,7 +267,7 @@
             plan=(("restart", 2.0, {"on": "edge", "share": 1.0}),),
             routes=[route | {"work_ms": 200} for route in SITE["routes"]],
         ),
-        {"oakvale.dataplane.process.Process.stop": lambda process: process.sluice.loop.stop()},
+        {"oakvale.dataplane.process.Process.stop": lambda process: process.gateway.loop.stop()},
     ),
     "who ends goes on calling itself ready": Break(
         "DRAIN",
@@ -277,7 +279,7 @@
                 for route in SITE["routes"]
             ],
         ),
-        {"oakvale.dataplane.gateway.EdgeGateway.ready": lambda sluice: sluice.router.picture.gen >= 0},
+        {"oakvale.dataplane.gateway.EdgeGateway.ready": lambda sluice: sluice.router.snapshot.generation >= 0},
     ),
     "acknowledged before it is kept": Break(
         "CONFIG",
--- a/tests/test_lab_failures.py
+++ b/tests/test_lab_failures.py
@@ -69,7 +69,7 @@
             Spec(
                 name="no-moment",
                 set={
-                    "oakvale.dataplane.request_router.MOMENT": 0,
+                    "oakvale.dataplane.request_router.MAX_COUNTER_DISCOVERY_WAIT_US": 0,
                     "oakvale.ratelimit.service.COUNTER_DISCOVERY_TIMEOUT_US": 0,
                 },
             ),
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from oakvale.dataplane.routes import Picture
+from oakvale.dataplane.routes import RoutingSnapshot
 from oakvale.failover.chains import Chains
 from oakvale.loadbalancing.board_service import Rejected, Selection
 from oakvale.ratelimit.quotas import Quota
@@ -48,7 +48,7 @@
 
 
 def test_nothing_is_denied_before_there_is_a_configuration(gate: Gate) -> None:
-    gate.router.picture = Picture()
+    gate.router.snapshot = RoutingSnapshot()
     client = gate.say("/none/", key="wrong")
     assert gate.status(client) == 503 and b"retry-after" in client.came
 
@@ -71,7 +71,7 @@
 
 def test_a_key_that_may_have_been_taken_away_unheard_is_not_honoured(gate: Gate) -> None:
     """With strict-revoke. A public route and an unknown key are answered as ever."""
-    gate.router.sure = lambda: False
+    gate.router.revocations_current = lambda: False
     client = gate.say()
     assert gate.status(client) == 503 and b"retry-after" in client.came
     assert gate.status(gate.say(rid="a2", key="wrong")) == 401
@@ -283,14 +283,14 @@
     assert gate.status(gate.say("/r/x", key=KEY)) == 401
     gate.say("/r/x", key="new")
     assert b"tenant: t2" in gate.at_backend()[2].lower()
-    assert gate.router.picture.tenants["t2"].quota == Quota()
+    assert gate.router.snapshot.tenants["t2"].quota == Quota()
 
 
 def apart(gate: Gate) -> None:
     """The second backend of service one stands in another zone."""
-    backends = dict(gate.router.picture.backends)
+    backends = dict(gate.router.snapshot.backends)
     backends["i-2"] = replace(backends["i-2"], zone="y")
-    gate.router.show(replace(gate.router.picture, backends=backends))
+    gate.router.apply_snapshot(replace(gate.router.snapshot, backends=backends))
 
 
 def zone_of(name: str) -> str:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -239,9 +239,9 @@
 
 
 def whole(stations: list[Station]) -> bool:
-    lives = {s.name: s.process.works.sluice.life for s in stations if s.up and s.process is not None}
+    lives = {s.name: s.process.works.gateway.incarnation for s in stations if s.up and s.process is not None}
     return len(lives) == len(stations) and all(
-        {n: m.life for n, m in s.process.works.sluice.router.picture.members.items()} == lives  # type: ignore[union-attr]
+        {n: m.life for n, m in s.process.works.gateway.router.snapshot.members.items()} == lives  # type: ignore[union-attr]
         for s in stations
     )
 
@@ -303,7 +303,7 @@
     assert new.up and not old.up and old.machine.off and new.machine.ip not in (s.machine.ip for s in works.cores[:2])
     assert ("gone", (old.name,), (new.name,)) in told and old not in works.cores
     assert sum(s.process.works.core.serving() for s in works.cores if s.process) == 1
-    sluice = works.edges[0].process.works.sluice  # type: ignore[union-attr]
+    sluice = works.edges[0].process.works.gateway  # type: ignore[union-attr]
     sluice._core = [f"10.99.0.{n}:7340" for n in range(24)]  # as many as are remembered, all gone
     sluice.know(((new.machine.ip, 8783),))
     assert sluice._core[1] == f"{new.machine.ip}:7340"
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from oakvale.dataplane.routes import Route, configured
+from oakvale.dataplane.routes import Route, parse_configuration
 from tests.data_plane import CONFIG, Gate, sealed
 
 SPAN, WITHIN = 200, 0.2  # the operators' judge: requests, and how far off a part's share may be
@@ -21,7 +21,7 @@
         "routes": {"cols": ["name", "vhost", "prefix", "type", "deadline", "tries", "split", "public"], "rows": rows},
         "svcs": {"cols": ["name"], "rows": [[name] for name in weights]},
     }
-    return configured(json.dumps(text).encode())["routes"]["a.example"][0]  # type: ignore[no-any-return]
+    return parse_configuration(json.dumps(text).encode())["routes"]["a.example"][0]  # type: ignore[no-any-return]
 
 
 @pytest.mark.parametrize(
