--- a/oakvale/dataplane/__init__.py
+++ b/oakvale/dataplane/__init__.py
@@ -1,4 +1,5 @@
-"""Sluice: the edge role, which carries clients' requests to backends as the news of the control state allow,
-and forms, with the other gateways, the tree of relays and the ring of watchers. It must never change the
-control state, nor decide where a request goes beside its lanes. Begin with `gateway`, then `request_router`.
+"""The data plane: the edge role, called `sluice`, forwards clients' requests to backends as the replicated control
+state allows, and forms with the other gateways the distribution tree of that state and the ring of failure detectors.
+It must never change the control state, nor choose a backend except through the service drivers. Begin with `gateway`,
+then `request_router`.
 """
--- a/oakvale/dataplane/backend_protocol.py
+++ b/oakvale/dataplane/backend_protocol.py
@@ -1,4 +1,4 @@
-"""What backends of the system are told, and how their answers are taken."""
+"""HTTP dialect of the system's backends: headers added to requests, and interpretation of answers."""
 
 from __future__ import annotations
 
@@ -9,29 +9,33 @@
 from oakvale.wire.backends import Spoilt
 from oakvale.wire.http import end_to_end
 
+# Headers that only the gateway may send to a backend; a client's own are dropped.
 GATEWAY_REQUEST_HEADERS = frozenset({b"time-left", b"backend", b"tenant", b"authorization", b"attempt-id"})
+# Headers that a backend addresses to the gateway; they are not forwarded.
 GATEWAY_ANSWER_HEADERS = frozenset({b"not-run", b"served-by", b"keep-alive"})
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*([0-9]{1,6})", re.IGNORECASE)
-NEVER_RAN_STATUSES = (408, 421, 429, 503)  # a client takes these for 'it has not run and never will'
+NEVER_RAN_STATUSES = (408, 421, 429, 503)  # clients take these to mean that the request never ran and never will
 
 
 class SystemDialect:
+    """The `Dialect` of backends that register with the control plane."""
+
     part_may_run = True
 
     def headers(self, attempt: AttemptOut, left: int) -> Headers:
         request = attempt.request
-        order = request.event
-        own = [
+        routed = request.event
+        added = [
             (b"attempt-id", request.id.encode("latin-1")),
             (b"time-left", b"%d" % (left // 1000)),
-            (b"backend", order.driver.backend_id(attempt.backend).encode("latin-1")),
+            (b"backend", routed.driver.backend_id(attempt.backend).encode("latin-1")),
         ]
-        if order.tenant is not None:
-            own.append((b"tenant", order.tenant.encode("latin-1")))
-        return [*end_to_end(request.headers, GATEWAY_REQUEST_HEADERS), *own]
+        if routed.tenant is not None:
+            added.append((b"tenant", routed.tenant.encode("latin-1")))
+        return [*end_to_end(request.headers, GATEWAY_REQUEST_HEADERS), *added]
 
     def belongs(self, attempt: AttemptOut, status: int, headers: Headers) -> bool:
-        """A whole answer bears the attempt's id; one that turns away may bear none."""
+        """A success must carry the attempt's id; an answer with another status may omit it."""
         ids = [value for name, value in headers if name == b"attempt-id"]
         return all(value == attempt.request.id.encode("latin-1") for value in ids) and bool(ids or status >= 300)
 
@@ -39,15 +43,14 @@
         return any(name == b"attempt-id" for name, _ in headers)
 
     def waits(self, attempt: AttemptOut) -> bool:
-        """A backend's silence is no reason to end an answer sooner, but that another may serve. What can't be
-        repeated gains nothing by it; and a gateway that goes puts no answer of its own in the place of one that is
-        under way."""
-        order = attempt.request.event
-        return not order.route.safe or order.driver.stopping
+        """Ending a stalled answer early only helps if another backend may be tried, so an unsafe request waits. A
+        gateway that is stopping waits too, rather than replace an answer in transit with an error."""
+        routed = attempt.request.event
+        return not routed.route.safe or routed.driver.stopping
 
     def check(self, headers: Headers) -> None:
         if any(name == b"content-encoding" and value.lower() != b"identity" for name, value in headers):
-            raise Spoilt("encoded: not what the backend meant")
+            raise Spoilt("answer has a content encoding, which backends never use")
 
     def ending(self, answer: Answer) -> Ending:
         names = {name for name, _ in answer.headers}
@@ -58,29 +61,28 @@
         return Ending.ERROR
 
     def idle(self, headers: Headers) -> int | None:
-        """`Keep-Alive: timeout=10`, in whole seconds."""
+        """Parses `Keep-Alive: timeout=10`, given in whole seconds."""
         for name, value in headers:
-            found = KEEP_ALIVE_TIMEOUT.search(value) if name == b"keep-alive" else None
-            if found is not None:
-                return int(found[1]) * 1_000_000
+            match = KEEP_ALIVE_TIMEOUT.search(value) if name == b"keep-alive" else None
+            if match is not None:
+                return int(match[1]) * 1_000_000
         return None
 
     def report(self, headers: Headers) -> tuple[float, ...]:
         return ()
 
     def passes(self, attempt: AttemptOut, ending: Ending, answer: Answer) -> Answer | None:
-        """A backend's own answer is final where it served, where it speaks of the request, and where the
-        request may not run once more. Its own 429 or 503 that does not say 'not run' would be read as a
-        promise that nobody made."""
+        """A backend's answer is final if it served the request, blames the request (4xx), or the request is unsafe to
+        repeat. An answer without Not-Run whose status promises that nothing ran is replaced with 502."""
         if ending is Ending.SERVED:
             return Answer(answer.status, end_to_end(answer.headers, GATEWAY_ANSWER_HEADERS), answer.body)
         if ending is not Ending.ERROR:
             return None
-        passed = Answer(answer.status, end_to_end(answer.headers, GATEWAY_ANSWER_HEADERS), answer.body)
+        forwarded = Answer(answer.status, end_to_end(answer.headers, GATEWAY_ANSWER_HEADERS), answer.body)
         if answer.status in NEVER_RAN_STATUSES:
-            passed = Answer(502, [(b"content-type", b"text/plain")], b"failed\n")
-        order = attempt.request.event
-        if not order.route.safe or 400 <= answer.status < 500:
-            return passed
-        order.last = passed
+            forwarded = Answer(502, [(b"content-type", b"text/plain")], b"failed\n")
+        routed = attempt.request.event
+        if not routed.route.safe or 400 <= answer.status < 500:
+            return forwarded
+        routed.fallback_answer = forwarded
         return None
--- a/oakvale/dataplane/drain_agent.py
+++ b/oakvale/dataplane/drain_agent.py
@@ -1,7 +1,7 @@
-"""A gateway's part in drains: it follows the moves that the news tell, watches what its tenants have in flight at a
-node that they leave, and tells the primary.
+"""A gateway's part in drains: it follows the tenant moves in the replicated state, tracks what the moved tenants still
+have in flight at the node that they leave, and reports it to the primary.
 
-It costs nothing until the first move is heard.
+Without moves it does no work.
 """
 
 from __future__ import annotations
@@ -18,30 +18,31 @@
 from oakvale.memory.requests import Answer, InHand
 from oakvale.transport.links import Transport
 
-CHECK_INTERVAL_US = 100_000  # microseconds between two looks at what is in flight
-CHECKS_PER_REPORT = 5  # looks between two words to the primary
+CHECK_INTERVAL_US = 100_000
+CHECKS_PER_REPORT = 5
 
 log_event = EventLogger(__name__)
 
 
 class TrackedRequest:
-    """Stands before a request's client, to see how it ends."""
+    """Wraps a request's client to record the final status."""
 
     def __init__(self, request: InHand) -> None:
         self.request, self._client = request, request.client
-        self.there = False  # it had an attempt at the node
+        self.reached_node = False  # at least one attempt was sent to the node
         self.status = 0
         request.client = self
 
     def give(self, answer: Answer) -> None:
+        """Records the status and passes the answer on to the client."""
         self.status = answer.status
         self._client.give(answer)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._client, name)
 
-    def ended(self) -> str | None:
-        """None: not yet. Of one whose client has gone, its attempts may still be out."""
+    def outcome(self) -> str | None:
+        """How the request ended; None while it, or an attempt that outlived its client, is in progress."""
         if not self.request.over or self.request.out:
             return None
         if not self.status:
@@ -59,104 +60,120 @@
 
 @dataclass(slots=True)
 class MoveProgress:
-    """What a tenant had in hand here when it moved."""
+    """Requests of a tenant that were in flight here when it moved."""
 
-    seen: list[TrackedRequest]
-    since: int
-    began: int = 0
-    ends: dict[str, int] = field(default_factory=dict)
+    pending: list[TrackedRequest]
+    started_at: int
+    reached_node: int = 0
+    outcomes: dict[str, int] = field(default_factory=dict)
 
 
 class DrainAgent:
+    """Applies moves to a gateway and reports to the primary until each has settled."""
+
     def __init__(
         self,
         loop: Loop,
         transport: Transport,
         router: RequestRouter,
         node: str,
-        life: str,
+        incarnation: str,
         primary: Callable[[], Address | None],
-        wall: Callable[[], int] | None = None,
+        wall_clock_ms: Callable[[], int] | None = None,
     ) -> None:
         self._loop, self._transport, self._router = loop, transport, router
-        self._node, self._life, self._primary = node, life, primary
-        self._wall = wall or (lambda: loop.net.unix_time() // 1000)
-        self._moves = Moves(node, life)
-        self._watches: dict[str, MoveProgress] = {}
-        self._looking = False
-        self._looks = 0
-
-    def apply_moves(self, entries: list[tuple[str, dict[str, Any]]], born: bool) -> Avoid:
-        """The moves as they are now; gives who avoids what. Called before the picture with it is shown, so that
-        what is in hand now is all that may still go to the node."""
+        self._node, self._incarnation, self._primary = node, incarnation, primary
+        self._wall_clock_ms = wall_clock_ms or (lambda: loop.net.unix_time() // 1000)
+        self._moves = Moves(node, incarnation)
+        self._progress: dict[str, MoveProgress] = {}
+        self._checking = False
+        self._check_count = 0
+
+    def apply_moves(self, entries: list[tuple[str, dict[str, Any]]], is_first_update: bool) -> Avoid:
+        """Takes the current moves; returns the backends that each tenant avoids.
+
+        Must be called before the router gets the snapshot with that result: then only requests that are in flight now
+        can still be sent to the node."""
         moves = dict(entries)
-        for key in self._moves.take(entries, self._wall(), born):
+        for key in self._moves.take(entries, self._wall_clock_ms(), is_first_update):
             move = moves[key]
             log_event("moves", tenant=move["tenant"], node=move["node"], order=move["order"])
-            found = (
+            in_flight = (
                 []
-                if born
+                if is_first_update
                 else [
                     TrackedRequest(request)
                     for request in self._router.requests.all()
-                    if not request.over and self._concerned(request, move)
+                    if not request.over and self._may_reach_node(request, move)
                 ]
             )
-            self._watches[key] = MoveProgress(found, self._loop.now)
-            self._look_at(key, move)
-        for key in [key for key in self._watches if key not in self._moves.away]:
-            del self._watches[key]
+            self._progress[key] = MoveProgress(in_flight, self._loop.now)
+            self._update_progress(key, move)
+        for key in [key for key in self._progress if key not in self._moves.away]:
+            del self._progress[key]
         self._router.draining = self._moves.leaving
-        if self._moves.owed() and not self._looking:
-            self._looking, self._looks = True, 0
-            self._loop.at(self._loop.now, self._look)
+        if self._moves.owed() and not self._checking:
+            self._checking, self._check_count = True, 0
+            self._loop.at(self._loop.now, self._check)
         return self._moves.avoid
 
-    def _concerned(self, request: InHand, move: dict[str, Any]) -> bool:
-        order: RoutedRequest = request.event
-        if (order.tenant or "") != move["tenant"]:
+    def _may_reach_node(self, request: InHand, move: dict[str, Any]) -> bool:
+        routed: RoutedRequest = request.event
+        if (routed.tenant or "") != move["tenant"]:
             return False
         if move["kind"] == "gateway":
             return True
         backend = self._router.snapshot.backends.get(move["node"])
-        return backend is None or order.driver.service == backend.service and move["node"] not in order.driver.without
-
-    def _look_at(self, key: str, move: dict[str, Any]) -> int:
-        """How many of the requests that were in hand may still be at the node."""
-        watch = self._watches[key]
-        left = []
-        for seen in watch.seen:
-            order: RoutedRequest = seen.request.event
-            at = move["kind"] == "gateway" or any(
-                order.driver.backend_id(attempt.backend) == move["node"] for attempt in seen.request.out.values()
+        return (
+            backend is None
+            or routed.driver.service == backend.service
+            and move["node"] not in routed.driver.excluded_backends
+        )
+
+    def _update_progress(self, key: str, move: dict[str, Any]) -> int:
+        """Records what has ended; returns how many of the tracked requests may still be at the node."""
+        progress = self._progress[key]
+        pending = []
+        for tracked in progress.pending:
+            routed: RoutedRequest = tracked.request.event
+            at_node = move["kind"] == "gateway" or any(
+                routed.driver.backend_id(attempt.backend) == move["node"] for attempt in tracked.request.out.values()
             )
-            if at and not seen.there:
-                seen.there = True
-                watch.began += 1
-            how = seen.ended()
-            if how is None:
-                left.append(seen)
-            elif seen.there:
-                watch.ends[how] = watch.ends.get(how, 0) + 1
-        watch.seen = left
-        return len(left)
-
-    def _look(self, _: Any) -> None:
-        owed = self._moves.owed()
-        if not owed:
-            self._looking = False
+            if at_node and not tracked.reached_node:
+                tracked.reached_node = True
+                progress.reached_node += 1
+            outcome = tracked.outcome()
+            if outcome is None:
+                pending.append(tracked)
+            elif tracked.reached_node:
+                progress.outcomes[outcome] = progress.outcomes.get(outcome, 0) + 1
+        progress.pending = pending
+        return len(pending)
+
+    def _check(self, _: Any) -> None:
+        unsettled = self._moves.owed()
+        if not unsettled:
+            self._checking = False
             return
-        self._loop.at(self._loop.now + CHECK_INTERVAL_US, self._look)
-        words = []
-        for key, move in owed.items():
-            watch = self._watches.get(key)
-            left = self._look_at(key, move) if watch is not None else 0
-            if move["kind"] == "gateway" and watch is not None:
-                # the platform passes new connections on until two of its looks have failed
-                comes = self._loop.now - watch.since < self._router.limits.stop_accepting
-                left = max(left, len(self._router.clients.all), int(comes))
-            words.append([key, key in self._moves.away, watch.began if watch else 0, left, watch.ends if watch else {}])
+        self._loop.at(self._loop.now + CHECK_INTERVAL_US, self._check)
+        reports = []
+        for key, move in unsettled.items():
+            progress = self._progress.get(key)
+            pending = self._update_progress(key, move) if progress is not None else 0
+            if move["kind"] == "gateway" and progress is not None:
+                # new connections arrive until the platform's load balancer has seen two failed health checks
+                may_get_connections = self._loop.now - progress.started_at < self._router.limits.stop_accepting
+                pending = max(pending, len(self._router.clients.all), int(may_get_connections))
+            reports.append(
+                [
+                    key,
+                    key in self._moves.away,
+                    progress.reached_node if progress else 0,
+                    pending,
+                    progress.outcomes if progress else {},
+                ]
+            )
         primary = self._primary()
-        if self._looks % CHECKS_PER_REPORT == 0 and words and primary is not None:
-            self._transport.tell(primary, "towed", [self._node, self._life, words])
-        self._looks += 1
+        if self._check_count % CHECKS_PER_REPORT == 0 and reports and primary is not None:
+            self._transport.tell(primary, "towed", [self._node, self._incarnation, reports])
+        self._check_count += 1
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -1,4 +1,4 @@
-"""The data plane of a gateway: requests matched, counted, and given to the lane of their service."""
+"""Request routing in a gateway: matches a request to a route, has it counted, and passes it to a service driver."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 ATTEMPT_ID = re.compile(rb"[!-~]{1,128}")
 DIGITS = re.compile(rb"[0-9]{1,9}")
-MS = 1_000
-SECOND = 1_000_000
-MAX_COUNTER_DISCOVERY_WAIT_US = 250 * MS  # at most, and a fifth of the aim, for a counter to be found
-MAX_TRANSIT_US = 45 * MS  # a first try has lost at most so much of its time when it comes
-MAX_ATTEMPTS = 64  # each route says how many it allows
+MS = 1_000  # microseconds
+SECOND = 1_000_000  # microseconds
+MAX_COUNTER_DISCOVERY_WAIT_US = 250 * MS  # also limited to a fifth of the route's target time
+MAX_TRANSIT_US = 45 * MS  # a first try loses at most this much of its Time-Left on the way here
+MAX_ATTEMPTS = 64  # upper bound; each route sets its own limit
 TEXT = (b"content-type", b"text/plain")
 
 
@@ -46,29 +46,31 @@
 }
 
 
-def retry_later_answer(status: int, wait: int, why: bytes) -> Answer:
-    """A refusal: it never ran, and names a time to come back, in hundredths of a second upwards."""
-    return Answer(status, [TEXT, (b"retry-after", b"%.2f" % (-(-max(wait, 10_000) // 10_000) / 100))], why)
+def retry_later_answer(status: int, wait_us: int, body: bytes) -> Answer:
+    """A refusal of a request that never ran, with Retry-After in seconds, rounded up to hundredths."""
+    return Answer(status, [TEXT, (b"retry-after", b"%.2f" % (-(-max(wait_us, 10_000) // 10_000) / 100))], body)
 
 
 @dataclass(slots=True)
 class RoutedRequest:
-    """A request as the lanes know it."""
+    """Routing state of a request; the `event` of its `InHand`."""
 
     driver: ServiceDriver
     route: Route
     tenant: str | None
     event: i.Request
-    again: bool = False  # its client came back with it
-    given: bool = False  # to the lane
-    pick: Selection | None = None  # the board's advice, until its ticket is handed back
-    youth: int | None = None  # microseconds that a connection for it may have been idle, by the board
-    last: Answer | None = None  # a backend's own failure, if nothing better comes
-    receipt: Receipt = field(default_factory=Receipt)  # of its count, until it is given back
+    is_retry: bool = False  # the client sent an earlier request for the same work
+    handed_to_driver: bool = False
+    selection: Selection | None = None  # the board's advice, until its ticket is returned
+    max_connection_idle_us: int | None = None  # for connections that may carry it, as the board advises
+    fallback_answer: Answer | None = None  # a backend's failure, sent if no later attempt succeeds
+    receipt: Receipt = field(default_factory=Receipt)  # of its count, until it is refunded
 
 
 class ServiceDriver(Driver):
-    """One service: its backends, and the decisions on them."""
+    """Driver of one service: its backends and its policy instance.
+
+    A service has a main driver, and one more for each set of backends that tenants have been moved off."""
 
     def __init__(
         self,
@@ -79,13 +81,12 @@
         zone: str,
         seed: int,
         budget: FleetRetryBudget,
-        give_back: Callable[[Receipt], None],
-        without: frozenset[str] = frozenset(),
+        refund: Callable[[Receipt], None],
+        excluded_backends: frozenset[str] = frozenset(),
     ) -> None:
-        """`give_back`: takes the count of a request that never ran; `without`: backends that the tenants of this lane
-        were moved off.
-        """
-        self.boards, self.without, self._give_back = boards, without, give_back
+        """`refund` returns the count of a request that never ran; `excluded_backends` are never used unless no other
+        backend is ready."""
+        self.boards, self.excluded_backends, self._refund = boards, excluded_backends, refund
         self._classes: dict[str, tuple[int, i.RequestClass]] = {}
         self._zones, self.service = zones, service
         settings = i.Settings(
@@ -107,23 +108,23 @@
         self._numbers: dict[str, int] = {}
         self._addresses: dict[int, Address] = {}
         self._ready: set[int] = set()
-        self._known: dict[str, Backend] = {}
-        self._offers: list[BackendCandidate] = []
-        self._closed: frozenset[str] = frozenset()  # zones that are out for this service
+        self._backends: dict[str, Backend] = {}
+        self._candidates: list[BackendCandidate] = []
+        self._closed_zones: frozenset[str] = frozenset()
         self.has_backend_list = False
 
     def class_number(self, route: Route) -> int:
-        """The number of a route among this lane's classes; a changed route keeps its number."""
-        made = i.RequestClass(
-            aim=route.aim,
-            deadline=route.deadline,
-            tries=route.tries,
+        """The request class number of a route in this driver; a changed route keeps its number."""
+        request_class = i.RequestClass(
+            aim=route.target_us,
+            deadline=route.deadline_us,
+            tries=route.max_attempts,
             effect=i.Effect.SAFE if route.safe else i.Effect.UNSAFE,
         )
         known = self._classes.get(route.name)
-        if known is None or known[1] != made:
+        if known is None or known[1] != request_class:
             number = known[0] if known else len(self._classes)
-            self._classes[route.name] = (number, made)
+            self._classes[route.name] = (number, request_class)
             self.settings = i.replace_classes(self.settings, tuple(c for _, c in self._classes.values()))
             self.gateway.update_settings(self.settings)
             return number
@@ -135,56 +136,63 @@
 
     def final(self, request: InHand, answer: Answer) -> None:
         super().final(request, answer)
-        self._count_back(request)
+        self._refund_if_not_attempted(request)
 
     def client_gone(self, request: InHand) -> None:
         super().client_gone(request)
-        self._count_back(request)
+        self._refund_if_not_attempted(request)
 
-    def _count_back(self, request: InHand) -> None:
-        """Where no attempt was made, it surely never ran."""
+    def _refund_if_not_attempted(self, request: InHand) -> None:
+        """A request without any attempt has certainly not run."""
         if not request.hops:
-            order: RoutedRequest = request.event
-            self._give_back(order.receipt)
+            routed: RoutedRequest = request.event
+            self._refund(routed.receipt)
 
     def update_backends(self, backends: list[Backend], numbers: dict[str, int]) -> None:
-        if self.without:
-            off = kept({b.id: b.ready for b in backends}, self.without)
-            backends = [b for b in backends if b.id not in off]
-        known = {b.id: b for b in backends}
-        if known == self._known and self.has_backend_list:
+        """Takes the service's current backends; closes idle connections to those that may no longer be used."""
+        if self.excluded_backends:
+            excluded = kept({backend.id: backend.ready for backend in backends}, self.excluded_backends)
+            backends = [backend for backend in backends if backend.id not in excluded]
+        current = {backend.id: backend for backend in backends}
+        if current == self._backends and self.has_backend_list:
             return
-        was, self._known, self.has_backend_list = self._known, known, True
-        self._list(numbers)
-        for name, backend in was.items():
-            now = known.get(name)
-            if name not in self.without and (now is None or not now.ready or now.address != backend.address):
+        previous, self._backends, self.has_backend_list = self._backends, current, True
+        self._publish_backends(numbers)
+        for name, backend in previous.items():
+            now = current.get(name)
+            if name not in self.excluded_backends and (now is None or not now.ready or now.address != backend.address):
                 self.idle.free(self._numbers[name])
 
-    def close(self, zones: frozenset[str], numbers: dict[str, int]) -> None:
-        """These zones are out: nothing more goes there. What has gone there and was not answered is given up: the
-        module tries it again if it may run twice and the budget allows, and else answers at once. An attempt that
-        was not written whole ends by itself, in the time for a connection."""
-        came, self._closed = zones - self._closed, zones
-        if not self._list(numbers):
+    def close_zones(self, zones: frozenset[str], numbers: dict[str, int]) -> None:
+        """Stops using these zones and ends the attempts that wait for an answer there.
+
+        The policy retries such a request if it is safe and the retry budget allows, and otherwise answers at once. An
+        attempt that is not wholly written ends with the connect timeout."""
+        newly_closed, self._closed_zones = zones - self._closed_zones, zones
+        if not self._publish_backends(numbers):
             return
-        gone = {self._numbers[b.id] for b in self._known.values() if b.zone in came}
-        for number in gone:
+        closed = {self._numbers[backend.id] for backend in self._backends.values() if backend.zone in newly_closed}
+        for number in closed:
             self.idle.free(number)
         for attempt in [
-            a for r in self.requests.all() if not r.over and r.event.driver is self for a in r.out.values()
+            attempt
+            for request in self.requests.all()
+            if not request.over and request.event.driver is self
+            for attempt in request.out.values()
         ]:
-            if attempt.backend in gone and attempt.written and attempt.connection is not None:
+            if attempt.backend in closed and attempt.written and attempt.connection is not None:
                 self.cancel_attempt(attempt, i.Ending.TIMEOUT)
 
-    def _list(self, numbers: dict[str, int]) -> bool:
-        """Whether zones that are out are left alone: not where nothing else is there."""
-        ready = {b.id for b in self._known.values() if b.ready}
-        up = {name for name in ready if self._known[name].zone not in self._closed}
-        heeds = bool(up) or not ready
-        up = up if heeds else ready
+    def _publish_backends(self, numbers: dict[str, int]) -> bool:
+        """Passes the backend list to the policy; returns whether closed zones are avoided.
+
+        They are not where no backend outside them is ready: an attempt there is better than a refusal."""
+        ready = {backend.id for backend in self._backends.values() if backend.ready}
+        usable = {name for name in ready if self._backends[name].zone not in self._closed_zones}
+        avoids_closed_zones = bool(usable) or not ready
+        usable = usable if avoids_closed_zones else ready
         entries = []
-        for backend in self._known.values():
+        for backend in self._backends.values():
             number = numbers.setdefault(backend.id, len(numbers) + 1)
             self._numbers[backend.id], self._ids[number] = number, backend.id
             address = parse_address(backend.address)
@@ -195,50 +203,58 @@
                 i.Entry(
                     number,
                     self._zones.get(backend.zone, len(self._zones)),
-                    state=i.State.READY if backend.id in up else i.State.DRAINING,
+                    state=i.State.READY if backend.id in usable else i.State.DRAINING,
                     slots=backend.slots,
                 )
             )
-        self._ready = {self._numbers[name] for name in up}
-        offers = [BackendCandidate(b.id, b.zone, b.slots, b.warm) for b in self._known.values() if b.ready]
-        if offers != self._offers:
-            self._offers = offers
+        self._ready = {self._numbers[name] for name in usable}
+        candidates = [
+            BackendCandidate(backend.id, backend.zone, backend.slots, backend.warmup_us)
+            for backend in self._backends.values()
+            if backend.ready
+        ]
+        if candidates != self._candidates:
+            self._candidates = candidates
         self.dispatch(i.Backends(i.ListForm.FULL, tuple(entries)))
-        return heeds
+        return avoids_closed_zones
 
-    def number(self, backend: str) -> int:
-        """0 for one that is not known here."""
+    def backend_number(self, backend: str) -> int:
+        """The policy's number of a backend; 0 if it is unknown here."""
         return self._numbers.get(backend, 0)
 
     def attempt_ended(
         self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
     ) -> None:
-        """All gateways learn of it, by the keeper of the service's board."""
-        order: RoutedRequest = attempt.request.event
+        """Reports the result to the holder of the service's board, which advises all gateways."""
+        routed: RoutedRequest = attempt.request.event
         name, latency, outcome = self.backend_id(attempt.backend), self.loop.now - attempt.sent, OUTCOMES[ending]
         if attempt.hop in attempt.request.out:
-            if order.pick is not None and order.pick.backend == name:
-                dropped = attempt.idled if attempt.dropped else 0
-                self.boards.report_attempt(order.pick, order.route.name, latency, outcome, dropped, attempt.kept)
-                order.pick = None
+            if routed.selection is not None and routed.selection.backend == name:
+                dropped_after_idle_us = attempt.idled if attempt.dropped else 0
+                self.boards.report_attempt(
+                    routed.selection, routed.route.name, latency, outcome, dropped_after_idle_us, attempt.kept
+                )
+                routed.selection = None
             else:
                 self.boards.report_unselected_attempt(
-                    self.service, name, order.route.name, latency, outcome, attempt.kept
+                    self.service, name, routed.route.name, latency, outcome, attempt.kept
                 )
         super().attempt_ended(attempt, ending, answer, report)
 
     def retire(self) -> None:
-        """Nobody is given to this lane any more; its timers end with what it has in hand."""
-        self._action_handlers[i.Wake] = self._last_wakes
+        """Called when no more requests will come: timers are set only while some are still pending."""
+        self._action_handlers[i.Wake] = self._wake_while_pending
 
-    def _last_wakes(self, action: i.Wake) -> None:
+    def _wake_while_pending(self, action: i.Wake) -> None:
         if any(request.event.driver is self for request in self.requests.all()):
             self._wake(action)
 
-    def offers(self) -> list[BackendCandidate]:
-        return self._offers
+    def candidates(self) -> list[BackendCandidate]:
+        """The ready backends, as the board selects from them."""
+        return self._candidates
 
     def backend_id(self, number: int) -> str:
+        """The name of a backend with this number; empty if it is unknown here."""
         return self._ids.get(number, "")
 
     def address(self, backend: int) -> Address | None:
@@ -248,14 +264,14 @@
         return backend in self._ready
 
     def max_connection_idle(self, request: InHand) -> int | None:
-        """What may run once only is not risked on a connection that its backend may have forgotten."""
-        order: RoutedRequest = request.event
-        return order.youth
+        """An unsafe request must not go out on a connection that its backend may have closed without notice."""
+        routed: RoutedRequest = request.event
+        return routed.max_connection_idle_us
 
     def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
-        order: RoutedRequest = request.event
-        if order.last is not None:
-            return order.last
+        routed: RoutedRequest = request.event
+        if routed.fallback_answer is not None:
+            return routed.fallback_answer
         self.tally.refusals["may_have_run" if isinstance(action, i.Fail) else "no_backend"] += 1
         if isinstance(action, i.Fail):
             return Answer(502, [TEXT], b"it may have run\n")
@@ -263,7 +279,7 @@
 
 
 class RequestRouter(ConnectionOwner):
-    """The owner of clients' connections."""
+    """Owns the clients' connections and hands each request to the driver of its service."""
 
     def __init__(
         self,
@@ -273,73 +289,80 @@
         node: str,
         zones: list[str],
         zone: str,
-        retries: RetryLimits,
+        retry_limits: RetryLimits,
     ) -> None:
         super().__init__(shared)
         self.rate_limiter = rate_limiter
         self.boards = LoadBoards(
-            shared.loop, transport, rate_limiter, node, zone, lambda service: self._driver(service).offers()
+            shared.loop, transport, rate_limiter, node, zone, lambda service: self._driver(service).candidates()
+        )
+        self.boards.on_zones_closed = lambda service, zones: self._driver(service).close_zones(
+            zones, self._backend_numbers
         )
-        self.boards.on_zones_closed = lambda service, zones: self._driver(service).close(zones, self._numbers)
         self.snapshot = RoutingSnapshot()
         self._zones, self._zone = {name: n for n, name in enumerate(zones)}, zone
         self._drivers: dict[str, ServiceDriver] = {}
-        self._aside: dict[tuple[str, frozenset[str]], ServiceDriver] = {}  # of tenants that were moved off backends
-        self.draining = False  # this gateway is drained: its clients are to come back elsewhere
-        self._numbers: dict[str, int] = {}
-        self._rng, self._retries = self.loop.net.rng, retries
+        self._drivers_with_exclusions: dict[tuple[str, frozenset[str]], ServiceDriver] = {}  # for moved tenants
+        self.draining = False  # clients are to reconnect to other gateways
+        self._backend_numbers: dict[str, int] = {}  # shared by all drivers
+        self._rng, self._retry_limits = self.loop.net.rng, retry_limits
         self.admission_closed = False
-        self._idle_held = (0, 0)  # microseconds that clients may think a connection may be idle, and until when
-        self._longest: dict[str, int] = {}  # route -> the longest that a client would wait
-        self.revocations_current: Callable[[], bool] = lambda: True  # whether a key's removal would have been heard of
+        self._previous_client_idle = (0, 0)  # a longer idle limit that clients may still assume, and until when
+        self._longest_wait_us: dict[str, int] = {}  # by route
+        self.revocations_current: Callable[[], bool] = lambda: True  # whether a revoked key would be known here
 
     @property
     def stopping(self) -> bool:
-        """Answers say that their connection ends, and `readyz` sends nobody here."""
+        """While true, answers announce that their connection closes, and `readyz` reports not ready."""
         return self.shared.stopping or self.draining
 
     @stopping.setter
-    def stopping(self, stops: bool) -> None:
-        self.shared.stopping = stops
+    def stopping(self, stopping: bool) -> None:
+        self.shared.stopping = stopping
 
-    # ---- the news
+    # ---- configuration and state updates
 
     def apply_snapshot(self, snapshot: RoutingSnapshot) -> None:
-        """Everything from here on is decided by this picture."""
-        was, self.snapshot = self.snapshot, snapshot
-        if snapshot.generation != was.generation:
-            self._longest.clear()
-            before = was.clients.within(self.shared.limits).client_idle
-            if was.generation >= 0 and snapshot.clients.within(self.shared.limits).client_idle < before:
-                self._idle_held = max(before, self.limits.client_idle), self.loop.now + before
-                self.loop.at(self._idle_held[1], self._bound)
-            self._bound()
-        if snapshot.backends is not was.backends:
+        """Uses this snapshot for all requests from now on."""
+        previous, self.snapshot = self.snapshot, snapshot
+        if snapshot.generation != previous.generation:
+            self._longest_wait_us.clear()
+            previous_idle_us = previous.clients.within(self.shared.limits).client_idle
+            if previous.generation >= 0 and snapshot.clients.within(self.shared.limits).client_idle < previous_idle_us:
+                self._previous_client_idle = (
+                    max(previous_idle_us, self.limits.client_idle),
+                    self.loop.now + previous_idle_us,
+                )
+                self.loop.at(self._previous_client_idle[1], self._update_limits)
+            self._update_limits()
+        if snapshot.backends is not previous.backends:
             by_service: dict[str, list[Backend]] = {}
             for backend in snapshot.backends.values():
                 by_service.setdefault(backend.service, []).append(backend)
-            for service in dict.fromkeys([*self._drivers, *by_service]):  # in an order that a replay has too
-                self._driver(service).update_backends(by_service.get(service, []), self._numbers)
-            for (service, _), driver in self._aside.items():
-                driver.update_backends(by_service.get(service, []), self._numbers)
-        if snapshot.avoid is not was.avoid:
-            held = {off for off in snapshot.avoid.values()}
-            for key in [key for key in self._aside if not any(key[1] <= off for off in held)]:
-                self._aside.pop(key).retire()
-
-    def _bound(self, _: Any = None) -> None:
-        """Clients go by a longer bound on idle connections until they have heard that it is a shorter one."""
+            for service in dict.fromkeys([*self._drivers, *by_service]):  # a deterministic order, for replays
+                self._driver(service).update_backends(by_service.get(service, []), self._backend_numbers)
+            for (service, _), driver in self._drivers_with_exclusions.items():
+                driver.update_backends(by_service.get(service, []), self._backend_numbers)
+        if snapshot.avoid is not previous.avoid:
+            avoided_sets = {avoided for avoided in snapshot.avoid.values()}
+            for key in [
+                key for key in self._drivers_with_exclusions if not any(key[1] <= avoided for avoided in avoided_sets)
+            ]:
+                self._drivers_with_exclusions.pop(key).retire()
+
+    def _update_limits(self, _: Any = None) -> None:
+        """A shorter idle limit takes effect once clients that rely on the longer one have had time to notice."""
         limits = self.snapshot.clients.within(self.shared.limits)
-        held, until = self._idle_held
+        previous_idle_us, until = self._previous_client_idle
         if self.loop.now < until:
-            limits = replace(limits, client_idle=max(limits.client_idle, held))
+            limits = replace(limits, client_idle=max(limits.client_idle, previous_idle_us))
         self.limits = limits
 
     def _driver(self, service: str) -> ServiceDriver:
         driver = self._drivers.get(service)
         if driver is None:
             budget = FleetRetryBudget(
-                self._retries, lambda: len(self.snapshot.members), self._rng.random, self.loop.now
+                self._retry_limits, lambda: len(self.snapshot.members), self._rng.random, self.loop.now
             )
             driver = self._drivers[service] = ServiceDriver(
                 self.shared,
@@ -354,18 +377,18 @@
         return driver
 
     def _driver_for_tenant(self, service: str, tenant: str | None) -> ServiceDriver:
-        """The lane of a tenant that was moved off some backends, if the service has any of them."""
+        """The driver of the service without the backends that the tenant was moved off, if it has any of them."""
         driver = self._driver(service)
-        without = frozenset(
+        excluded = frozenset(
             name
             for name in self.snapshot.avoid.get(tenant or "", ())
             if (found := self.snapshot.backends.get(name)) is not None and found.service == service
         )
-        if not without:
+        if not excluded:
             return driver
-        aside = self._aside.get((service, without))
-        if aside is None:
-            aside = self._aside[service, without] = ServiceDriver(
+        narrowed = self._drivers_with_exclusions.get((service, excluded))
+        if narrowed is None:
+            narrowed = self._drivers_with_exclusions[service, excluded] = ServiceDriver(
                 self.shared,
                 self.boards,
                 service,
@@ -374,23 +397,27 @@
                 self._rng.getrandbits(32),
                 driver.budget,
                 self.rate_limiter.refund,
-                without,
+                excluded,
             )
-            aside.update_backends([b for b in self.snapshot.backends.values() if b.service == service], self._numbers)
-        return aside
+            narrowed.update_backends(
+                [backend for backend in self.snapshot.backends.values() if backend.service == service],
+                self._backend_numbers,
+            )
+        return narrowed
 
     # ---- requests
 
-    def open(self, client: Any, incoming: Incoming, came: int) -> Answer | InHand:
+    def open(self, client: Any, incoming: Incoming, arrived: int) -> Answer | InHand:
+        """Checks a request that was received; returns it, or the answer where it goes no further."""
         snapshot, fields = self.snapshot, incoming.fields
         if snapshot.generation < 0:
             return retry_later_answer(503, SECOND // 2, b"no configuration yet\n")
-        if snapshot.clients.head and incoming.head_size() > self.limits.header:
+        if snapshot.clients.max_head_bytes and incoming.head_size() > self.limits.header:
             raise BadRequest(431, "head too large")
         if incoming.method == b"CONNECT":  # a success would turn the connection into a tunnel
             raise BadRequest(405, "no tunnels")
-        rid = fields.get(b"attempt-id", b"")
-        if not ATTEMPT_ID.fullmatch(rid):
+        request_id = fields.get(b"attempt-id", b"")
+        if not ATTEMPT_ID.fullmatch(request_id):
             raise BadRequest(400, "Attempt-Id is missing or not understood")
         host = fields.get(b"host", b"").decode("latin-1").lower()
         if host not in snapshot.routes:
@@ -402,98 +429,101 @@
         tenant = None
         if snapshot.keys is not None and not route.public:
             scheme, _, key = fields.get(b"authorization", b"").decode("latin-1").partition(" ")
-            holder = snapshot.keys.get(key.strip()) if scheme.lower() == "bearer" else None
-            if holder is None:
+            key_owner = snapshot.keys.get(key.strip()) if scheme.lower() == "bearer" else None
+            if key_owner is None:
                 return plain(401, "no such key")
             if not self.revocations_current():
                 return retry_later_answer(503, SECOND // 2, b"keys may be out of date\n")
-            tenant = holder.name
-        name = rid.decode("latin-1")
+            tenant = key_owner.name
+        name = request_id.decode("latin-1")
         if self.requests.get(name) is not None:
             raise BadRequest(409, "Attempt-Id is of a request in hand")
         if self.admission_closed or self.requests.full():
             return retry_later_answer(503, SECOND // 2, b"no room\n")
-        left = fields.get(b"time-left", b"")
-        wait = min(route.deadline, int(left) * MS if DIGITS.fullmatch(left) else route.deadline)
-        service = route.service(self._rng.random())
+        time_left = fields.get(b"time-left", b"")
+        wait_us = min(route.deadline_us, int(time_left) * MS if DIGITS.fullmatch(time_left) else route.deadline_us)
+        service = route.choose_service(self._rng.random())
         driver = self._driver_for_tenant(service, tenant) if snapshot.avoid else self._driver(service)
-        event = i.Request(name, "", driver.class_number(route), 0, 1.0, 1, 0, came + wait)
-        order = RoutedRequest(driver, route, tenant, event, again=self._comes_again(route, wait))
+        event = i.Request(name, "", driver.class_number(route), 0, 1.0, 1, 0, arrived + wait_us)
+        routed = RoutedRequest(driver, route, tenant, event, is_retry=self._is_retry(route, wait_us))
         return InHand(
-            name, client, incoming.method, incoming.target, incoming.headers, incoming.body, event.deadline, order
+            name, client, incoming.method, incoming.target, incoming.headers, incoming.body, event.deadline, routed
         )
 
-    def _comes_again(self, route: Route, wait: int) -> bool:
-        """First tries of a route all wait for the longest that any did, less their way here."""
-        longest = max(wait, self._longest.get(route.name, 0))
-        self._longest[route.name] = longest
-        return wait < longest - MAX_TRANSIT_US
+    def _is_retry(self, route: Route, wait_us: int) -> bool:
+        """Whether a client has sent this request before, judged by its Time-Left.
+
+        First tries of a route all start with the same time, and lose at most MAX_TRANSIT_US on the way here."""
+        longest = max(wait_us, self._longest_wait_us.get(route.name, 0))
+        self._longest_wait_us[route.name] = longest
+        return wait_us < longest - MAX_TRANSIT_US
 
     def begin(self, request: InHand) -> None:
-        order: RoutedRequest = request.event
+        """Starts a request that `open` returned: counts it against its tenant's quota, if it has one."""
+        routed: RoutedRequest = request.event
         self.requests.add(request)
-        if order.tenant is None:
-            return self._go(request)
-        patience = min(MAX_COUNTER_DISCOVERY_WAIT_US, order.route.aim // 5)
+        if routed.tenant is None:
+            return self._select_backend(request)
+        max_wait_us = min(MAX_COUNTER_DISCOVERY_WAIT_US, routed.route.target_us // 5)
         self.rate_limiter.count_request(
-            order.tenant, order.again, partial(self._counted, request), patience, order.receipt
+            routed.tenant, routed.is_retry, partial(self._on_counted, request), max_wait_us, routed.receipt
         )
 
-    def _counted(self, request: InHand, passes: bool, wait: int, counted: bool) -> None:
+    def _on_counted(self, request: InHand, within_quota: bool, wait_us: int, counted: bool) -> None:
         if request.over:
-            return self.rate_limiter.refund(request.event.receipt)  # its client left while it was counted
-        if passes:
-            return self._go(request)
+            return self.rate_limiter.refund(request.event.receipt)  # the client left in the meantime
+        if within_quota:
+            return self._select_backend(request)
         self.tally.refusals["quota" if counted else "uncounted"] += 1
         if counted:
-            self.final(request, retry_later_answer(429, wait, b"over the quota\n"))
+            self.final(request, retry_later_answer(429, wait_us, b"over the quota\n"))
         else:
-            self.final(request, retry_later_answer(503, wait, b"not counted\n"))
+            self.final(request, retry_later_answer(503, wait_us, b"not counted\n"))
 
-    def _go(self, request: InHand) -> None:
-        order: RoutedRequest = request.event
+    def _select_backend(self, request: InHand) -> None:
+        routed: RoutedRequest = request.event
         facts = None
         if self.boards.chains is not None:
-            route = order.route
-            holder = self.snapshot.tenants.get(order.tenant) if order.tenant is not None else None
-            rank = route.prio if holder is None or holder.prio is None else int(holder.prio)
-            facts = RequestFacts(route.name, rank, order.tenant or "", route.safe, route.aim)
+            route = routed.route
+            tenant = self.snapshot.tenants.get(routed.tenant) if routed.tenant is not None else None
+            priority = route.priority if tenant is None or tenant.priority is None else int(tenant.priority)
+            facts = RequestFacts(route.name, priority, routed.tenant or "", route.safe, route.target_us)
         self.boards.select(
-            order.driver.service,
+            routed.driver.service,
             request.deadline - self.loop.now,
-            partial(self._advised, request),
+            partial(self._on_selected, request),
             facts,
-            order.driver.without,
+            routed.driver.excluded_backends,
         )
 
-    def _advised(self, request: InHand, pick: Selection | Rejected | None) -> None:
-        order: RoutedRequest = request.event
-        if isinstance(pick, Rejected):
+    def _on_selected(self, request: InHand, selection: Selection | Rejected | None) -> None:
+        routed: RoutedRequest = request.event
+        if isinstance(selection, Rejected):
             if not request.over:
                 self.tally.refusals["no_room"] += 1
-                self.final(request, retry_later_answer(503, pick.wait_us, b"no place has room\n"))
+                self.final(request, retry_later_answer(503, selection.wait_us, b"no place has room\n"))
             return
         if not request.over:
-            order.given, order.pick = True, pick
-            if pick is not None:
-                order.youth = None if order.route.safe else pick.max_idle_us
-                order.event = replace(order.event, preferred_backend=order.driver.number(pick.backend))
-            order.driver.request_received(request, order.event)
-            pick, out = order.pick, {attempt.backend for attempt in request.out.values()}
-            if pick is None or order.driver.number(pick.backend) in out:
+            routed.handed_to_driver, routed.selection = True, selection
+            if selection is not None:
+                routed.max_connection_idle_us = None if routed.route.safe else selection.max_idle_us
+                routed.event = replace(routed.event, preferred_backend=routed.driver.backend_number(selection.backend))
+            routed.driver.request_received(request, routed.event)
+            selection, attempted = routed.selection, {attempt.backend for attempt in request.out.values()}
+            if selection is None or routed.driver.backend_number(selection.backend) in attempted:
                 return
-        if pick is not None:  # not followed
-            order.pick = None
-            self.boards.report_attempt(pick, order.route.name, 0, "none")
+        if selection is not None:  # the policy did not use it
+            routed.selection = None
+            self.boards.report_attempt(selection, routed.route.name, 0, "none")
 
     def final(self, request: InHand, answer: Answer) -> None:
-        """The answer to a request that was given to no lane."""
+        """Answers a request that was not handed to a driver."""
         super().final(request, answer)
         self.rate_limiter.refund(request.event.receipt)
 
     def client_gone(self, request: InHand) -> None:
-        order: RoutedRequest = request.event
-        if order.given:
-            return order.driver.client_gone(request)
+        routed: RoutedRequest = request.event
+        if routed.handed_to_driver:
+            return routed.driver.client_gone(request)
         self.abandon(request)
-        self.rate_limiter.refund(order.receipt)
+        self.rate_limiter.refund(routed.receipt)
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -29,7 +29,7 @@
 )
 def test_each_part_gets_its_share_in_every_span(weights: dict[str, float]) -> None:
     route, draw, whole = route_of(weights), random.Random(1), sum(weights.values())
-    named = [route.service(draw.random()) for _ in range(20 * SPAN)]
+    named = [route.choose_service(draw.random()) for _ in range(20 * SPAN)]
     for begin in range(0, len(named) - SPAN, 50):
         counted = Counter(named[begin : begin + SPAN])
         for name, weight in weights.items():
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("draw, service", [(0.0, "a"), (0.899999, "a"), (0.9, "b"), (0.999999, "b")])
 def test_the_bounds_of_the_parts(draw: float, service: str) -> None:
-    assert route_of({"a": 90, "b": 10}).service(draw) == service
+    assert route_of({"a": 90, "b": 10}).choose_service(draw) == service
 
 
 def test_the_data_plane_draws_for_each_request(gate: Gate) -> None:
