--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway of the edge role: it joins its parts and keeps its place among the others."""
+"""A gateway of the edge role: connects its components and maintains its membership among the other gateways."""
 
 from __future__ import annotations
 
@@ -29,23 +29,23 @@
 from oakvale.transport.links import Answer, Connection, Transport
 from oakvale.wire.clients import Incoming, plain
 
-MAX_CORE_ADDRESSES = 24  # core machines' addresses that are remembered
-JOIN_RETRY_US = 150_000  # microseconds between two tries to join
-MEMBERSHIP_CHECK_INTERVAL_US = 3_000_000  # between two looks whether the list still has this gateway
+MAX_CORE_ADDRESSES = 24
+JOIN_RETRY_US = 150_000
+MEMBERSHIP_CHECK_INTERVAL_US = 3_000_000  # once this gateway is in the member list
 HEARTBEAT_INTERVAL_US = 500_000
 WATCHERS_PER_GATEWAY = 3
-HEARTBEAT_TIMEOUT_US = 2_200_000  # without a heartbeat for so long, the primary is told
+HEARTBEAT_TIMEOUT_US = 2_200_000  # then the gateway is reported to the primary as missing
 SWEEP_INTERVAL_US = 1_000_000
-MAX_STATE_AGE_US = 2_000_000  # without news for so long, what they said of silent places is not gone by
+MAX_STATE_AGE_US = 2_000_000  # older state does not count as evidence that a location is down
 
 log_event = EventLogger(__name__)
 
 
 class ReadinessOwner:
-    """The owner of `readyz` connections: the same bounds, one answer."""
+    """Owns connections to the `readyz` listener. The gateway's limits apply, and each request is answered at once."""
 
-    def __init__(self, shared: SharedResources, sluice: EdgeGateway) -> None:
-        self._sluice = sluice
+    def __init__(self, shared: SharedResources, gateway: EdgeGateway) -> None:
+        self._gateway = gateway
         self.loop, self.limits, self.log = shared.loop, shared.limits, shared.log
         self.buffers, self.bodies, self.response = shared.buffers, shared.bodies, shared.response
         self.clients = type(shared.clients)(self.limits.client_grace, 16)
@@ -53,35 +53,43 @@
         self.stopping = False
 
     def waited(self, arrived: int) -> int:
+        """How long a request waited before it was read; not measured here."""
         return 0
 
-    def open(self, client: Any, incoming: Incoming, came: int) -> HttpAnswer | InHand:
+    def open(self, client: Any, incoming: Incoming, arrived: int) -> HttpAnswer | InHand:
+        """Answers a readiness check."""
         if incoming.target != b"/oakvale/readyz":
             return plain(404, "no such call")
-        return plain(200, "ready") if self._sluice.ready() else plain(503, "not ready")
+        return plain(200, "ready") if self._gateway.ready() else plain(503, "not ready")
 
     def begin(self, request: InHand) -> None:
-        raise AssertionError("answered at once")
+        """Never called, as `open` always answers."""
+        raise AssertionError("readiness checks are answered in open()")
 
     def client_gone(self, request: InHand) -> None:
-        raise AssertionError("answered at once")
+        """Never called, as `open` always answers."""
+        raise AssertionError("readiness checks are answered in open()")
 
 
 class EdgeGateway:
+    """All components of one gateway, connected to its listeners and the event loop."""
+
     def __init__(self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop) -> None:
         self.settings = settings
         limits = bounds(settings)
         self.loop = loop
         self.incarnation = loop.net.token(6)
-        # two roles of a machine share its ports: the headworks takes the first
+        # a machine's control plane process has the first port
         self.transport = Transport(self.loop, (settings.ip, settings.ports[0] + 1))
         self.self_address = spelled(self.transport.own)
         self.table = Table()
         self.shared = SharedResources(self.loop, limits)
-        self._core = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]  # the primary first, if known
+        self._core_addresses = [
+            f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds
+        ]  # the primary first once it is known
         self._voters: list[str] = []
-        given = settings.bounds
-        terms = QuotaTerms(given.quota_win, given.quota_excess, given.quota_slack)
+        bounds_settings = settings.bounds
+        terms = QuotaTerms(bounds_settings.quota_win, bounds_settings.quota_excess, bounds_settings.quota_slack)
         self.rate_limiter = RateLimiter(
             self.loop,
             self.transport,
@@ -89,9 +97,9 @@
             settings.node,
             self.incarnation,
             self.self_address,
-            self._members,
+            self._current_members,
             lambda: self._voters,
-            self._quota,
+            self._tenant_quota,
         )
         self.router = RequestRouter(
             self.shared,
@@ -100,40 +108,42 @@
             settings.node,
             sorted(settings.zones),
             settings.zone,
-            RetryLimits(given.retry_win, given.retry_ratio, given.retry_slack),
+            RetryLimits(bounds_settings.retry_win, bounds_settings.retry_ratio, bounds_settings.retry_slack),
         )
         self.feed = Feed(
             self.loop,
             self.transport,
             self.table,
             lambda: {"node": settings.node, "life": self.incarnation},
-            self._sources,
-            self._changed,
+            self._state_sources,
+            self._on_state_update,
         )
-        if given.strict_revoke:  # half of it: a pulse may have been on its way through the relays for the rest
-            self.router.revocations_current = lambda: self.feed.fresh(given.revoke // 2)
+        if bounds_settings.strict_revoke:  # half of it, as a heartbeat may take the rest of the time through the relays
+            self.router.revocations_current = lambda: self.feed.fresh(bounds_settings.revoke // 2)
         self.drain_agent = DrainAgent(
             self.loop,
             self.transport,
             self.router,
             settings.node,
             self.incarnation,
-            lambda: parse_address(self._core[0]) if self._core else None,
+            lambda: parse_address(self._core_addresses[0]) if self._core_addresses else None,
         )
-        self._born = True  # no news have come yet
-        self._watchers: list[Member] = []  # this gateway's, and those that it watches itself
-        self._watched: list[Member] = []
-        self._heard: dict[str, int] = {}  # node and life -> its last heartbeat here
-        self._quiet: frozenset[tuple[str, str]] = frozenset()  # service and zone whose backends the primary misses
-        self._gated: set[str] = set()  # zones that ever had a gateway
-        self._bare: frozenset[str] = frozenset()  # of these, those that have none now
-        self._sweeps = 0
-        self.router.boards.missing_gateways = self._missing
-        self._turn = 0
-        self._joined = self._asking = False
-        self.transport.handlers["alive"] = self._alive
-        self.loop.at(self.loop.now, self._join)
-        self.loop.at(self.loop.now + HEARTBEAT_INTERVAL_US, self._beat)
+        self._is_first_update = True
+        self._watchers: list[Member] = []  # gateways that monitor this one
+        self._watched: list[Member] = []  # gateways that this one monitors
+        self._last_heartbeat: dict[str, int] = {}  # "node incarnation" -> when it arrived
+        self._silent_backends: frozenset[tuple[str, str]] = (
+            frozenset()
+        )  # (service, zone) whose backends stopped sending heartbeats
+        self._zones_ever_with_gateway: set[str] = set()
+        self._zones_without_gateway: frozenset[str] = frozenset()  # that had one before
+        self._sweep_count = 0
+        self.router.boards.missing_gateways = self._failure_evidence
+        self._next_core_index = 0
+        self._joined = self._join_pending = False
+        self.transport.handlers["alive"] = self._on_heartbeat
+        self.loop.at(self.loop.now, self._check_membership)
+        self.loop.at(self.loop.now + HEARTBEAT_INTERVAL_US, self._send_heartbeats)
         self.loop.at(self.loop.now + SWEEP_INTERVAL_US, self._sweep)
         self.client_acceptor = Acceptor(
             self.router, listeners["http"], self.loop, lambda: self.router.snapshot.generation >= 0
@@ -145,12 +155,14 @@
         self.host = self.router
         self.transport.listen()
 
-    # ---- for the shutdown
+    # ---- shutdown and readiness
 
     def accept_one(self) -> bool:
+        """Accepts one waiting client; False if there is none. Raises OSError."""
         return self.client_acceptor.accept_one()
 
     def ready(self) -> bool:
+        """Whether the platform may send clients here."""
         snapshot = self.router.snapshot
         return (
             snapshot.generation >= 0
@@ -160,38 +172,49 @@
         )
 
     def know(self, seeds: tuple[Address, ...]) -> None:
-        """Other core machines than those that are known, perhaps; tried behind the primary. Behind all that are
-        remembered, which may all be gone, they would be forgotten at once."""
-        named = [f"{ip}:{self.settings.ports[0]}" for ip, _ in seeds]
-        self._core = list(dict.fromkeys([*self._core[:1], *named, *self._core]))[:MAX_CORE_ADDRESSES]
+        """Adds addresses of core machines, which are tried right after the primary.
+
+        At the end of a full list they would be dropped at once, even if every older address is obsolete."""
+        addresses = [f"{ip}:{self.settings.ports[0]}" for ip, _ in seeds]
+        self._core_addresses = list(dict.fromkeys([*self._core_addresses[:1], *addresses, *self._core_addresses]))[
+            :MAX_CORE_ADDRESSES
+        ]
 
-    # ---- the list of gateways
+    # ---- membership
 
-    def _members(self) -> Members:
+    def _current_members(self) -> Members:
         return self.router.snapshot.members
 
-    def _quota(self, tenant: str) -> Quota:
-        found = self.router.snapshot.tenants.get(tenant)
-        return found.quota if found else Quota()
-
-    def _sources(self, failed: dict[str, int]) -> list[str]:
-        return sources(self.router.snapshot.members, self.settings.node, self.settings.zone, self._core, failed)
-
-    def _join(self, _: Any) -> None:
-        """Until the list has this gateway, and again whenever it has not."""
-        own = self.router.snapshot.members.get(self.settings.node)
-        here = own is not None and own.life == self.incarnation
-        self.loop.at(self.loop.now + (MEMBERSHIP_CHECK_INTERVAL_US if here else JOIN_RETRY_US), self._join)
-        if not here or not self._joined:
-            self._ask_in()
-
-    def _ask_in(self) -> None:
-        """Asks one core machine; at once the next where that one names the primary."""
-        address = parse_address(self._core[self._turn % len(self._core)]) if self._core else None
-        if address is None or self._asking:
+    def _tenant_quota(self, tenant: str) -> Quota:
+        known = self.router.snapshot.tenants.get(tenant)
+        return known.quota if known else Quota()
+
+    def _state_sources(self, failed: dict[str, int]) -> list[str]:
+        return sources(
+            self.router.snapshot.members, self.settings.node, self.settings.zone, self._core_addresses, failed
+        )
+
+    def _check_membership(self, _: Any) -> None:
+        """Sends join requests until the member list has this gateway, and again if it is removed."""
+        member = self.router.snapshot.members.get(self.settings.node)
+        listed = member is not None and member.life == self.incarnation
+        self.loop.at(
+            self.loop.now + (MEMBERSHIP_CHECK_INTERVAL_US if listed else JOIN_RETRY_US), self._check_membership
+        )
+        if not listed or not self._joined:
+            self._send_join()
+
+    def _send_join(self) -> None:
+        """Asks the next core machine; if it names another primary, that one is asked at once."""
+        address = (
+            parse_address(self._core_addresses[self._next_core_index % len(self._core_addresses)])
+            if self._core_addresses
+            else None
+        )
+        if address is None or self._join_pending:
             return
-        self._turn += 1
-        self._asking = True
+        self._next_core_index += 1
+        self._join_pending = True
         body = {
             "node": self.settings.node,
             "addr": self.self_address,
@@ -200,111 +223,115 @@
         }
 
         def answered(answer: Any) -> None:
-            self._asking = False
+            self._join_pending = False
             if not isinstance(answer, dict):
                 return
             if answer.get("joined"):
                 self._joined = True
             elif answer.get("primary") and answer["primary"] != spelled(address):
-                self._know(str(answer["primary"]))
-                self._ask_in()
+                self._set_primary(str(answer["primary"]))
+                self._send_join()
 
         self.transport.ask(address, "join", body, 4 * JOIN_RETRY_US, answered)
 
-    def _know(self, primary: str) -> None:
-        """Put first among the core machines; tried next."""
-        self._core = list(dict.fromkeys([primary, *self._core]))[:MAX_CORE_ADDRESSES]
-        self._turn = 0
+    def _set_primary(self, primary: str) -> None:
+        """Makes this the first core address, which is tried next."""
+        self._core_addresses = list(dict.fromkeys([primary, *self._core_addresses]))[:MAX_CORE_ADDRESSES]
+        self._next_core_index = 0
 
-    def _beat(self, _: Any) -> None:
-        """To this gateway's watchers; and a look at those that it watches itself."""
+    def _send_heartbeats(self, _: Any) -> None:
+        """Sends a heartbeat to this gateway's watchers, and reports watched gateways whose heartbeats are missing."""
         now = self.loop.now
-        self.loop.at(now + HEARTBEAT_INTERVAL_US, self._beat)
-        everyone = self.router.snapshot.members
-        own = everyone.get(self.settings.node)
-        if own is None or own.life != self.incarnation:
+        self.loop.at(now + HEARTBEAT_INTERVAL_US, self._send_heartbeats)
+        members = self.router.snapshot.members
+        member = members.get(self.settings.node)
+        if member is None or member.life != self.incarnation:
             self._joined = False
             return
         for member in self._watchers:
             address = parse_address(member.address)
             if address is not None:
                 self.transport.tell(address, "alive", [self.settings.node, self.incarnation])
-        seen = self._watched
-        heard = {f"{m.node} {m.life}": self._heard.get(f"{m.node} {m.life}", now) for m in seen}
-        self._heard = heard
-        primary = parse_address(self._core[0]) if self._core else None
-        for member in seen:
-            if now - heard[f"{member.node} {member.life}"] > HEARTBEAT_TIMEOUT_US and primary is not None:
+        watched = self._watched
+        last_heartbeat = {f"{m.node} {m.life}": self._last_heartbeat.get(f"{m.node} {m.life}", now) for m in watched}
+        self._last_heartbeat = last_heartbeat
+        primary = parse_address(self._core_addresses[0]) if self._core_addresses else None
+        for member in watched:
+            if now - last_heartbeat[f"{member.node} {member.life}"] > HEARTBEAT_TIMEOUT_US and primary is not None:
                 self.transport.tell(
                     primary, "missing", {"node": member.node, "life": member.life, "watcher": self.settings.node}
                 )
 
-    def _alive(self, conn: Connection, body: Any, _: Answer) -> None:
-        self._heard[f"{body[0]} {body[1]}"] = self.loop.now
+    def _on_heartbeat(self, conn: Connection, body: Any, _: Answer) -> None:
+        self._last_heartbeat[f"{body[0]} {body[1]}"] = self.loop.now
 
-    # ---- the news
+    # ---- state updates
 
-    def _changed(self, keys: list[str]) -> None:
+    def _on_state_update(self, keys: list[str]) -> None:
         snapshot = self.router.snapshot
         if "config" in keys:
-            held = self.table.get("config")
-            if held is not None and held["gen"] > snapshot.generation:
-                snapshot = replace(snapshot, **parse_configuration(bytes(held["text"])))
+            config = self.table.get("config")
+            if config is not None and config["gen"] > snapshot.generation:
+                snapshot = replace(snapshot, **parse_configuration(bytes(config["text"])))
                 log_event("configuration", gen=snapshot.generation)
         if any(key.startswith("backend/") for key in keys):
             snapshot = replace(snapshot, backends=update_backends(self.table, keys, snapshot.backends))
-        moved = any(key.startswith("gate/") for key in keys)
-        if moved:
+        members_changed = any(key.startswith("gate/") for key in keys)
+        if members_changed:
             snapshot = replace(snapshot, members=update_members(self.table, keys, snapshot.members))
         if any(key.startswith("move/") for key in keys):
-            avoid = self.drain_agent.apply_moves(self.table.items("move/"), self._born)
+            avoid = self.drain_agent.apply_moves(self.table.items("move/"), self._is_first_update)
             if avoid != snapshot.avoid:
                 snapshot = replace(snapshot, avoid=avoid)
-        self._born = False
+        self._is_first_update = False
         self.router.apply_snapshot(snapshot)
         if "chains" in keys:
-            held = self.table.get("chains")
-            self.router.boards.set_chains(unpack(held) if held is not None else None)
+            chains = self.table.get("chains")
+            self.router.boards.set_chains(unpack(chains) if chains is not None else None)
         if "quiet" in keys:
-            self._quiet = frozenset((str(service), str(zone)) for service, zone in self.table.get("quiet") or [])
+            self._silent_backends = frozenset(
+                (str(service), str(zone)) for service, zone in self.table.get("quiet") or []
+            )
         if "core" in keys:
-            held = self.table.get("core") or {}
-            self._voters = [str(address) for address in held.get("witnesses") or []]
-            copies = [str(address) for address in held.get("copies") or []]
-            self._core = list(dict.fromkeys([*copies, *self._voters, *self._core]))[:MAX_CORE_ADDRESSES]
+            core = self.table.get("core") or {}
+            self._voters = [str(address) for address in core.get("witnesses") or []]
+            copies = [str(address) for address in core.get("copies") or []]
+            self._core_addresses = list(dict.fromkeys([*copies, *self._voters, *self._core_addresses]))[
+                :MAX_CORE_ADDRESSES
+            ]
             if not self._joined:
-                self._turn, self._asking = 0, False  # who was asked last may be dark
-                self._ask_in()
-        if moved:
-            everyone = snapshot.members
-            zones = {member.zone for member in everyone.values()}
-            self._gated |= zones
-            self._bare = frozenset(self._gated - zones)
-            self._watchers = watchers(everyone, self.settings.node, WATCHERS_PER_GATEWAY)
-            self._watched = watched(everyone, self.settings.node, WATCHERS_PER_GATEWAY)
+                self._next_core_index, self._join_pending = 0, False  # the machine asked last may be unreachable
+                self._send_join()
+        if members_changed:
+            members = snapshot.members
+            zones = {member.zone for member in members.values()}
+            self._zones_ever_with_gateway |= zones
+            self._zones_without_gateway = frozenset(self._zones_ever_with_gateway - zones)
+            self._watchers = watchers(members, self.settings.node, WATCHERS_PER_GATEWAY)
+            self._watched = watched(members, self.settings.node, WATCHERS_PER_GATEWAY)
             self.rate_limiter.members_changed()
             self.feed.reconsider()
 
-    def _missing(self, service: str, zone: str) -> frozenset[str]:
-        """Who, besides gateways that send there, misses a place."""
-        found = set()
-        if (service, zone) in self._quiet:
-            found.add("beats")
-        if zone in self._bare:
-            found.add("members")
-        return frozenset(found) if found and self.feed.fresh(MAX_STATE_AGE_US) else frozenset()
-
-    def _tell_flows(self) -> None:
-        """To the primary, which works out the chains."""
-        primary = parse_address(self._core[0]) if self._core else None
+    def _failure_evidence(self, service: str, zone: str) -> frozenset[str]:
+        """Which sources, besides failed attempts, indicate that a location is down; none while the state is stale."""
+        evidence = set()
+        if (service, zone) in self._silent_backends:
+            evidence.add("beats")
+        if zone in self._zones_without_gateway:
+            evidence.add("members")
+        return frozenset(evidence) if evidence and self.feed.fresh(MAX_STATE_AGE_US) else frozenset()
+
+    def _send_flows(self) -> None:
+        """Sends the traffic flows to the primary, which computes the failover chains from them."""
+        primary = parse_address(self._core_addresses[0]) if self._core_addresses else None
         if primary is not None:
             for flow in self.router.boards.flows():
                 self.transport.tell(primary, "flows", flow)
 
     def _sweep(self, _: Any) -> None:
-        self._sweeps += 1
-        if self.router.boards.chains is not None and self._sweeps % 2 == 0:
-            self._tell_flows()
+        self._sweep_count += 1
+        if self.router.boards.chains is not None and self._sweep_count % 2 == 0:
+            self._send_flows()
         self.shared.idle.sweep(self.loop.now)
         self.transport.sweep()
         self.loop.at(self.loop.now + SWEEP_INTERVAL_US, self._sweep)
--- a/oakvale/dataplane/process.py
+++ b/oakvale/dataplane/process.py
@@ -24,10 +24,10 @@
 
 
 class Process:
-    """All that runs on the loop, but for what the operating system tells."""
+    """Everything that runs on the event loop, except for signals and the settings file."""
 
     def __init__(self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop) -> None:
-        """Raises OSError."""
+        """Creates the gateway and its status service. Raises OSError."""
         self.gateway = gateway = EdgeGateway(settings, listeners, loop)
         self.shutdown = Shutdown(gateway)
         offer(gateway.transport, "sluice", settings.node, lambda: status_fields(gateway))
@@ -37,17 +37,18 @@
         log_event("sluice", node=settings.node, own=gateway.self_address, life=gateway.incarnation)
 
     def stop(self) -> None:
+        """Begins a graceful shutdown and hands over this gateway's duties."""
         self.shutdown.begin()
         self.gateway.rate_limiter.release()
 
 
 def serve(settings: Settings, signals: Signals, listeners: Mapping[str, Sock]) -> int:
-    """Raises BadFile, OSError."""
+    """Runs the gateway until it is stopped; returns the exit status. Raises BadFile, OSError."""
     if "http" not in settings.bind:
-        raise BadFile("sluice needs [network.bind] http")
+        raise BadFile("the sluice role needs an `http` address in [network.bind]")
     loop = Loop(Clock(), bounds(settings))
     process = Process(settings, listeners, loop)
-    watch = SettingsWatch(loop, os.environ, settings, lambda fresh: process.know(fresh.seeds))
+    watch = SettingsWatch(loop, os.environ, settings, lambda new_settings: process.know(new_settings.seeds))
     loop.start(signals.run(process.stop, watch.again), signals.fileno(), Rank.DISCOVERY)
     gc.collect()
     gc.freeze()
--- a/oakvale/dataplane/status.py
+++ b/oakvale/dataplane/status.py
@@ -1,4 +1,4 @@
-"""What a sluice says of itself."""
+"""The status fields that a gateway reports."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 
 def status_fields(gateway: EdgeGateway) -> dict[str, Any]:
+    """The current status; its keys are read by operators' tools."""
     now, snapshot, feed, router = gateway.loop.now, gateway.router.snapshot, gateway.feed, gateway.router
-    source, own = feed.source(), snapshot.members.get(gateway.settings.node)
+    source, member = feed.source(), snapshot.members.get(gateway.settings.node)
     return (
         {
             "own": gateway.self_address,
             "life": gateway.incarnation,
             "ready": gateway.ready(),
-            "listed": own is not None and own.life == gateway.incarnation,
+            "listed": member is not None and member.life == gateway.incarnation,
             "gen": snapshot.generation,
             "gateways": ",".join(sorted(snapshot.members)),
             "source": spelled(source) if source else "",
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -93,7 +93,7 @@
     }
 
 
-def first_configuration_stays(sluice: EdgeGateway, keys: list[str], real: Any = EdgeGateway._changed) -> None:
+def first_configuration_stays(sluice: EdgeGateway, keys: list[str], real: Any = EdgeGateway._on_state_update) -> None:
     held = sluice.router.snapshot.generation >= 0 and "edge-a" in sluice.settings.node
     real(sluice, [key for key in keys if key != "config"] if held else keys)
 
@@ -227,7 +227,7 @@
         {"oakvale.dataplane.gateway.update_backends": all_ready},
     ),
     "a configuration does not come": Break(
-        "CONFIG", day(MOVES), {"oakvale.dataplane.gateway.EdgeGateway._changed": first_configuration_stays}
+        "CONFIG", day(MOVES), {"oakvale.dataplane.gateway.EdgeGateway._on_state_update": first_configuration_stays}
     ),
     "a configuration goes back": Break(
         "CONFIG",
