--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.data_plane import Gate
+from tests.data_plane import GatewayHarness
 from tests.known_red import listed
 from tests.node import Node
 
@@ -18,11 +18,11 @@
 
 
 @pytest.fixture
-def gate() -> Iterator[Gate]:
-    """The data plane of the whole system on loopback sockets."""
-    made = Gate()
-    yield made
-    made.close()
+def gateway() -> Iterator[GatewayHarness]:
+    """A gateway's data plane on loopback sockets."""
+    harness = GatewayHarness()
+    yield harness
+    harness.close()
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
--- a/tests/data_plane.py
+++ b/tests/data_plane.py
@@ -1,4 +1,4 @@
-"""A gateway's data plane on loopback sockets: three backends, and a counter that answers as it is told."""
+"""Test harness: a gateway's data plane on loopback sockets, with three stub backends and a fake rate limiter."""
 
 from __future__ import annotations
 
@@ -33,25 +33,30 @@
 }
 
 
-class FakeGauge:
-    """Answers as it is told: whether a tenant's request passes, the wait, whether it was counted."""
+class FakeRateLimiter:
+    """Gives a preset result: if a request is within the quota, the wait in microseconds, whether it was counted."""
 
     def __init__(self) -> None:
-        self.word = (True, 0, True)
-        self.asked: list[tuple[str, bool]] = []
-        self.given_back: list[str] = []
+        self.result = (True, 0, True)
+        self.counted_requests: list[tuple[str, bool]] = []
+        self.refunded: list[str] = []
 
     def count_request(
-        self, tenant: str, again: bool, then: Callable[[bool, int, bool], None], patience: int, receipt: Receipt
+        self,
+        tenant: str,
+        is_retry: bool,
+        on_counted: Callable[[bool, int, bool], None],
+        max_wait_us: int,
+        receipt: Receipt,
     ) -> None:
-        self.asked.append((tenant, again))
-        if self.word[0]:
+        self.counted_requests.append((tenant, is_retry))
+        if self.result[0]:
             receipt.tenant, receipt.counter_id = tenant, "life"
-        then(*self.word)
+        on_counted(*self.result)
 
     def refund(self, receipt: Receipt) -> None:
         if receipt.counter_id:
-            self.given_back.append(receipt.tenant)
+            self.refunded.append(receipt.tenant)
             receipt.counter_id = ""
 
     def holds(self, duty: str) -> bool:
@@ -61,55 +66,57 @@
         return None
 
 
-class FakeMains:
+class FakeTransport:
     def __init__(self) -> None:
         self.handlers: dict[str, Any] = {}
 
 
-class Gate(Node):
-    """The plant where `Node` has the server in service; its driving and its stand-ins stay."""
+class GatewayHarness(Node):
+    """Runs a `RequestRouter` where `Node` runs the stand-alone gateway; the client and server stubs are shared."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
         limits = Limits.fill(1024, 200 << 20, 300 * MS, 9_000 * MS, 150 * MS, 100)
         self.limits = replace(limits, timer_slack=0, wake_slack=0)
         self.loop = Loop(self.clock, self.limits)
-        self.first, self.second, self.other = StubServer(), StubServer(), StubServer()
-        self.rate_limiter, self.peers = FakeGauge(), []
+        self.backend_1, self.backend_2, self.backend_3 = StubServer(), StubServer(), StubServer()
+        self.rate_limiter, self.peers = FakeRateLimiter(), []
         self.router = RequestRouter(
             SharedResources(self.loop, self.limits),
             self.rate_limiter,  # type: ignore[arg-type]
-            FakeMains(),  # type: ignore[arg-type]
+            FakeTransport(),  # type: ignore[arg-type]
             "g",
             ["z"],
             "z",
             RetryLimits(10_000 * MS, 16.0, 60.0),
-        )  # plenty: what it earns is tested apart
+        )  # large enough never to limit a test
         listener = listening(("127.0.0.1", 0), 64)
         self.address = listener.getsockname()
         self.acceptor = Acceptor(self.router, listener, self.loop)
-        self.show()
+        self.apply_state()
 
-    def show(self, gone: tuple[str, ...] = (), drain: tuple[str, ...] = (), **changes: Any) -> None:
-        places = {"i-1": ("one", self.first), "i-2": ("one", self.second), "i-3": ("two", self.other)}
+    def apply_state(self, removed: tuple[str, ...] = (), draining: tuple[str, ...] = (), **changes: Any) -> None:
+        """Puts a configuration and a backend list into force; `draining` backends are listed but not ready."""
+        services = {"i-1": ("one", self.backend_1), "i-2": ("one", self.backend_2), "i-3": ("two", self.backend_3)}
         backends = {
-            name: Backend(name, service, party.text, "z", 2.0, name not in drain, 0)
-            for name, (service, party) in places.items()
-            if name not in gone
+            name: Backend(name, service, server.text, "z", 2.0, name not in draining, 0)
+            for name, (service, server) in services.items()
+            if name not in removed
         }
-        parts = parse_configuration(json.dumps(CONFIG | changes).encode())
-        self.router.apply_snapshot(replace(RoutingSnapshot(**parts), backends=backends))
+        fields = parse_configuration(json.dumps(CONFIG | changes).encode())
+        self.router.apply_snapshot(replace(RoutingSnapshot(**fields), backends=backends))
 
-    def say(
+    def send_request(
         self,
         path: str = "/r/x",
-        rid: str = "a1",
+        request_id: str = "a1",
         key: str | None = KEY,
         method: str = "GET",
         body: bytes = b"",
         **headers: str,
     ) -> StubConnection:
-        fields = {"Host": "a.example", "Attempt-Id": rid, "Time-Left": "5000"}
+        """Sends a request on a new client connection; underscores in header names become hyphens."""
+        fields = {"Host": "a.example", "Attempt-Id": request_id, "Time-Left": "5000"}
         fields |= {"Authorization": f"Bearer {key}"} if key else {}
         fields |= {"Content-Length": str(len(body))} if body else {}
         fields |= {name.replace("_", "-"): value for name, value in headers.items()}
@@ -118,16 +125,20 @@
         client.send(f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode() + body)
         return client
 
-    def at_backend(self) -> tuple[str, StubConnection, bytes]:
-        """The next request that came to a backend of service one: which, its connection, what it read."""
+    def next_backend_request(self) -> tuple[str, StubConnection, bytes]:
+        """Waits for the next request at a backend of service one: the backend's name, connection, and bytes read."""
 
-        def look() -> Any:
+        def find_request() -> Any:
             return next(
-                ((name, peer) for name, party in (("i-1", self.first), ("i-2", self.second)) if (peer := party.take())),
+                (
+                    (name, peer)
+                    for name, server in (("i-1", self.backend_1), ("i-2", self.backend_2))
+                    if (peer := server.take())
+                ),
                 None,
             )
 
-        name, peer = self.until(look)
+        name, peer = self.until(find_request)
         return name, self._kept(peer), self.reads(peer)
 
     def status(self, client: StubConnection) -> int:
@@ -136,11 +147,12 @@
     def close(self) -> None:
         self.router.ended = True
         self.loop.close()
-        for party in (self.first, self.second, self.other):
-            party.close()
+        for server in (self.backend_1, self.backend_2, self.backend_3):
+            server.close()
         for peer in self.peers:
             peer.close()
 
 
-def sealed(rid: str = "a1", body: bytes = b"ok") -> bytes:
-    return answer(body=body, Attempt_Id=rid, Seal="s")
+def success_answer(request_id: str = "a1", body: bytes = b"ok") -> bytes:
+    """A complete answer of a backend that ran the request."""
+    return answer(body=body, Attempt_Id=request_id, Seal="s")
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -1,4 +1,4 @@
-"""A client closes while its request is in hand: what is known of it, and what goes on in its name."""
+"""A client closes its connection while its request is pending: what is cancelled, what continues, what is counted."""
 
 from __future__ import annotations
 
@@ -7,161 +7,163 @@
 import pytest
 
 from oakvale.base.net import Sock
-from tests.data_plane import KEY, Gate, sealed
+from tests.data_plane import KEY, GatewayHarness, success_answer
 from tests.data_plane_model import World
 from tests.node import MS, StubConnection
 
-LARGE = b"x" * 60_000  # more than small kernel buffers take for a backend that does not read
+LARGE_BODY = b"x" * 60_000  # more than the reduced socket buffers hold
 
 
-def unread_connection(gate: Gate) -> StubConnection:
-    """The next connection to a backend, which has read nothing of it."""
-    backend = gate.until(lambda: gate.first.take() or gate.second.take())
-    gate.peers.append(backend)
+def next_unread_connection(gateway: GatewayHarness) -> StubConnection:
+    """Waits for the next connection to a backend, and reads nothing from it."""
+    backend = gateway.until(lambda: gateway.backend_1.take() or gateway.backend_2.take())
+    gateway.peers.append(backend)
     assert isinstance(backend, StubConnection)
     return backend
 
 
-def small_buffers(gate: Gate, receive_only: bool = False) -> None:
-    """Backends take little at a time; so does the gateway's own end of their connections."""
-    for party in (gate.first, gate.second):
-        party.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+def shrink_socket_buffers(gateway: GatewayHarness, receive_only: bool = False) -> None:
+    """Shrinks the receive buffers of backends and, unless `receive_only`, the send buffers of the gateway."""
+    for server in (gateway.backend_1, gateway.backend_2):
+        server.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     if receive_only:
         return
-    made = gate.loop.net.stream
+    open_stream = gateway.loop.net.stream
 
     def stream() -> Sock:
-        sock = made()
+        sock = open_stream()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return sock
 
-    gate.loop.net.stream = stream  # type: ignore[method-assign]
+    gateway.loop.net.stream = stream  # type: ignore[method-assign]
 
 
-def sends(gate: Gate, client: StubConnection, data: bytes) -> None:
-    """Sends more than the kernel takes at once: the gateway reads meanwhile."""
+def send_all(gateway: GatewayHarness, client: StubConnection, data: bytes) -> None:
+    """Sends more than the socket buffers hold; the gateway reads in the meantime."""
     rest = memoryview(data)
     while rest:
         try:
             rest = rest[client.sock.send(rest) :]
         except BlockingIOError:
-            gate.loop.turn(0.01)
+            gateway.loop.turn(0.01)
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["close", "reset"])
-@pytest.mark.parametrize("begun", [b"", sealed()[:-1]], ids=["waiting", "half an answer"])
-def test_a_repeatable_request_is_called_off_at_its_backend(gate: Gate, begun: bytes, reset: bool) -> None:
-    """Incident GONE: the request was over, and its attempt went on: the backend worked for nobody."""
-    client = gate.say()
-    _, backend, _ = gate.at_backend()
-    if begun:
-        backend.send(begun)
-        gate.turns()
+@pytest.mark.parametrize("partial_answer", [b"", success_answer()[:-1]], ids=["waiting", "half an answer"])
+def test_a_safe_request_is_cancelled_at_its_backend(
+    gateway: GatewayHarness, partial_answer: bytes, reset: bool
+) -> None:
+    """Guards against a backend working on a request that nobody waits for."""
+    client = gateway.send_request()
+    _, backend, _ = gateway.next_backend_request()
+    if partial_answer:
+        backend.send(partial_answer)
+        gateway.turns()
     client.close(reset)
-    gate.until_ended(backend)
-    assert gate.router.tally.abandoned_attempts["cancelled"] == 1
-    assert not len(gate.router.requests) and gate.first.take() is None and gate.second.take() is None
+    gateway.until_ended(backend)
+    assert gateway.router.tally.abandoned_attempts["cancelled"] == 1
+    assert not len(gateway.router.requests) and gateway.backend_1.take() is None and gateway.backend_2.take() is None
 
 
 @pytest.mark.parametrize("path", ["/r/x", "/b/x"])
-def test_a_request_that_is_not_written_whole_is_sent_no_further(gate: Gate, path: str) -> None:
-    """An order of which a part is out can't run yet: its rest reached the backend long after its client had left."""
-    small_buffers(gate)
-    client = gate.say(path, method="POST", Content_Length=str(len(LARGE)))
-    sends(gate, client, LARGE)
-    backend = unread_connection(gate)
-    gate.turns(20)
+def test_a_partly_written_request_is_not_completed(gateway: GatewayHarness, path: str) -> None:
+    """A backend can't run a partial request; sending the rest after the client has left would let it run."""
+    shrink_socket_buffers(gateway)
+    client = gateway.send_request(path, method="POST", Content_Length=str(len(LARGE_BODY)))
+    send_all(gateway, client, LARGE_BODY)
+    backend = next_unread_connection(gateway)
+    gateway.turns(20)
     client.close(reset=True)
-    gate.until(lambda: gate.router.tally.abandoned["at_backend"] == 1)
-    gate.turns()
-    gate.until_ended(backend)
-    assert len(backend.came) < len(LARGE) and not len(gate.router.requests)
-
-
-@pytest.mark.parametrize("leaves", [True, False], ids=["its client leaves", "its time is over"])
-def test_what_the_kernel_still_holds_of_an_attempt_is_thrown_away(gate: Gate, leaves: bool) -> None:
-    """A cut held the request up: closed in order, it came to its backend when the cut had healed, to run for nobody."""
-    small_buffers(gate, receive_only=True)
-    client = gate.say(method="POST", Content_Length=str(len(LARGE)))
-    sends(gate, client, LARGE)
-    backend = unread_connection(gate)
-    gate.until(lambda: any(out.written for request in gate.router.requests.all() for out in request.out.values()))
-    if leaves:
+    gateway.until(lambda: gateway.router.tally.abandoned["at_backend"] == 1)
+    gateway.turns()
+    gateway.until_ended(backend)
+    assert len(backend.came) < len(LARGE_BODY) and not len(gateway.router.requests)
+
+
+@pytest.mark.parametrize("client_leaves", [True, False], ids=["client leaves", "deadline passes"])
+def test_unsent_data_in_the_socket_buffer_is_discarded(gateway: GatewayHarness, client_leaves: bool) -> None:
+    """After a graceful close during a network partition the request would still arrive, and run for nobody."""
+    shrink_socket_buffers(gateway, receive_only=True)
+    client = gateway.send_request(method="POST", Content_Length=str(len(LARGE_BODY)))
+    send_all(gateway, client, LARGE_BODY)
+    backend = next_unread_connection(gateway)
+    gateway.until(lambda: any(out.written for request in gateway.router.requests.all() for out in request.out.values()))
+    if client_leaves:
         client.close()
     else:
-        gate.pass_time(5_100 * MS)
-    gate.until(lambda: not gate.router.shared.backend_connections)
+        gateway.pass_time(5_100 * MS)
+    gateway.until(lambda: not gateway.router.shared.backend_connections)
     with pytest.raises(ConnectionResetError):
         while backend.sock.recv(65536):
             pass
 
 
-def test_an_unsafe_request_that_is_out_runs_to_its_end_and_is_not_sent_again(gate: Gate) -> None:
-    """Half an order is worse than a whole one, whose state its client can ask for."""
-    for rid, reply in (("a1", sealed()), ("a2", None)):
-        client = gate.say("/b/x", rid=rid, method="POST", body=b"order")
-        _, backend, _ = gate.at_backend()
+def test_an_unsafe_request_in_flight_is_neither_cancelled_nor_retried(gateway: GatewayHarness) -> None:
+    """Cancelling could leave its effect half done; a client can query the state of a request that ran."""
+    for request_id, reply in (("a1", success_answer()), ("a2", None)):
+        client = gateway.send_request("/b/x", request_id=request_id, method="POST", body=b"order")
+        _, backend, _ = gateway.next_backend_request()
         client.close()
-        gate.until(lambda: not gate.router.clients.all)
-        gate.turns(10)
+        gateway.until(lambda: not gateway.router.clients.all)
+        gateway.turns(10)
         assert (backend.read(), backend.ended)[1] is False
         if reply:
             backend.send(reply)
         else:
             backend.close(reset=True)
-        gate.until(lambda: not len(gate.router.requests))
-    gate.turns(10)
-    assert gate.first.take() is None and gate.second.take() is None
+        gateway.until(lambda: not len(gateway.router.requests))
+    gateway.turns(10)
+    assert gateway.backend_1.take() is None and gateway.backend_2.take() is None
 
 
-def test_a_repeatable_request_that_fails_after_its_client_left_is_not_tried_again(gate: Gate) -> None:
-    client = gate.say()
-    _, backend, _ = gate.at_backend()
+def test_a_safe_request_that_fails_after_its_client_left_is_not_retried(gateway: GatewayHarness) -> None:
+    client = gateway.send_request()
+    _, backend, _ = gateway.next_backend_request()
     client.close()
-    gate.until(lambda: gate.router.tally.abandoned["at_backend"] == 1)
+    gateway.until(lambda: gateway.router.tally.abandoned["at_backend"] == 1)
     backend.close(reset=True)
-    gate.turns(10)
-    assert not len(gate.router.requests) and gate.first.take() is None and gate.second.take() is None
+    gateway.turns(10)
+    assert not len(gateway.router.requests) and gateway.backend_1.take() is None and gateway.backend_2.take() is None
 
 
-def test_clients_that_leave_are_not_held_against_the_backend(gate: Gate) -> None:
-    """A backend whose requests are called off has done nothing wrong: the next ones are served there as before."""
-    gate.show(gone=("i-2",))
+def test_cancelled_requests_do_not_count_against_the_backend(gateway: GatewayHarness) -> None:
+    """Guards against treating cancelled attempts as failures of the backend."""
+    gateway.apply_state(removed=("i-2",))
     for n in range(12):
-        client = gate.say(rid=f"a{n}")
-        _, backend, _ = gate.at_backend()
+        client = gateway.send_request(request_id=f"a{n}")
+        _, backend, _ = gateway.next_backend_request()
         client.close()
-        gate.until_ended(backend)
-        gate.until(lambda: not len(gate.router.requests))
-    client = gate.say(rid="b")
-    _, backend, _ = gate.at_backend()
-    backend.send(sealed("b"))
-    assert gate.status(client) == 200
-
-
-def test_a_client_that_leaves_is_counted_with_what_becomes_of_its_attempt(gate: Gate) -> None:
-    """No figure told whether the close was seen, or what followed from it."""
-    client = gate.say("/b/x", method="POST", body=b"order")
-    _, backend, _ = gate.at_backend()
+        gateway.until_ended(backend)
+        gateway.until(lambda: not len(gateway.router.requests))
+    client = gateway.send_request(request_id="b")
+    _, backend, _ = gateway.next_backend_request()
+    backend.send(success_answer("b"))
+    assert gateway.status(client) == 200
+
+
+def test_an_abandoned_request_is_counted_with_the_ending_of_its_attempt(gateway: GatewayHarness) -> None:
+    """The counters show that the close was noticed, and how the attempt ended."""
+    client = gateway.send_request("/b/x", method="POST", body=b"order")
+    _, backend, _ = gateway.next_backend_request()
     client.close()
-    gate.until(lambda: gate.router.tally.abandoned["at_backend"] == 1)
-    backend.send(sealed())
-    gate.until(lambda: gate.router.tally.abandoned_attempts["served"] == 1)
-    assert gate.router.tally.fields()["abandoned_at_backend"] == 1
-    assert not len(gate.router.requests)
+    gateway.until(lambda: gateway.router.tally.abandoned["at_backend"] == 1)
+    backend.send(success_answer())
+    gateway.until(lambda: gateway.router.tally.abandoned_attempts["served"] == 1)
+    assert gateway.router.tally.fields()["abandoned_at_backend"] == 1
+    assert not len(gateway.router.requests)
 
 
-def test_a_client_that_leaves_before_its_request_was_counted_is_counted_apart(gate: Gate) -> None:
-    gate.rate_limiter.count_request = lambda tenant, again, then, patience, receipt: None  # type: ignore[method-assign]
-    client = gate.say()
-    gate.until(lambda: len(gate.router.requests))
+def test_a_request_abandoned_before_rate_limiting_has_its_own_counter(gateway: GatewayHarness) -> None:
+    gateway.rate_limiter.count_request = lambda tenant, is_retry, on_counted, max_wait_us, receipt: None  # type: ignore[method-assign]
+    client = gateway.send_request()
+    gateway.until(lambda: len(gateway.router.requests))
     client.close()
-    gate.until(lambda: gate.router.tally.abandoned["waiting"] == 1)
-    assert not len(gate.router.requests) and gate.first.take() is None and gate.second.take() is None
+    gateway.until(lambda: gateway.router.tally.abandoned["waiting"] == 1)
+    assert not len(gateway.router.requests) and gateway.backend_1.take() is None and gateway.backend_2.take() is None
 
 
-def test_a_request_whose_connection_does_not_come_up_is_not_sent_when_its_client_has_left() -> None:
-    """Its connection came up when a cut had healed: it reached its backend seconds after its client had left."""
+def test_an_attempt_that_is_connecting_ends_when_its_client_leaves() -> None:
+    """Guards against a connection that is established late delivering a request that nobody waits for."""
     world = World()
     world.mode = 2  # connections hang
     caller = world.client()
@@ -175,50 +177,52 @@
     world.finish()
 
 
-def while_it_stands_still(gate: Gate, client: StubConnection, ends: str) -> None:
-    """The client asks and ends while the gateway is not scheduled."""
+def end_client_while_gateway_is_paused(gateway: GatewayHarness, client: StubConnection, ends: str) -> None:
+    """Closes the client's connection, then lets the gateway run two seconds later."""
     if ends == "half":
         client.sock.shutdown(socket.SHUT_WR)
     else:
         client.close(reset=ends == "reset")
-    gate.clock.now += 2_000 * MS
-    gate.turns(20)
-    gate.pass_time(60 * MS)
-    gate.turns(20)
+    gateway.clock.now += 2_000 * MS
+    gateway.turns(20)
+    gateway.pass_time(60 * MS)
+    gateway.turns(20)
 
 
 @pytest.mark.parametrize("path", ["/r/x", "/b/x"])
 @pytest.mark.parametrize("ends", ["close", "reset"])
-def test_a_request_that_is_read_long_after_its_client_left_is_not_begun(gate: Gate, path: str, ends: str) -> None:
-    """Seconds after its client had given it up it was passed on, an unsafe one to its end."""
-    client = gate.client()
-    gate.turns()  # its connection is taken before the gateway stands still
+def test_a_request_read_long_after_its_client_left_is_not_started(
+    gateway: GatewayHarness, path: str, ends: str
+) -> None:
+    """Guards against forwarding a request seconds after its client gave up, when the gateway was not scheduled."""
+    client = gateway.client()
+    gateway.turns()  # accepts the connection before the pause
     method = "POST" if path == "/b/x" else "GET"
     client.send(
         f"{method} {path} HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: a1\r\nTime-Left: 5000\r\n"
         f"Authorization: Bearer {KEY}\r\nContent-Length: 0\r\n\r\n".encode()
     )
-    while_it_stands_still(gate, client, ends)
-    assert gate.first.take() is None and gate.second.take() is None
-    assert not gate.rate_limiter.asked, "nor counted"
+    end_client_while_gateway_is_paused(gateway, client, ends)
+    assert gateway.backend_1.take() is None and gateway.backend_2.take() is None
+    assert not gateway.rate_limiter.counted_requests, "an abandoned request was counted"
 
 
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_a_client_that_only_ended_its_sending_is_served_however_late_it_is_read(gate: Gate, version: str) -> None:
-    client = gate.client()
-    gate.turns()
+def test_a_client_that_only_half_closed_is_served_even_when_read_late(gateway: GatewayHarness, version: str) -> None:
+    client = gateway.client()
+    gateway.turns()
     client.send(
         f"GET /r/x HTTP/{version}\r\nHost: a.example\r\nAttempt-Id: a1\r\nTime-Left: 5000\r\n"
         f"Authorization: Bearer {KEY}\r\n\r\n".encode()
     )
-    while_it_stands_still(gate, client, "half")
-    _, backend, _ = gate.at_backend()
-    backend.send(sealed())
-    gate.until(lambda: b"200 OK" in client.read() and client.came.endswith(b"ok"))
+    end_client_while_gateway_is_paused(gateway, client, "half")
+    _, backend, _ = gateway.next_backend_request()
+    backend.send(success_answer())
+    gateway.until(lambda: b"200 OK" in client.read() and client.came.endswith(b"ok"))
 
 
-def test_a_request_that_is_read_in_time_is_not_held_for_a_probe(gate: Gate) -> None:
-    client = gate.say()
+def test_a_request_read_in_time_is_not_delayed_by_a_probe(gateway: GatewayHarness) -> None:
+    client = gateway.send_request()
     client.sock.shutdown(socket.SHUT_WR)
-    gate.turns(3)
-    assert gate.rate_limiter.asked
+    gateway.turns(3)
+    assert gateway.rate_limiter.counted_requests
--- a/tests/test_backend_protocol.py
+++ b/tests/test_backend_protocol.py
@@ -1,4 +1,4 @@
-"""What the system's backends say, and what is made of it."""
+"""Interpretation of backends' answers."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
     "status, headers, ending",
     [
         (200, [SEAL], Ending.SERVED),
-        (200, [], Ending.RESET),  # a success without the stamp is nobody's
+        (200, [], Ending.RESET),  # a success without the seal is not the backend's
         (503, [(b"not-run", b"1")], Ending.FULL),
         (421, [(b"served-by", b"i-2")], Ending.FULL),
         (400, [(b"not-run", b"1")], Ending.FULL),
         (500, [SEAL], Ending.ERROR),
-        (503, [], Ending.ERROR),  # it does not say that it never ran
+        (503, [], Ending.ERROR),  # without Not-Run it may have run
     ],
 )
-def test_an_answer_says_whether_it_ran(status: int, headers: list[tuple[bytes, bytes]], ending: Ending) -> None:
+def test_ending_of_an_answer(status: int, headers: list[tuple[bytes, bytes]], ending: Ending) -> None:
     assert SystemDialect().ending(Answer(status, headers)) is ending
 
 
 @pytest.mark.parametrize(
-    "value, micros", [(b"timeout=10", 10_000_000), (b"max=5, Timeout = 3", 3_000_000), (b"x", None)]
+    "value, timeout_us", [(b"timeout=10", 10_000_000), (b"max=5, Timeout = 3", 3_000_000), (b"x", None)]
 )
-def test_the_time_of_an_idle_connection_is_heeded(value: bytes, micros: int | None) -> None:
-    """A request written to a connection that the backend has just closed may have run: it can't be sent again."""
-    assert SystemDialect().idle([(b"keep-alive", value)]) == micros
+def test_keep_alive_timeout_is_parsed(value: bytes, timeout_us: int | None) -> None:
+    """Guards against writing to a connection that the backend is closing: such a request may have run."""
+    assert SystemDialect().idle([(b"keep-alive", value)]) == timeout_us
--- a/tests/test_refunds.py
+++ b/tests/test_refunds.py
@@ -9,7 +9,7 @@
 from oakvale.ratelimit.counter_state import Receipt
 from oakvale.ratelimit.quotas import SECOND, Quota, QuotaCounter, QuotaTerms
 from oakvale.ratelimit.refunds import REFUND_MEMORY_US, RefundLog
-from tests.data_plane import Gate
+from tests.data_plane import GatewayHarness
 from tests.ratelimit_simulation import Fleet, Tenant
 from tests.simulated_processes import MS
 
@@ -111,31 +111,31 @@
     return found[0].level(tenant, QUOTA, fleet.now)
 
 
-def test_a_refusal_before_any_attempt_is_refunded(gate: Gate) -> None:
-    gate.show(gone=("i-1", "i-2"))
-    assert gate.status(gate.say()) == 503
-    assert gate.rate_limiter.given_back == ["t1"]
+def test_a_refusal_before_any_attempt_is_refunded(gateway: GatewayHarness) -> None:
+    gateway.apply_state(removed=("i-1", "i-2"))
+    assert gateway.status(gateway.send_request()) == 503
+    assert gateway.rate_limiter.refunded == ["t1"]
 
 
-def test_a_client_that_leaves_before_any_attempt_is_refunded_once(gate: Gate) -> None:
+def test_a_client_that_leaves_before_any_attempt_is_refunded_once(gateway: GatewayHarness) -> None:
     named = []
-    gate.router.boards.select = (  # type: ignore[method-assign]
+    gateway.router.boards.select = (  # type: ignore[method-assign]
         lambda service, wait, on_selected, facts=None, without=frozenset(): named.append(on_selected)
     )
-    client = gate.say()
-    gate.until(lambda: named)
+    client = gateway.send_request()
+    gateway.until(lambda: named)
     client.close(reset=True)
-    gate.until(lambda: gate.rate_limiter.given_back)
+    gateway.until(lambda: gateway.rate_limiter.refunded)
     named[0](None)
-    gate.turns()
-    assert gate.rate_limiter.given_back == ["t1"]
+    gateway.turns()
+    assert gateway.rate_limiter.refunded == ["t1"]
 
 
-def test_a_request_sent_to_a_backend_stays_counted(gate: Gate) -> None:
-    client = gate.say()
-    _, backend, _ = gate.at_backend()
+def test_a_request_sent_to_a_backend_stays_counted(gateway: GatewayHarness) -> None:
+    client = gateway.send_request()
+    _, backend, _ = gateway.next_backend_request()
     client.close(reset=True)
-    gate.until(lambda: not len(gate.router.requests))
+    gateway.until(lambda: not len(gateway.router.requests))
     backend.close(reset=True)
-    gate.turns()
-    assert not gate.rate_limiter.given_back
+    gateway.turns()
+    assert not gateway.rate_limiter.refunded
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -1,4 +1,4 @@
-"""The data plane of the whole system on loopback sockets: each test is a rule, and the failure it guards against."""
+"""Request routing of a gateway, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from oakvale.failover.chains import Chains
 from oakvale.loadbalancing.board_service import Rejected, Selection
 from oakvale.ratelimit.quotas import Quota
-from tests.data_plane import CONFIG, KEY, Gate, sealed
+from tests.data_plane import CONFIG, KEY, GatewayHarness, success_answer
 from tests.node import MS, answer
 
 
-def test_a_backend_is_told_who_it_is_and_whose_the_request_is_and_never_the_key(gate: Gate) -> None:
-    client = gate.say(Tenant="someone-else", Backend="i-9", X_Other="kept")
-    name, backend, came = gate.at_backend()
-    fields = dict(line.split(": ", 1) for line in came.decode().split("\r\n")[1:-2])
+def test_a_backend_gets_its_own_id_and_the_tenant_but_not_the_key(gateway: GatewayHarness) -> None:
+    client = gateway.send_request(Tenant="someone-else", Backend="i-9", X_Other="kept")
+    name, backend, received = gateway.next_backend_request()
+    fields = dict(line.split(": ", 1) for line in received.decode().split("\r\n")[1:-2])
     fields = {name.lower(): value for name, value in fields.items()}
     assert fields["backend"] == name and fields["tenant"] == "t1" and fields["attempt-id"] == "a1"
-    assert KEY not in came.decode() and fields["x-other"] == "kept" and int(fields["time-left"]) <= 5_000
-    backend.send(sealed())
-    assert gate.reads(client, b"ok").startswith(b"HTTP/1.1 200") and b"seal: s" in client.came.lower()
+    assert KEY not in received.decode() and fields["x-other"] == "kept" and int(fields["time-left"]) <= 5_000
+    backend.send(success_answer())
+    assert gateway.reads(client, b"ok").startswith(b"HTTP/1.1 200") and b"seal: s" in client.came.lower()
 
 
 @pytest.mark.parametrize(
@@ -36,187 +36,188 @@
         ("/r/x", None, "a.example", 401),
     ],
 )
-def test_what_no_configuration_allows_is_told_so(
-    gate: Gate, path: str, key: str | None, host: str, status: int
+def test_unknown_routes_and_keys_are_rejected(
+    gateway: GatewayHarness, path: str, key: str | None, host: str, status: int
 ) -> None:
-    assert gate.status(gate.say(path, key=key, Host=host)) == status
+    assert gateway.status(gateway.send_request(path, key=key, Host=host)) == status
 
 
-def test_the_longest_prefix_decides_and_a_public_route_wants_no_key(gate: Gate) -> None:
-    gate.say("/r/deep/x", key=None)
-    assert b"tenant" not in gate.reads(gate.taken(gate.other)).lower()
+def test_the_longest_prefix_matches_and_a_public_route_needs_no_key(gateway: GatewayHarness) -> None:
+    gateway.send_request("/r/deep/x", key=None)
+    assert b"tenant" not in gateway.reads(gateway.taken(gateway.backend_3)).lower()
 
 
-def test_nothing_is_denied_before_there_is_a_configuration(gate: Gate) -> None:
-    gate.router.snapshot = RoutingSnapshot()
-    client = gate.say("/none/", key="wrong")
-    assert gate.status(client) == 503 and b"retry-after" in client.came
+def test_requests_before_the_first_configuration_are_told_to_retry(gateway: GatewayHarness) -> None:
+    gateway.router.snapshot = RoutingSnapshot()
+    client = gateway.send_request("/none/", key="wrong")
+    assert gateway.status(client) == 503 and b"retry-after" in client.came
 
 
-def test_the_operators_bounds_on_clients_are_in_force_with_its_configuration(gate: Gate) -> None:
-    """They were checked and then forgotten: a client could send a head bit by bit for as long as the process let it."""
-    gate.show(gen=8, limits={"hdr-bytes": 400, "body-bytes": 8, "hdr": "1500ms", "idle": "4s"})
-    assert gate.status(gate.say("/b/x", method="POST", body=b"nine nine")) == 413
-    assert gate.status(gate.say(X_Long="x" * 500)) == 431
-    slow, idle = gate.client(), gate.say(rid="a2")
+def test_client_limits_of_the_configuration_are_enforced(gateway: GatewayHarness) -> None:
+    """Guards against limits that are validated but not applied, so that a client may send a head arbitrarily slowly."""
+    gateway.apply_state(gen=8, limits={"hdr-bytes": 400, "body-bytes": 8, "hdr": "1500ms", "idle": "4s"})
+    assert gateway.status(gateway.send_request("/b/x", method="POST", body=b"nine nine")) == 413
+    assert gateway.status(gateway.send_request(X_Long="x" * 500)) == 431
+    slow, idle = gateway.client(), gateway.send_request(request_id="a2")
     slow.send(b"GET /r/x HTTP/1.1\r\nHost: ")
-    gate.at_backend()[1].send(sealed("a2"))
-    assert gate.status(idle) == 200
-    gate.pass_time(1_600 * MS)
-    assert gate.status(slow) == 408 and (idle.read(), idle.ended)[1] is False
-    gate.pass_time(3_000 * MS)
-    gate.until_ended(idle)
-    assert gate.router.limits.body == 8 and gate.router.shared.limits.body > 8  # answers are bounded as before
-
-
-def test_a_key_that_may_have_been_taken_away_unheard_is_not_honoured(gate: Gate) -> None:
-    """With strict-revoke. A public route and an unknown key are answered as ever."""
-    gate.router.revocations_current = lambda: False
-    client = gate.say()
-    assert gate.status(client) == 503 and b"retry-after" in client.came
-    assert gate.status(gate.say(rid="a2", key="wrong")) == 401
-    gate.say("/r/deep/x", rid="a3", key=None)
-    gate.taken(gate.other)
-
-
-@pytest.mark.parametrize("word, status", [((False, 250_000, True), 429), ((False, 200_000, False), 503)])
-def test_over_the_quota_or_not_counted_is_refused_at_once_with_a_time(gate: Gate, word: Any, status: int) -> None:
-    gate.rate_limiter.word = word
-    client = gate.say()
-    assert gate.status(client) == status and b"retry-after: 0.2" in client.came
-    assert gate.first.take() is None and gate.second.take() is None
-
-
-def test_a_repeat_is_told_from_a_first_try_by_the_time_left(gate: Gate) -> None:
-    for rid, left in (("a1", "5000"), ("a2", "4982"), ("a3", "4700")):
-        gate.say(rid=rid, Time_Left=left)
-    gate.until(lambda: len(gate.rate_limiter.asked) == 3)
-    assert [again for _, again in gate.rate_limiter.asked] == [False, False, True]
-
-
-def test_an_unsafe_request_whose_connection_breaks_is_neither_sent_again_nor_promised(gate: Gate) -> None:
-    client = gate.say("/b/x", method="POST", body=b"slot")
-    _, backend, _ = gate.at_backend()
+    gateway.next_backend_request()[1].send(success_answer("a2"))
+    assert gateway.status(idle) == 200
+    gateway.pass_time(1_600 * MS)
+    assert gateway.status(slow) == 408 and (idle.read(), idle.ended)[1] is False
+    gateway.pass_time(3_000 * MS)
+    gateway.until_ended(idle)
+    # the limit on answers is unchanged
+    assert gateway.router.limits.body == 8 and gateway.router.shared.limits.body > 8
+
+
+def test_a_key_is_not_accepted_while_a_revocation_may_be_unknown(gateway: GatewayHarness) -> None:
+    """With strict-revoke. Public routes and unknown keys are not affected."""
+    gateway.router.revocations_current = lambda: False
+    client = gateway.send_request()
+    assert gateway.status(client) == 503 and b"retry-after" in client.came
+    assert gateway.status(gateway.send_request(request_id="a2", key="wrong")) == 401
+    gateway.send_request("/r/deep/x", request_id="a3", key=None)
+    gateway.taken(gateway.backend_3)
+
+
+@pytest.mark.parametrize("result, status", [((False, 250_000, True), 429), ((False, 200_000, False), 503)])
+def test_a_request_over_quota_or_not_counted_is_refused_with_retry_after(
+    gateway: GatewayHarness, result: Any, status: int
+) -> None:
+    gateway.rate_limiter.result = result
+    client = gateway.send_request()
+    assert gateway.status(client) == status and b"retry-after: 0.2" in client.came
+    assert gateway.backend_1.take() is None and gateway.backend_2.take() is None
+
+
+def test_a_retry_is_recognised_by_its_time_left(gateway: GatewayHarness) -> None:
+    for request_id, time_left in (("a1", "5000"), ("a2", "4982"), ("a3", "4700")):
+        gateway.send_request(request_id=request_id, Time_Left=time_left)
+    gateway.until(lambda: len(gateway.rate_limiter.counted_requests) == 3)
+    assert [is_retry for _, is_retry in gateway.rate_limiter.counted_requests] == [False, False, True]
+
+
+def test_an_unsafe_request_is_not_retried_after_a_connection_reset(gateway: GatewayHarness) -> None:
+    client = gateway.send_request("/b/x", method="POST", body=b"slot")
+    _, backend, _ = gateway.next_backend_request()
     backend.close(reset=True)
-    assert gate.status(client) == 502
-    assert gate.first.take() is None and gate.second.take() is None
+    assert gateway.status(client) == 502
+    assert gateway.backend_1.take() is None and gateway.backend_2.take() is None
 
 
 @pytest.mark.parametrize(
-    "path, youth, kept",
+    "path, max_idle_us, reused",
     [("/b/x", 200 * MS, False), ("/b/x", 400 * MS, True), ("/b/x", None, True), ("/r/x", 200 * MS, True)],
 )
-def test_what_may_run_once_only_goes_out_on_a_young_connection(
-    gate: Gate, path: str, youth: int | None, kept: bool
+def test_an_unsafe_request_is_not_sent_on_a_connection_idle_for_too_long(
+    gateway: GatewayHarness, path: str, max_idle_us: int | None, reused: bool
 ) -> None:
-    """Its backend had forgotten the connection without a word: it was reset, and nobody knew whether it ran."""
-    gate.show(gone=("i-2",))
-    first = gate.say()
-    _, backend, _ = gate.at_backend()
-    backend.send(sealed())
-    gate.reads(first, b"ok")
-    gate.pass_time(300 * MS)
-    gate.router.boards.select = lambda service, wait, on_selected, facts=None, without=frozenset(): on_selected(  # type: ignore[method-assign]
-        Selection(service, "i-1", 1, "gauge/0", youth)
+    """A backend may drop an idle connection without notice; the reset then leaves open whether the request ran."""
+    gateway.apply_state(removed=("i-2",))
+    first = gateway.send_request()
+    _, backend, _ = gateway.next_backend_request()
+    backend.send(success_answer())
+    gateway.reads(first, b"ok")
+    gateway.pass_time(300 * MS)
+    gateway.router.boards.select = lambda service, wait, on_selected, facts=None, without=frozenset(): on_selected(  # type: ignore[method-assign]
+        Selection(service, "i-1", 1, "gauge/0", max_idle_us)
     )
-    gate.say(path, rid="a2")
-    if kept:
-        assert b"a2" in gate.reads(backend, b"a2")
+    gateway.send_request(path, request_id="a2")
+    if reused:
+        assert b"a2" in gateway.reads(backend, b"a2")
     else:
-        assert b"a2" in gate.at_backend()[2]
+        assert b"a2" in gateway.next_backend_request()[2]
 
 
-def test_a_connection_that_breaks_on_its_next_request_is_told_of_with_its_idle_time(gate: Gate) -> None:
-    gate.show(gone=("i-2",))
-    told: list[int] = []
-    gate.router.boards.select = lambda service, wait, on_selected, facts=None, without=frozenset(): on_selected(  # type: ignore[method-assign]
+def test_a_connection_reset_on_reuse_is_reported_with_its_idle_time(gateway: GatewayHarness) -> None:
+    gateway.apply_state(removed=("i-2",))
+    reported: list[int] = []
+    gateway.router.boards.select = lambda service, wait, on_selected, facts=None, without=frozenset(): on_selected(  # type: ignore[method-assign]
         Selection(service, "i-1", 1, "gauge/0")
     )
-    gate.router.boards.report_attempt = lambda pick, route, latency, outcome, dropped=0, kept=0: told.append(  # type: ignore[method-assign]
+    gateway.router.boards.report_attempt = lambda pick, route, latency, outcome, dropped=0, kept=0: reported.append(  # type: ignore[method-assign]
         dropped
     )
-    for rid, ends in (("a1", False), ("a2", True), ("a3", False), ("a4", True)):
-        client = gate.say("/b/x", rid=rid, method="POST", body=b"slot")
-        if rid in ("a1", "a3"):
-            _, backend, _ = gate.at_backend()
+    for request_id, resets in (("a1", False), ("a2", True), ("a3", False), ("a4", True)):
+        client = gateway.send_request("/b/x", request_id=request_id, method="POST", body=b"slot")
+        if request_id in ("a1", "a3"):
+            _, backend, _ = gateway.next_backend_request()
         else:
-            gate.reads(backend, rid.encode())
-        if rid == "a4":
-            backend.send(b"HTTP/1.1 2")  # it had begun to answer
-            gate.turns()
-        if ends:
+            gateway.reads(backend, request_id.encode())
+        if request_id == "a4":
+            backend.send(b"HTTP/1.1 2")  # the answer has begun
+            gateway.turns()
+        if resets:
             backend.close(reset=True)
         else:
-            backend.send(sealed(rid))
-        gate.status(client)
-        gate.pass_time(300 * MS)
-    assert told[0] == told[2] == told[3] == 0 and 300 * MS <= told[1] < 400 * MS
+            backend.send(success_answer(request_id))
+        gateway.status(client)
+        gateway.pass_time(300 * MS)
+    assert reported[0] == reported[2] == reported[3] == 0 and 300 * MS <= reported[1] < 400 * MS
 
 
-def test_what_surely_never_ran_goes_to_another_backend(gate: Gate) -> None:
-    """421: the address is another's now. The unsafe request has not run and may be sent once more."""
-    client = gate.say("/b/x", method="POST", body=b"slot")
-    name, backend, _ = gate.at_backend()
+def test_a_misdirected_request_goes_to_another_backend(gateway: GatewayHarness) -> None:
+    """421: the address now belongs to another backend. Even an unsafe request has not run and may be sent again."""
+    client = gateway.send_request("/b/x", method="POST", body=b"slot")
+    name, backend, _ = gateway.next_backend_request()
     backend.send(answer("421 Misdirected Request", Served_By="i-8"))
-    other, backend, _ = gate.at_backend()
+    other, backend, _ = gateway.next_backend_request()
     assert other != name
-    backend.send(sealed())
-    assert gate.status(client) == 200
+    backend.send(success_answer())
+    assert gateway.status(client) == 200
 
 
-def test_a_further_attempt_is_handed_the_time_that_is_left(gate: Gate) -> None:
-    """A backend works for as long as it is told: with the client's first time it would go on when nobody waits."""
-    gate.say()
-    _, backend, first = gate.at_backend()
-    gate.pass_time(700 * MS)
+def test_a_retry_carries_the_remaining_time(gateway: GatewayHarness) -> None:
+    """With the original time a backend would go on working after the client has given up."""
+    gateway.send_request()
+    _, backend, first = gateway.next_backend_request()
+    gateway.pass_time(700 * MS)
     backend.close(reset=True)
-    _, _, second = gate.at_backend()
-    times = [int(came.lower().split(b"time-left: ")[1].split()[0]) for came in (first, second)]
+    _, _, second = gateway.next_backend_request()
+    times = [int(head.lower().split(b"time-left: ")[1].split()[0]) for head in (first, second)]
     assert times[0] <= 5_000 and times[1] <= times[0] - 700
 
 
 @pytest.mark.parametrize("path, method", [("/r/x", "GET"), ("/b/x", "POST")])
-def test_the_final_answer_comes_at_the_routes_deadline_however_long_its_client_waits(
-    gate: Gate, path: str, method: str
-) -> None:
-    client = gate.say(path, method=method, Time_Left="60000")
-    _, backend, _ = gate.at_backend()
-    gate.pass_time(4_800 * MS)
+def test_a_request_is_answered_at_the_routes_deadline(gateway: GatewayHarness, path: str, method: str) -> None:
+    client = gateway.send_request(path, method=method, Time_Left="60000")
+    _, backend, _ = gateway.next_backend_request()
+    gateway.pass_time(4_800 * MS)
     assert client.read() == b""
-    gate.pass_time(1_300 * MS)
-    assert gate.status(client) >= 500
-    gate.until_ended(backend)
+    gateway.pass_time(1_300 * MS)
+    assert gateway.status(client) >= 500
+    gateway.until_ended(backend)
 
 
-def test_tries_are_kept_and_what_never_ran_is_refused_with_a_time(gate: Gate) -> None:
-    client = gate.say("/b/x", method="POST", body=b"slot")
+def test_the_attempt_limit_holds_and_a_request_that_never_ran_gets_retry_after(gateway: GatewayHarness) -> None:
+    client = gateway.send_request("/b/x", method="POST", body=b"slot")
     for _ in range(2):
-        _, backend, _ = gate.at_backend()
+        _, backend, _ = gateway.next_backend_request()
         backend.send(answer("503 Service Unavailable", Not_Run="1"))
-    assert gate.status(client) == 503 and b"retry-after" in client.came
+    assert gateway.status(client) == 503 and b"retry-after" in client.came
 
 
 @pytest.mark.parametrize("status", ["503 Service Unavailable", "429 Too Many Requests"])
-def test_a_promise_that_no_backend_made_is_not_passed_on(gate: Gate, status: str) -> None:
-    """Without Not-Run it may have run: a client that took the 503 for a promise would have it run twice."""
-    client = gate.say("/b/x", method="POST", body=b"slot")
-    _, backend, _ = gate.at_backend()
+def test_a_429_or_503_without_not_run_is_not_forwarded(gateway: GatewayHarness, status: str) -> None:
+    """Without Not-Run the request may have run; a client that retried on this status could run it twice."""
+    client = gateway.send_request("/b/x", method="POST", body=b"slot")
+    _, backend, _ = gateway.next_backend_request()
     backend.send(answer(status, Attempt_Id="a1"))
-    assert gate.status(client) == 502
+    assert gateway.status(client) == 502
 
 
-def test_a_surplus_answer_is_thrown_away_and_the_own_one_waited_for(gate: Gate) -> None:
-    client = gate.say(rid="a2")
-    _, backend, _ = gate.at_backend()
-    backend.send(sealed("a1", b"another's"))
-    gate.turns()
+def test_an_answer_to_another_attempt_is_discarded(gateway: GatewayHarness) -> None:
+    client = gateway.send_request(request_id="a2")
+    _, backend, _ = gateway.next_backend_request()
+    backend.send(success_answer("a1", b"another's"))
+    gateway.turns()
     assert client.read() == b""
-    backend.send(sealed("a2", b"its own"))
-    assert gate.reads(client, b"its own").endswith(b"its own") and b"another's" not in client.came
+    backend.send(success_answer("a2", b"its own"))
+    assert gateway.reads(client, b"its own").endswith(b"its own") and b"another's" not in client.came
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "invalid",
     [
         answer(body=b"ok", Attempt_Id="a1"),  # no seal
         answer(body=b"ok", Attempt_Id="a1", Seal="s", Content_Encoding="gzip"),
@@ -224,144 +225,148 @@
         b"\0\1\2 no answer at all\r\n\r\n",
     ],
 )
-def test_a_spoilt_answer_never_looks_like_a_success(gate: Gate, spoilt: bytes) -> None:
-    client = gate.say("/b/x", method="POST", body=b"slot")
-    _, backend, _ = gate.at_backend()
-    backend.send(spoilt)
+def test_an_invalid_answer_is_not_forwarded_as_a_success(gateway: GatewayHarness, invalid: bytes) -> None:
+    client = gateway.send_request("/b/x", method="POST", body=b"slot")
+    _, backend, _ = gateway.next_backend_request()
+    backend.send(invalid)
     backend.close()
-    assert gate.status(client) == 502
+    assert gateway.status(client) == 502
 
 
-def test_an_answer_without_a_length_that_is_reset_is_not_complete(gate: Gate) -> None:
-    """Its end is the end of its connection: one that breaks looks like one that is over."""
-    client = gate.say("/b/x", method="POST", body=b"slot")
-    _, backend, _ = gate.at_backend()
+def test_an_answer_without_a_length_that_ends_in_a_reset_is_incomplete(gateway: GatewayHarness) -> None:
+    """Such an answer ends with its connection, so a reset must not be taken for its end."""
+    client = gateway.send_request("/b/x", method="POST", body=b"slot")
+    _, backend, _ = gateway.next_backend_request()
     backend.send(b"HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nSeal: s\r\n\r\nhalf")
-    gate.turns()
+    gateway.turns()
     backend.close(reset=True)
-    assert gate.status(client) == 502
+    assert gateway.status(client) == 502
 
 
-def test_a_failure_of_the_backends_own_goes_to_the_client_as_it_is(gate: Gate) -> None:
-    client = gate.say("/b/x", method="POST", body=b"slot")
-    _, backend, _ = gate.at_backend()
+def test_a_backends_error_is_forwarded_unchanged(gateway: GatewayHarness) -> None:
+    client = gateway.send_request("/b/x", method="POST", body=b"slot")
+    _, backend, _ = gateway.next_backend_request()
     backend.send(answer("500 Internal Server Error", b"boom", Attempt_Id="a1", Seal="s"))
-    assert gate.reads(client, b"boom").startswith(b"HTTP/1.1 500")
+    assert gateway.reads(client, b"boom").startswith(b"HTTP/1.1 500")
 
 
-def test_a_drained_backend_gets_nothing_more_not_even_a_repeat(gate: Gate) -> None:
-    """Chosen before the drain and sent after it is a breach: the state is looked at when it is sent."""
-    client = gate.say()
-    name, backend, _ = gate.at_backend()
+def test_a_draining_backend_gets_no_retry(gateway: GatewayHarness) -> None:
+    """The backend's state counts when the attempt is sent, not when it was selected."""
+    client = gateway.send_request()
+    name, backend, _ = gateway.next_backend_request()
     other = {"i-1": "i-2", "i-2": "i-1"}[name]
-    gate.show(drain=(other,))
+    gateway.apply_state(draining=(other,))
     backend.send(answer("503 Service Unavailable", Not_Run="1"))
-    gate.show(drain=(other, name))
-    assert gate.status(client) == 503
-    parties = {"i-1": gate.first, "i-2": gate.second}
-    assert parties[other].take() is None
+    gateway.apply_state(draining=(other, name))
+    assert gateway.status(client) == 503
+    servers = {"i-1": gateway.backend_1, "i-2": gateway.backend_2}
+    assert servers[other].take() is None
 
 
-def test_a_kept_connection_to_an_address_that_has_another_life_is_not_used(gate: Gate) -> None:
-    client = gate.say()
-    name, backend, _ = gate.at_backend()
-    backend.send(sealed())
-    gate.reads(client, b"ok")
-    gate.show(gone=(name,))
-    gate.until(lambda: backend.read() and backend.ended)
+def test_idle_connections_to_a_removed_backend_are_closed(gateway: GatewayHarness) -> None:
+    client = gateway.send_request()
+    name, backend, _ = gateway.next_backend_request()
+    backend.send(success_answer())
+    gateway.reads(client, b"ok")
+    gateway.apply_state(removed=(name,))
+    gateway.until(lambda: backend.read() and backend.ended)
 
 
-def test_a_new_picture_holds_for_the_next_request_whole(gate: Gate) -> None:
-    """Key and route of a version go together: a half of each would be no version that was ever sent."""
+def test_a_new_configuration_applies_as_a_whole_to_the_next_request(gateway: GatewayHarness) -> None:
+    """Guards against combining the keys of one version with the routes of another."""
     routes = CONFIG["routes"]["rows"]  # type: ignore[index]
-    gate.show(
+    gateway.apply_state(
         gen=8,
         routes={**CONFIG["routes"], "rows": routes[:1]},  # type: ignore[dict-item]
         tenants={"cols": ["name", "apikeys"], "rows": [["t2", ["new"]]]},
     )
-    assert gate.status(gate.say("/b/x", method="POST", key="new")) == 404
-    assert gate.status(gate.say("/r/x", key=KEY)) == 401
-    gate.say("/r/x", key="new")
-    assert b"tenant: t2" in gate.at_backend()[2].lower()
-    assert gate.router.snapshot.tenants["t2"].quota == Quota()
+    assert gateway.status(gateway.send_request("/b/x", method="POST", key="new")) == 404
+    assert gateway.status(gateway.send_request("/r/x", key=KEY)) == 401
+    gateway.send_request("/r/x", key="new")
+    assert b"tenant: t2" in gateway.next_backend_request()[2].lower()
+    assert gateway.router.snapshot.tenants["t2"].quota == Quota()
 
 
-def apart(gate: Gate) -> None:
-    """The second backend of service one stands in another zone."""
-    backends = dict(gate.router.snapshot.backends)
+def place_backends_in_two_zones(gateway: GatewayHarness) -> None:
+    """Moves the second backend of service one to another zone."""
+    backends = dict(gateway.router.snapshot.backends)
     backends["i-2"] = replace(backends["i-2"], zone="y")
-    gate.router.apply_snapshot(replace(gate.router.snapshot, backends=backends))
+    gateway.router.apply_snapshot(replace(gateway.router.snapshot, backends=backends))
 
 
 def zone_of(name: str) -> str:
     return "y" if name == "i-2" else "z"
 
 
-def test_a_place_that_is_out_gives_up_what_is_there_and_an_unsafe_request_ends_at_once(gate: Gate) -> None:
-    """A payment order at a failed place: its client waited for the deadline, and a second attempt would double it."""
-    apart(gate)
-    client = gate.say("/b/x", method="POST", body=b"order")
-    name, backend, _ = gate.at_backend()
-    gate.turns(4)
-    gate.router.boards.on_zones_closed("one", frozenset({zone_of(name)}))
-    assert gate.status(client) == 502
-    gate.turns(10)
-    assert gate.first.take() is None and gate.second.take() is None
-
-
-def test_a_safe_request_at_a_place_that_is_out_goes_on_elsewhere_and_nothing_follows_it_there(gate: Gate) -> None:
-    apart(gate)
-    client = gate.say()
-    name, _, _ = gate.at_backend()
-    gate.turns(4)
-    gate.router.boards.on_zones_closed("one", frozenset({zone_of(name)}))
-    other, backend, _ = gate.at_backend()
+def test_closing_a_zone_ends_an_unsafe_request_there_at_once(gateway: GatewayHarness) -> None:
+    """Guards against a client waiting until the deadline for a failed zone, and against running the request twice."""
+    place_backends_in_two_zones(gateway)
+    client = gateway.send_request("/b/x", method="POST", body=b"order")
+    name, backend, _ = gateway.next_backend_request()
+    gateway.turns(4)
+    gateway.router.boards.on_zones_closed("one", frozenset({zone_of(name)}))
+    assert gateway.status(client) == 502
+    gateway.turns(10)
+    assert gateway.backend_1.take() is None and gateway.backend_2.take() is None
+
+
+def test_closing_a_zone_moves_a_safe_request_and_later_ones_elsewhere(
+    gateway: GatewayHarness,
+) -> None:
+    place_backends_in_two_zones(gateway)
+    client = gateway.send_request()
+    name, _, _ = gateway.next_backend_request()
+    gateway.turns(4)
+    gateway.router.boards.on_zones_closed("one", frozenset({zone_of(name)}))
+    other, backend, _ = gateway.next_backend_request()
     assert other != name
-    backend.send(sealed())
-    assert gate.status(client) == 200
+    backend.send(success_answer())
+    assert gateway.status(client) == 200
     for n in range(6):
-        again = gate.say(rid=f"c{n}")
-        there, backend, _ = gate.at_backend()
+        again = gateway.send_request(request_id=f"c{n}")
+        there, backend, _ = gateway.next_backend_request()
         assert there == other
-        backend.send(sealed(f"c{n}"))
-        assert gate.status(again) == 200
-    gate.router.boards.on_zones_closed("one", frozenset({"y", "z"}))  # all out: better tried than refused
-    again = gate.say(rid="d")
-    _, backend, _ = gate.at_backend()
-    backend.send(sealed("d"))
-    assert gate.status(again) == 200
-
-
-def test_what_no_place_has_room_for_is_refused_with_a_time_to_come_back_and_never_runs(gate: Gate) -> None:
-    boards: Any = gate.router.boards
+        backend.send(success_answer(f"c{n}"))
+        assert gateway.status(again) == 200
+    gateway.router.boards.on_zones_closed(
+        "one", frozenset({"y", "z"})
+    )  # all closed: an attempt is better than a refusal
+    again = gateway.send_request(request_id="d")
+    _, backend, _ = gateway.next_backend_request()
+    backend.send(success_answer("d"))
+    assert gateway.status(again) == 200
+
+
+def test_a_request_without_capacity_anywhere_is_refused_with_retry_after(gateway: GatewayHarness) -> None:
+    boards: Any = gateway.router.boards
     boards.select = lambda service, wait, on_selected, facts=None, without=frozenset(): on_selected(Rejected(120 * MS))
-    text = gate.reads(gate.say("/b/x", method="POST", body=b"order"))
+    text = gateway.reads(gateway.send_request("/b/x", method="POST", body=b"order"))
     assert text.split()[1] == b"503" and b"retry-after: 0.12" in text.lower()
-    gate.turns(10)
-    assert gate.first.take() is None and gate.second.take() is None
-
-
-def test_without_chains_the_keeper_is_asked_in_the_words_of_before(gate: Gate) -> None:
-    """Off, nothing more is told, and nothing is kept."""
-    said: list[Any] = []
-
-    def ask(address: Any, kind: str, body: Any, wait: int, then: Callable[[Any], None]) -> None:
-        said.append(body)
-        then(["i-1", 4, None])
-
-    gate.rate_limiter.holder = lambda duty: ("h", 1)  # type: ignore[method-assign,assignment]
-    transport: Any = gate.router.boards._transport
-    transport.ask, transport.tell = ask, lambda address, kind, body: said.append(body)
-    client = gate.say()
-    _, backend, _ = gate.at_backend()
-    backend.send(sealed())
-    assert gate.status(client) == 200
-    assert [len(body) for body in said] == [4, 9]
-    gate.router.boards.set_chains(Chains())
-    client = gate.say(rid="a2")
-    _, backend, _ = gate.at_backend()
-    backend.send(sealed("a2"))
-    assert gate.status(client) == 200
-    assert [len(body) for body in said[2:]] == [5, 10]
-    gate.router.boards.set_chains(None)
-    assert gate.router.boards.flows() == []
+    gateway.turns(10)
+    assert gateway.backend_1.take() is None and gateway.backend_2.take() is None
+
+
+def test_without_failover_chains_the_holder_messages_are_shorter(gateway: GatewayHarness) -> None:
+    """With failover chains off, requests are not described to the board holder and no traffic flows are kept."""
+    sent: list[Any] = []
+
+    def ask(address: Any, kind: str, body: Any, wait: int, on_answer: Callable[[Any], None]) -> None:
+        sent.append(body)
+        on_answer(["i-1", 4, None])
+
+    gateway.rate_limiter.holder = lambda duty: ("h", 1)  # type: ignore[method-assign,assignment]
+    transport: Any = gateway.router.boards._transport
+    transport.ask, transport.tell = ask, lambda address, kind, body: sent.append(body)
+    client = gateway.send_request()
+    _, backend, _ = gateway.next_backend_request()
+    backend.send(success_answer())
+    assert gateway.status(client) == 200
+    assert [len(body) for body in sent] == [4, 9]
+    gateway.router.boards.set_chains(Chains())
+    client = gateway.send_request(request_id="a2")
+    _, backend, _ = gateway.next_backend_request()
+    backend.send(success_answer("a2"))
+    assert gateway.status(client) == 200
+    assert [len(body) for body in sent[2:]] == [5, 10]
+    gateway.router.boards.set_chains(None)
+    assert gateway.router.boards.flows() == []
