--- a/oakvale/cli.py
+++ b/oakvale/cli.py
@@ -97,8 +97,8 @@
     from oakvale.transport import status_service
 
     try:
-        told = status_service.inquire(configuration.address(args.address, "address"), args.timeout)
-    except (configuration.BadConfiguration, status_service.Silent) as error:
+        told = status_service.query_status(configuration.address(args.address, "address"), args.timeout)
+    except (configuration.BadConfiguration, status_service.NoResponse) as error:
         fail(f"{args.address}: {error}", 1)
     print("\n".join(logs.pairs({name: value}) for name, value in told.items()))
 
@@ -154,10 +154,10 @@
         else:
             own = settings.load(os.environ)
             address = own.ip, own.ports[0] + (0 if "ctl" in own.bind else 1)
-        held = status_service.inquire(address, args.timeout, "chains")["held"]
+        held = status_service.query_status(address, args.timeout, "chains")["held"]
     except (configuration.BadConfiguration, toml_table.BadFile) as error:
         fail(error)
-    except status_service.Silent as error:
+    except status_service.NoResponse as error:
         fail(f"{spelled(address)}: {error}", 1)
     if held is None:
         fail(f"{spelled(address)}: holds no chains: no headworks has --chains, or this one is only a witness", 1)
--- a/oakvale/controlplane/compaction.py
+++ b/oakvale/controlplane/compaction.py
@@ -9,7 +9,7 @@
 
 from oakvale.base.loop import Loop
 from oakvale.controlplane.core import Core
-from oakvale.dissemination.table import FLOOR, NOTHING, Version
+from oakvale.dissemination.table import HORIZON_KEY, NO_VERSION, Version
 from oakvale.lifecycle.eventlog import EventLogger
 
 ROUND = 10_000_000  # microseconds between two looks
@@ -37,15 +37,15 @@
         self._since = {name: self._since.get(name, now) for name, _ in table.items("left/")}
         old = [name for name, at in self._since.items() if now - at >= self._kept][:MOST]
         changes: dict[str, Any] = {f"left/{name}": None for name in old}
-        self._highs.append((now, table.high))
-        last = NOTHING  # as far as it was, long enough ago
+        self._highs.append((now, table.highest_version))
+        last = NO_VERSION  # as far as it was, long enough ago
         while self._highs and now - self._highs[0][0] >= self._kept:
             last = self._highs.popleft()[1]
-        if last != NOTHING:
+        if last != NO_VERSION:
             self._highs.appendleft((now - self._kept, last))
-        floor = min(table.next_floor(), last)
-        if floor > table.floor:
-            changes[FLOOR] = list(floor)
+        floor = min(table.next_horizon(), last)
+        if floor > table.horizon:
+            changes[HORIZON_KEY] = list(floor)
         if changes and not self._core.replicated_state.waits():
             log_event("forgets", left=len(old), up_to="/".join(map(str, floor)))
             self._core.change(changes, lambda done: None)
--- a/oakvale/controlplane/core.py
+++ b/oakvale/controlplane/core.py
@@ -18,7 +18,7 @@
 from oakvale.controlplane.replicated_state import ReplicatedState, Then
 from oakvale.controlplane.replication import Replicator
 from oakvale.controlplane.view_change import Out, Seat, View, ViewManager, founding, seat, unpack
-from oakvale.dissemination.feed import PULSE, Publisher
+from oakvale.dissemination.feed import HEARTBEAT_INTERVAL_US, Publisher
 from oakvale.dissemination.table import Version
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.storage.store import Storage
@@ -52,9 +52,9 @@
         seeds = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]
         copies = 1 + max(1, settings.tolerate, settings.tolerate_zones, settings.tolerate_regions)
         domains = Domains(settings.zones, settings.tolerate_zones > 0, settings.tolerate_regions > 0)
-        founds = settings.bootstrap and storage.first and spelled(transport.own) in seeds
+        founds = settings.bootstrap and storage.never_used and spelled(transport.self_address) in seeds
         start = replication.start(
-            spelled(transport.own),
+            spelled(transport.self_address),
             storage.fact("self"),
             storage.fact("state"),
             founding(seeds, copies) if founds else None,
@@ -62,7 +62,7 @@
         )
         patience = settings.bounds.sync_time + settings.bounds.contact
         self.replicator = Replicator(
-            start, storage.rows(), copies, SILENCE, patience, storage.pieces(), settings.zone, domains
+            start, storage.rows(), copies, SILENCE, patience, storage.chunks(), settings.zone, domains
         )
         self.own: Seat = start.own
         served = storage.fact("served")
@@ -84,11 +84,11 @@
         transport.handlers["offer"] = lambda conn, body, answer: self._do(self.replicator.offer(body, answer))
         transport.handlers["piece"] = lambda conn, body, answer: self._do(self.replicator.piece(body, answer))
         transport.handlers["subscribe"] = self._subscribe
-        transport.handlers["leave"] = lambda conn, body, answer: self.outlet.leave(conn)
+        transport.handlers["leave"] = lambda conn, body, answer: self.outlet.unsubscribe(conn)
         transport.handlers["digests"] = self._digests
         self._do(self.replicator.flush())
         loop.at(loop.now, self._beat)
-        loop.at(loop.now + PULSE, self._pulse)
+        loop.at(loop.now + HEARTBEAT_INTERVAL_US, self._pulse)
 
     # ---- what the rest of the process asks
 
@@ -224,7 +224,7 @@
                 case replication.Turned(serves):
                     self._turned(serves)
                 case replication.Resigned():
-                    self.outlet.drop()
+                    self.outlet.close_all()
                 case replication.Replaced():
                     self.outlet = Publisher(self.replicated_state.table)
                     current = self.view()
@@ -293,7 +293,7 @@
     def _beat(self, _: Any) -> None:
         self._watch()
         now = self.loop.now
-        since = self.storage.waiting_since()
+        since = self.storage.oldest_pending_since()
         healthy = since is None or now - since < SICK
         if healthy:  # one whose disk does not answer keeps nothing, so it does not count
             self._say()
@@ -360,12 +360,12 @@
         self._watch()
         if self.serving():
             self.outlet.publish(self._next_pulse(), [])
-        self.loop.at(self.loop.now + PULSE, self._pulse)
+        self.loop.at(self.loop.now + HEARTBEAT_INTERVAL_US, self._pulse)
 
     def _digests(self, conn: Connection, body: Any, answer: Answer) -> None:
         """A copy that does not serve may hold what is not in force, or was replaced."""
         if self.serving():
-            self.outlet.mend(conn, body, answer)
+            self.outlet.send_repair(conn, body, answer)
         else:
             answer(None)
 
--- a/oakvale/controlplane/process.py
+++ b/oakvale/controlplane/process.py
@@ -30,7 +30,7 @@
 from oakvale.shared import Shared
 from oakvale.storage.store import Storage
 from oakvale.transport.links import Transport
-from oakvale.transport.status_service import offer
+from oakvale.transport.status_service import serve_status
 
 if TYPE_CHECKING:
     from oakvale.config.chains import Given
@@ -78,7 +78,7 @@
         voter_service = VoterService(loop, self.transport, self.storage, settings.bootstrap, core.is_witness)
         Gates(core, voter_service, loop, self.transport)
         Pruning(core, loop)
-        offer(self.transport, "headworks", settings.node, lambda: standing(core))
+        serve_status(self.transport, "headworks", settings.node, lambda: standing(core))
         self.shared = Shared(loop, bounds(settings))
         self._ctl = Ctl(self.shared, core, settings)
         self.acceptor = Acceptor(self._ctl, listeners["ctl"], loop)
@@ -88,7 +88,7 @@
         log_event("headworks", node=settings.node, own=core.own[0], incarnation=core.own[1])
 
     def _sweep(self, _: object) -> None:
-        self.transport.sweep()
+        self.transport.close_idle_links()
         self.loop.at(self.loop.now + SWEEP, self._sweep)
 
     def plan(self, settings: Settings, given: Given | None) -> None:
--- a/oakvale/controlplane/replicated_state.py
+++ b/oakvale/controlplane/replicated_state.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from oakvale.controlplane.view_change import Seat
-from oakvale.dissemination.table import NOTHING, Entry, Table, Version
+from oakvale.dissemination.table import NO_VERSION, Entry, Table, Version
 
 Then = Callable[[bool], None]  # True: in force; False: not known to be, and it may still come
 
@@ -33,11 +33,11 @@
         self._place = self._view = 0
         self.forgotten: list[str] = []  # keys whose rows may go from the disk
         self.planned: list[dict[str, Any]] = []  # changes that are made once their pieces are with the backups
-        self.last = NOTHING  # the version of the newest entry, in force or not
+        self.last = NO_VERSION  # the version of the newest entry, in force or not
 
     def start(self, view: int) -> None:
         """Entries bear this view's number from now on. A primary that starts again goes on behind its own."""
-        newest = max((version for _, version, _ in self.everything()), default=NOTHING)
+        newest = max((version for _, version, _ in self.everything()), default=NO_VERSION)
         self._view, self._place = view, newest[1] if newest[0] == view else 0
         self.last = max(self.last, newest)
 
@@ -92,7 +92,7 @@
 
     def take(self, entries: list[Entry]) -> None:
         """Into the table."""
-        self.forgotten += [key for key in self.table.put(entries) if self.table.version(key) == NOTHING]
+        self.forgotten += [key for key in self.table.put(entries) if self.table.version(key) == NO_VERSION]
 
     def synced(self, who: Seat, up_to: Version) -> list[Entry]:
         """A seat has everything up to a version on disk. Gives what came into force by that, in order."""
--- a/oakvale/controlplane/replication.py
+++ b/oakvale/controlplane/replication.py
@@ -38,7 +38,7 @@
     unpack,
     unpack_durable,
 )
-from oakvale.dissemination.table import NOTHING, Entry, Version, pack
+from oakvale.dissemination.table import NO_VERSION, Entry, Version, pack
 from oakvale.dissemination.table import unpack as unpack_entries
 
 CALL = 1_000_000  # microseconds for a backup to sync
@@ -388,7 +388,7 @@
         something."""
         if self.view() != view or backup in self._sending and self._sending[backup].whole:
             return
-        transfer = self._sending[backup] = Transfer(Cut(0), NOTHING)
+        transfer = self._sending[backup] = Transfer(Cut(0), NO_VERSION)
         self._staged_by(backup)
         self._offer(backup, view, transfer, now=True)
 
@@ -399,7 +399,7 @@
         made = chunks.cut(entries)
         size = sum(len(piece) for name, piece in made.pieces.items() if name not in transfer.known)
         if now or size <= chunks.INLINE:
-            transfer.cut, transfer.up_to = made, max((version for _, version, _ in entries), default=NOTHING)
+            transfer.cut, transfer.up_to = made, max((version for _, version, _ in entries), default=NO_VERSION)
             self._clean.add(backup)  # what is changed from here on follows on the same connection
         lacking = [piece for name, piece in transfer.cut.pieces.items() if name not in transfer.known]
         inline = lacking if sum(map(len, lacking)) <= chunks.INLINE else []
@@ -469,16 +469,16 @@
         assert view is not None
         while self._planned:
             planned = self._planned[0]
-            cut = chunks.cut_change([(key, NOTHING, value) for key, value in planned.changes.items()])
+            cut = chunks.cut_change([(key, NO_VERSION, value) for key, value in planned.changes.items()])
             planned.waits = {backup for backup in view.backups if backup in self._clean and backup not in self._sending}
             if planned.waits:
                 for backup in sorted(planned.waits):
-                    self._sending[backup] = Transfer(cut, NOTHING, whole=False)
+                    self._sending[backup] = Transfer(cut, NO_VERSION, whole=False)
                     self._ask(
                         backup,
                         "offer",
                         [cut.manifest()],
-                        ("offer", backup, view, NOTHING),
+                        ("offer", backup, view, NO_VERSION),
                         2 * CALL + PER_BYTE * len(cut.pieces) * chunks.NAME,
                     )
                 return
@@ -504,7 +504,7 @@
             planned, view = self._planned.popleft(), self.view()
             assert view is not None
             self.replicated_state.planned.pop(0)
-            cut = chunks.cut_change([(key, NOTHING, value) for key, value in planned.changes.items()])
+            cut = chunks.cut_change([(key, NO_VERSION, value) for key, value in planned.changes.items()])
             self._propose(view, planned.changes, planned.then, cut)
             self._stage()
 
@@ -552,7 +552,7 @@
 
     def _follows_on(self, before: Version) -> bool:
         """Something before it did not arrive otherwise: an answer would vouch for that too."""
-        return self.replicated_state.table.high == before
+        return self.replicated_state.table.highest_version == before
 
     def _sync(self, body: Any, ticket: Any) -> None:
         view, sender, manifest = unpack(body[0]), seat(body[1]), body[3]
--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -21,7 +21,7 @@
 from oakvale.controlplane.compaction import LEFT
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.view_change import View
-from oakvale.dissemination.table import PRIVATE
+from oakvale.dissemination.table import CORE_ONLY_PREFIX
 from oakvale.lifecycle.eventlog import EventLogger
 
 if TYPE_CHECKING:  # of use only with contracts, or to a primary
@@ -31,7 +31,10 @@
 JSON = (b"content-type", b"application/json")
 ID = re.compile(r"[!-~]{1,128}")
 NAME = re.compile(r"[0-9A-Za-z._-]{1,64}")  # of an order
-TAKEN, FORGOTTEN = PRIVATE, "up-to"  # of entries on numbers; of that on the highest number that is known no longer
+TAKEN, FORGOTTEN = (
+    CORE_ONLY_PREFIX,
+    "up-to",
+)  # of entries on numbers; of that on the highest number that is known no longer
 MOST = 1_000  # numbers whose content is remembered, the highest
 CHECKED = 64  # texts that need not be checked again
 QUEUE = 16  # texts that wait to be checked; beyond, the caller is sent on
--- a/oakvale/controlplane/status.py
+++ b/oakvale/controlplane/status.py
@@ -5,12 +5,12 @@
 from typing import Any
 
 from oakvale.controlplane.core import Core
-from oakvale.transport.status_service import MS, by_service
+from oakvale.transport.status_service import US_PER_MS, count_by_service
 
 
 def standing(core: Core) -> dict[str, Any]:
     now, view, table = core.loop.now, core.view(), core.replicated_state.table
-    held, since = table.get("config"), core.storage.waiting_since()
+    held, since = table.get("config"), core.storage.oldest_pending_since()
     fields: dict[str, Any] = {"own": core.own[0], "incarnation": core.own[1], "view": view.number if view else 0}
     if view is not None:
         place = (
@@ -34,11 +34,11 @@
             "serving": core.serving(),
             "complete": core.view_manager.state.complete,
             "gen": held["gen"] if held else -1,
-            "news": "/".join(map(str, table.high)),
+            "news": "/".join(map(str, table.highest_version)),
             "waits": core.replicated_state.waits(),
-            "disk_waits_ms": 0 if since is None else (now - since) // MS,
+            "disk_waits_ms": 0 if since is None else (now - since) // US_PER_MS,
             "relays": len(core.outlet),
             "gateways": ",".join(sorted(node for node, _ in table.items("gate/"))),
         }
-        | by_service((str(value["svc"]), str(value["state"])) for _, value in table.items("backend/"))
+        | count_by_service((str(value["svc"]), str(value["state"])) for _, value in table.items("backend/"))
     )
--- a/oakvale/controlplane/voter.py
+++ b/oakvale/controlplane/voter.py
@@ -107,7 +107,12 @@
 
         def answered(answer: Any) -> None:
             waiting = self._probing.pop(life, [])
-            if isinstance(answer, str) and answer != life or answer is None and self._transport.ended(address, asked):
+            if (
+                isinstance(answer, str)
+                and answer != life
+                or answer is None
+                and self._transport.recently_refused(address, asked)
+            ):
                 self._voter.ended(life, self._loop.now)
             elif answer is None and self._voter.votes_for(life, self._loop.now):
                 self._loop.at(self._loop.now + AGAIN, lambda _: self._probe(life, where))
--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -16,7 +16,7 @@
 from oakvale.dataplane.routes import backends, configured, members
 from oakvale.dissemination.feed import Feed
 from oakvale.dissemination.table import Table
-from oakvale.dissemination.tree import Member, Members, sources, watched, watchers
+from oakvale.dissemination.tree import Member, Members, heartbeat_senders, heartbeat_targets, update_sources
 from oakvale.failover.chains import unpack
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.eventlog import EventLogger
@@ -75,7 +75,7 @@
         self.life = loop.net.token(6)
         # two roles of a machine share its ports: the headworks takes the first
         self.transport = Transport(self.loop, (settings.ip, settings.ports[0] + 1))
-        self.own = spelled(self.transport.own)
+        self.own = spelled(self.transport.self_address)
         self.table = Table()
         self.shared = Shared(self.loop, limits)
         self._core = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]  # the primary first, if known
@@ -111,7 +111,7 @@
             self._changed,
         )
         if given.strict_revoke:  # half of it: a pulse may have been on its way through the relays for the rest
-            self.router.sure = lambda: self.feed.fresh(given.revoke // 2)
+            self.router.sure = lambda: self.feed.is_fresh(given.revoke // 2)
         self.drain_agent = DrainAgent(
             self.loop,
             self.transport,
@@ -168,12 +168,12 @@
         return found.quota if found else Quota()
 
     def _sources(self, failed: dict[str, int]) -> list[str]:
-        return sources(self.router.picture.members, self.settings.node, self.settings.zone, self._core, failed)
+        return update_sources(self.router.picture.members, self.settings.node, self.settings.zone, self._core, failed)
 
     def _join(self, _: Any) -> None:
         """Until the list has this gateway, and again whenever it has not."""
         own = self.router.picture.members.get(self.settings.node)
-        here = own is not None and own.life == self.life
+        here = own is not None and own.incarnation == self.life
         self.loop.at(self.loop.now + (STAY if here else JOIN), self._join)
         if not here or not self._joined:
             self._ask_in()
@@ -210,7 +210,7 @@
         self.loop.at(now + HEARTBEAT, self._beat)
         everyone = self.router.picture.members
         own = everyone.get(self.settings.node)
-        if own is None or own.life != self.life:
+        if own is None or own.incarnation != self.life:
             self._joined = False
             return
         for member in self._watchers:
@@ -218,13 +218,13 @@
             if address is not None:
                 self.transport.tell(address, "alive", [self.settings.node, self.life])
         seen = self._watched
-        heard = {f"{m.node} {m.life}": self._heard.get(f"{m.node} {m.life}", now) for m in seen}
+        heard = {f"{m.node} {m.incarnation}": self._heard.get(f"{m.node} {m.incarnation}", now) for m in seen}
         self._heard = heard
         primary = parse_address(self._core[0]) if self._core else None
         for member in seen:
-            if now - heard[f"{member.node} {member.life}"] > MISSED and primary is not None:
+            if now - heard[f"{member.node} {member.incarnation}"] > MISSED and primary is not None:
                 self.transport.tell(
-                    primary, "missing", {"node": member.node, "life": member.life, "watcher": self.settings.node}
+                    primary, "missing", {"node": member.node, "life": member.incarnation, "watcher": self.settings.node}
                 )
 
     def _alive(self, conn: Connection, body: Any, _: Answer) -> None:
@@ -268,10 +268,10 @@
             zones = {member.zone for member in everyone.values()}
             self._gated |= zones
             self._bare = frozenset(self._gated - zones)
-            self._watchers = watchers(everyone, self.settings.node, WATCHERS)
-            self._watched = watched(everyone, self.settings.node, WATCHERS)
+            self._watchers = heartbeat_targets(everyone, self.settings.node, WATCHERS)
+            self._watched = heartbeat_senders(everyone, self.settings.node, WATCHERS)
             self.rate_limiter.members_changed()
-            self.feed.reconsider()
+            self.feed.reselect_source()
 
     def _missing(self, service: str, zone: str) -> frozenset[str]:
         """Who, besides gateways that send there, misses a place."""
@@ -280,7 +280,7 @@
             found.add("beats")
         if zone in self._bare:
             found.add("members")
-        return frozenset(found) if found and self.feed.fresh(BLIND) else frozenset()
+        return frozenset(found) if found and self.feed.is_fresh(BLIND) else frozenset()
 
     def _tell_flows(self) -> None:
         """To the primary, which works out the chains."""
@@ -294,5 +294,5 @@
         if self.router.boards.chains is not None and self._sweeps % 2 == 0:
             self._tell_flows()
         self.shared.idle.sweep(self.loop.now)
-        self.transport.sweep()
+        self.transport.close_idle_links()
         self.loop.at(self.loop.now + SWEEP, self._sweep)
--- a/oakvale/dataplane/process.py
+++ b/oakvale/dataplane/process.py
@@ -18,7 +18,7 @@
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
 from oakvale.lifecycle.status import Status
-from oakvale.transport.status_service import offer
+from oakvale.transport.status_service import serve_status
 
 log_event = EventLogger(__name__)
 
@@ -30,7 +30,7 @@
         """Raises OSError."""
         self.sluice = sluice = EdgeGateway(settings, listeners, loop)
         self.shutdown = Shutdown(sluice)
-        offer(sluice.transport, "sluice", settings.node, lambda: standing(sluice))
+        serve_status(sluice.transport, "sluice", settings.node, lambda: standing(sluice))
         sluice.transport.handlers["chains"] = lambda conn, body, answer: answer({"held": sluice.table.get("chains")})
         self.know = sluice.know
         Status(sluice.shared).begin()
--- a/oakvale/dataplane/routes.py
+++ b/oakvale/dataplane/routes.py
@@ -182,4 +182,4 @@
         if key.startswith("gate/"):
             node, value = key.removeprefix("gate/"), table.get(key)
             changes[node] = value and Member(node, str(value["addr"]), str(value["az"]), str(value["life"]))
-    return known.changed(changes)
+    return known.with_changes(changes)
--- a/oakvale/dataplane/status.py
+++ b/oakvale/dataplane/status.py
@@ -6,7 +6,7 @@
 
 from oakvale.base.address import spelled
 from oakvale.dataplane.gateway import EdgeGateway
-from oakvale.transport.status_service import MS, by_service
+from oakvale.transport.status_service import US_PER_MS, count_by_service
 
 
 def standing(sluice: EdgeGateway) -> dict[str, Any]:
@@ -17,14 +17,14 @@
             "own": sluice.own,
             "life": sluice.life,
             "ready": sluice.ready(),
-            "listed": own is not None and own.life == sluice.life,
+            "listed": own is not None and own.incarnation == sluice.life,
             "gen": picture.gen,
             "gateways": ",".join(sorted(picture.members)),
             "source": spelled(source) if source else "",
-            "pulse": "/".join(map(str, feed.pulse)),
-            "news": "/".join(map(str, sluice.table.high)),
-            "news_age_ms": (now - feed.fresh_at) // MS if feed.fresh_at else -1,
-            "relays": len(feed.outlet),
+            "pulse": "/".join(map(str, feed.heartbeat)),
+            "news": "/".join(map(str, sluice.table.highest_version)),
+            "news_age_ms": (now - feed.last_fresh_at) // US_PER_MS if feed.last_fresh_at else -1,
+            "relays": len(feed.publisher),
             "duties": ",".join(sluice.rate_limiter.held()),
             "clients": len(router.clients.all),
             "in_hand": len(router.requests),
@@ -32,5 +32,7 @@
             "idle_connections": sluice.shared.idle.count,
         }
         | router.tally.fields()
-        | by_service((backend.service, "ready" if backend.ready else "drain") for backend in picture.backends.values())
+        | count_by_service(
+            (backend.service, "ready" if backend.ready else "drain") for backend in picture.backends.values()
+        )
     )
--- a/oakvale/dissemination/table.py
+++ b/oakvale/dissemination/table.py
@@ -17,26 +17,26 @@
 Version = tuple[int, int]
 Entry = tuple[str, Version, Any]
 
-RANGES = 16
-NOTHING: Version = (0, 0)
-GRAVES = 500  # entries taken away that are kept to be passed on
-PRIVATE = "taken/"  # of the core machines alone: gateways are neither sent such entries nor asked for them
-FLOOR = "floor"  # the key of the entry that raises it; its value is a version
+DIGEST_RANGES = 16
+NO_VERSION: Version = (0, 0)
+TOMBSTONES_KEPT = 500  # entries taken away that are kept to be passed on
+CORE_ONLY_PREFIX = "taken/"  # of the core machines alone: gateways are neither sent such entries nor asked for them
+HORIZON_KEY = "floor"  # the key of the entry that raises it; its value is a version
 
 
-def public(entries: Iterable[Entry]) -> list[Entry]:
-    return [entry for entry in entries if not entry[0].startswith(PRIVATE)]
+def gateway_entries(entries: Iterable[Entry]) -> list[Entry]:
+    return [entry for entry in entries if not entry[0].startswith(CORE_ONLY_PREFIX)]
 
 
-def range_of(key: str) -> int:
-    return blake2b(key.encode(), digest_size=1).digest()[0] % RANGES
+def digest_range(key: str) -> int:
+    return blake2b(key.encode(), digest_size=1).digest()[0] % DIGEST_RANGES
 
 
 class Table:
     def __init__(self) -> None:
         self._entries: dict[str, tuple[Version, Any]] = {}
-        self.high = NOTHING  # all entries up to here are held
-        self.floor = NOTHING  # what was taken away up to here may be forgotten
+        self.highest_version = NO_VERSION  # all entries up to here are held
+        self.horizon = NO_VERSION  # what was taken away up to here may be forgotten
 
     def get(self, key: str) -> Any:
         found = self._entries.get(key)
@@ -44,7 +44,7 @@
 
     def version(self, key: str) -> Version:
         found = self._entries.get(key)
-        return found[0] if found else NOTHING
+        return found[0] if found else NO_VERSION
 
     def items(self, prefix: str) -> list[tuple[str, Any]]:
         """Key behind the prefix and value of what is there."""
@@ -58,35 +58,37 @@
         """Takes entries that are newer than what is held; gives their keys, and those that it forgets."""
         changed = []
         for key, version, value in entries:
-            if version > self.version(key) and (value is not None or version > self.floor or key in self._entries):
+            if version > self.version(key) and (value is not None or version > self.horizon or key in self._entries):
                 self._entries[key] = (version, value)
                 changed.append(key)
-            self.high = max(self.high, version)
-        floor = self.get(FLOOR) if FLOOR in changed else None
-        if floor is not None:
-            self.floor = max(self.floor, (int(floor[0]), int(floor[1])))
-        if floor is not None or any(self.get(key) is None and self.version(key) <= self.floor for key in changed):
-            changed += self._forget()
+            self.highest_version = max(self.highest_version, version)
+        horizon = self.get(HORIZON_KEY) if HORIZON_KEY in changed else None
+        if horizon is not None:
+            self.horizon = max(self.horizon, (int(horizon[0]), int(horizon[1])))
+        if horizon is not None or any(self.get(key) is None and self.version(key) <= self.horizon for key in changed):
+            changed += self._compact()
         return changed
 
-    def _forget(self) -> list[str]:
-        gone = [key for key, (version, value) in self._entries.items() if value is None and version <= self.floor]
-        for key in gone:
+    def _compact(self) -> list[str]:
+        removed = [key for key, (version, value) in self._entries.items() if value is None and version <= self.horizon]
+        for key in removed:
             del self._entries[key]
-        return gone
+        return removed
 
-    def whole(self, entries: list[Entry], floor: Version) -> list[str]:
+    def replace_all(self, entries: list[Entry], horizon: Version) -> list[str]:
         """Everything that the sender holds: what is missing there and not newer than it is gone."""
         sent = {key for key, _, _ in entries}
-        newest = max((version for _, version, _ in entries), default=NOTHING)
-        gone = [
-            key for key, (version, value) in self._entries.items() if key not in sent and version <= max(newest, floor)
+        newest = max((version for _, version, _ in entries), default=NO_VERSION)
+        removed = [
+            key
+            for key, (version, value) in self._entries.items()
+            if key not in sent and version <= max(newest, horizon)
         ]
-        for key in gone:
+        for key in removed:
             del self._entries[key]
         changed = self.put(entries)
-        self.floor = max(self.floor, floor)
-        return [*gone, *changed]
+        self.horizon = max(self.horizon, horizon)
+        return [*removed, *changed]
 
     def since(self, version: Version) -> list[Entry]:
         """Entries newer than a version, oldest first."""
@@ -95,26 +97,30 @@
             key=lambda entry: entry[1],
         )
 
-    def next_floor(self) -> Version:
+    def next_horizon(self) -> Version:
         """Up to where what was taken away may be forgotten: the newest stay, as long as there are not twice as many."""
-        graves = sorted(version for version, value in self._entries.values() if value is None)
-        return graves[-GRAVES - 1] if len(graves) > 2 * GRAVES else self.floor
+        tombstones = sorted(version for version, value in self._entries.values() if value is None)
+        return tombstones[-TOMBSTONES_KEPT - 1] if len(tombstones) > 2 * TOMBSTONES_KEPT else self.horizon
 
     # ---- repair
 
     def digests(self) -> list[bytes]:
         """One for each range of keys: equal where two tables hold the same versions of what gateways are sent."""
-        hashes = [blake2b(digest_size=8) for _ in range(RANGES)]
-        for key in sorted(key for key in self._entries if not key.startswith(PRIVATE)):
+        hashes = [blake2b(digest_size=8) for _ in range(DIGEST_RANGES)]
+        for key in sorted(key for key in self._entries if not key.startswith(CORE_ONLY_PREFIX)):
             version = self._entries[key][0]
-            hashes[range_of(key)].update(cbor2.dumps([key, version[0], version[1]]))
-        return [h.digest() for h in hashes]
+            hashes[digest_range(key)].update(cbor2.dumps([key, version[0], version[1]]))
+        return [hasher.digest() for hasher in hashes]
 
-    def differing(self, digests: list[bytes]) -> list[Entry]:
+    def differing_entries(self, digests: list[bytes]) -> list[Entry]:
         """All entries of the ranges in which the other's digest is another."""
         own = self.digests()
-        odd = {n for n in range(RANGES) if n >= len(digests) or digests[n] != own[n]}
-        return public((key, version, value) for key, (version, value) in self._entries.items() if range_of(key) in odd)
+        differing_ranges = {n for n in range(DIGEST_RANGES) if n >= len(digests) or digests[n] != own[n]}
+        return gateway_entries(
+            (key, version, value)
+            for key, (version, value) in self._entries.items()
+            if digest_range(key) in differing_ranges
+        )
 
 
 def pack(entries: Iterable[Entry]) -> list[Any]:
@@ -122,4 +128,4 @@
 
 
 def unpack(data: Any) -> list[Entry]:
-    return [(str(key), (int(view), int(place)), value) for key, view, place, value in data]
+    return [(str(key), (int(view), int(sequence)), value) for key, view, sequence, value in data]
--- a/oakvale/dissemination/tree.py
+++ b/oakvale/dissemination/tree.py
@@ -21,11 +21,11 @@
     node: str
     address: str
     zone: str
-    life: str
+    incarnation: str
 
 
 @lru_cache(4096)
-def place(name: str) -> int:
+def ring_position(name: str) -> int:
     """On the ring."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
@@ -36,73 +36,73 @@
 
     def __init__(self, members: Iterable[Member] = ()) -> None:
         super().__init__((member.node, member) for member in members)
-        self.order = sorted((place(node), node) for node in self)
-        self.before: Members | None = None  # the list that this one followed, and how they differ
+        self.order = sorted((ring_position(node), node) for node in self)
+        self.previous: Members | None = None  # the list that this one followed, and how they differ
         self.changes: dict[str, Member | None] = {}
 
-    def changed(self, changes: dict[str, Member | None]) -> Members:
+    def with_changes(self, changes: dict[str, Member | None]) -> Members:
         """`None` takes a node away."""
-        fresh = Members.__new__(Members)
-        fresh.update(self)
-        fresh.order, fresh.before, fresh.changes = self.order.copy(), self, changes
-        self.before = None  # one step is remembered
+        updated = Members.__new__(Members)
+        updated.update(self)
+        updated.order, updated.previous, updated.changes = self.order.copy(), self, changes
+        self.previous = None  # one step is remembered
         for node, member in changes.items():
-            key = (place(node), node)
+            key = (ring_position(node), node)
             if member is not None:
-                if node not in fresh:
-                    insort(fresh.order, key)
-                fresh[node] = member
-            elif fresh.pop(node, None) is not None:
-                del fresh.order[bisect_left(fresh.order, key)]
-        return fresh
+                if node not in updated:
+                    insort(updated.order, key)
+                updated[node] = member
+            elif updated.pop(node, None) is not None:
+                del updated.order[bisect_left(updated.order, key)]
+        return updated
 
-    def at(self, node: str) -> int | None:
-        return bisect_left(self.order, (place(node), node)) if node in self else None
+    def position(self, node: str) -> int | None:
+        return bisect_left(self.order, (ring_position(node), node)) if node in self else None
 
-    def turned(self, begin: int, count: int) -> list[Member]:
+    def members_from(self, start: int, count: int) -> list[Member]:
         """So many in a row, round the ring."""
-        return [self[self.order[(begin + n) % len(self.order)][1]] for n in range(count)]
+        return [self[self.order[(start + n) % len(self.order)][1]] for n in range(count)]
 
 
-def placed(members: Iterable[Member] | Members) -> Members:
+def as_members(members: Iterable[Member] | Members) -> Members:
     return members if isinstance(members, Members) else Members(members)
 
 
-def ring(members: Iterable[Member] | Members) -> list[Member]:
-    known = placed(members)
-    return known.turned(0, len(known))
+def ring_order(members: Iterable[Member] | Members) -> list[Member]:
+    known = as_members(members)
+    return known.members_from(0, len(known))
 
 
-def watchers(members: Iterable[Member] | Members, node: str, count: int) -> list[Member]:
+def heartbeat_targets(members: Iterable[Member] | Members, node: str, count: int) -> list[Member]:
     """The few that a gateway sends its heartbeats to: those next on the ring."""
-    known = placed(members)
-    at = known.at(node)
-    return [] if at is None else known.turned(at + 1, min(count, len(known) - 1))
+    known = as_members(members)
+    position = known.position(node)
+    return [] if position is None else known.members_from(position + 1, min(count, len(known) - 1))
 
 
-def watched(members: Iterable[Member] | Members, node: str, count: int) -> list[Member]:
+def heartbeat_senders(members: Iterable[Member] | Members, node: str, count: int) -> list[Member]:
     """Those whose heartbeats a gateway gets: the few before it on the ring."""
-    known = placed(members)
-    at, few = known.at(node), min(count, len(known) - 1)
-    return [] if at is None else known.turned(at - few, few)
+    known = as_members(members)
+    position, watched_count = known.position(node), min(count, len(known) - 1)
+    return [] if position is None else known.members_from(position - watched_count, watched_count)
 
 
 def next_on_ring(members: Iterable[Member] | Members, duty: str, count: int) -> list[Member]:
     """The few that stand for a duty: those next on the ring from its own place."""
-    known = placed(members)
-    return known.turned(bisect_left(known.order, (place(duty), "")), min(count, len(known)))
+    known = as_members(members)
+    return known.members_from(bisect_left(known.order, (ring_position(duty), "")), min(count, len(known)))
 
 
-def sources(
+def update_sources(
     members: Mapping[str, Member], node: str, zone: str, core: list[str], failed: Mapping[str, int]
 ) -> list[str]:
     """Addresses to take news from, the best first. `core` begins with the primary."""
     known = members if isinstance(members, Members) else Members(members.values())
-    order = [member for member in ring(known) if member.zone == zone]
-    at = next((n for n, member in enumerate(order) if member.node == node), None)
-    above = []
-    while at:
-        at = (at - 1) // FAN_OUT
-        above.append(order[at].address)
-    path = [*above, *core]
-    return sorted(path, key=lambda address: failed.get(address, 0))
+    order = [member for member in ring_order(known) if member.zone == zone]
+    position = next((n for n, member in enumerate(order) if member.node == node), None)
+    ancestors = []
+    while position:
+        position = (position - 1) // FAN_OUT
+        ancestors.append(order[position].address)
+    candidates = [*ancestors, *core]
+    return sorted(candidates, key=lambda address: failed.get(address, 0))
--- a/oakvale/failover/places.py
+++ b/oakvale/failover/places.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from oakvale.dissemination.tree import place as on_ring
+from oakvale.dissemination.tree import ring_position
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,7 +29,7 @@
         found: dict[int, list[str]] = {}
         for zone in among:
             found.setdefault(self.distance(home, zone), []).append(zone)
-        return [sorted(found[steps], key=lambda zone: on_ring(f"{home} {zone}")) for steps in sorted(found)]
+        return [sorted(found[steps], key=lambda zone: ring_position(f"{home} {zone}")) for steps in sorted(found)]
 
     def places(self) -> dict[str, frozenset[str]]:
         """Every place and the zones in it. A name above a zone that is a zone's too stands for the zone."""
--- a/oakvale/lab/simulation/disks.py
+++ b/oakvale/lab/simulation/disks.py
@@ -14,7 +14,7 @@
 
 from oakvale.lab.simulation.events import Events
 from oakvale.lab.simulation.machines import Process
-from oakvale.storage.store import MOST, RETRY, Piece, Row, Write
+from oakvale.storage.store import DISK_RETRY_SECONDS, MAX_BATCH_WRITES, Chunk, Row, Write
 
 MS = 1_000
 
@@ -79,7 +79,7 @@
 class SimulatedStorage:
     """As `cistern.store.Cistern`, its thread played by the world."""
 
-    first = True  # nothing here is damaged
+    never_used = True  # nothing here is damaged
 
     def __init__(self, process: Process, disk: Disk) -> None:
         self._process, self._disk, self._events = process, disk, disk.events
@@ -93,7 +93,7 @@
     def rows(self) -> list[Row]:
         return list(self._disk.rows.items())
 
-    def pieces(self) -> list[Piece]:
+    def chunks(self) -> list[Chunk]:
         return list(self._disk.pieces.items())
 
     def write(self, what: Write, then: Callable[[], None]) -> None:
@@ -105,7 +105,7 @@
         if not self._busy:
             self._begin()
 
-    def waiting_since(self) -> int | None:
+    def oldest_pending_since(self) -> int | None:
         oldest = self._batch or self._queue
         return oldest[0][0] if oldest else None
 
@@ -116,7 +116,7 @@
         self._busy = True
         disk, now = self._disk, self._process.instant()
         if not self._batch:
-            self._batch = [self._queue.popleft() for _ in range(min(MOST, len(self._queue)))]
+            self._batch = [self._queue.popleft() for _ in range(min(MAX_BATCH_WRITES, len(self._queue)))]
         disk.under_way = [what for _, what, _ in self._batch]
         self._events.at(max(now, disk.hangs) + disk.span(), self._synced)
 
@@ -127,7 +127,7 @@
         if disk.hangs > now:
             return self._events.at(disk.hangs + disk.span(), self._synced)
         if disk.refuses > now:
-            return self._events.at(now + int(RETRY * 1e6), self._synced)
+            return self._events.at(now + int(DISK_RETRY_SECONDS * 1e6), self._synced)
         disk.syncs += 1
         disk.apply(disk.under_way)
         disk.under_way = []
--- a/oakvale/lab/undone.py
+++ b/oakvale/lab/undone.py
@@ -56,15 +56,15 @@
 
 
 def next_source(self: Feed, now: int) -> None:
-    """As `Feed._next`, but each source asked in a spell without news was noted as fallen silent: 236 to 306 lines a day
-    on the same five days."""
+    """As `Feed._try_next_source`, but each source asked in a spell without news was noted as fallen silent: 236 to
+    306 lines a day on the same five days."""
     if self._source is not None:
-        self._failed[f"{self._source[0]}:{self._source[1]}"] = now
-        if self.fresh_at:
-            log_event("news are stale", source=self._source[0], for_ms=(now - self.fresh_at) // 1000)
-    ways = self._sources(self._failed)
+        self._failed_at[f"{self._source[0]}:{self._source[1]}"] = now
+        if self.last_fresh_at:
+            log_event("news are stale", source=self._source[0], for_ms=(now - self.last_fresh_at) // 1000)
+    ways = self._candidate_sources(self._failed_at)
     if ways and (address := parse_address(ways[0])) is not None:
-        self._ask(address)
+        self._request_updates(address)
 
 
 def leaving(self: ViewManager, peer: Seat) -> None:
--- a/oakvale/loadbalancing/load_board.py
+++ b/oakvale/loadbalancing/load_board.py
@@ -15,7 +15,7 @@
 from math import exp, sqrt
 from operator import itemgetter
 
-from oakvale.dissemination.tree import place
+from oakvale.dissemination.tree import ring_position
 from oakvale.loadbalancing.idle_timeout import Idling
 
 LEARN = 0.15  # weight of the newest sample in moving averages
@@ -64,7 +64,7 @@
 @lru_cache(32768)
 def leaning(asker: str, backend: str) -> float:
     """0 to 1, drawn once for each pair by their names."""
-    return place(f"{asker} {backend}") / 2.0**64
+    return ring_position(f"{asker} {backend}") / 2.0**64
 
 
 class Board:
--- a/oakvale/ratelimit/presence.py
+++ b/oakvale/ratelimit/presence.py
@@ -44,7 +44,7 @@
         listed, known = self._members(), self._listed
         if listed is not known:
             changes: dict[str, Member | None] = dict(listed)
-            if listed.before is known:
+            if listed.previous is known:
                 changes = listed.changes
             else:
                 changes.update({node: None for node in known if node not in listed})
@@ -97,7 +97,7 @@
         ended pass nothing, and leave nothing out."""
         now = self._loop.now
         if now - self._share[1] >= ALIKE:
-            may = {node for node, member in self.lately.items() if self.ended.get(node) != member.life}
+            may = {node for node, member in self.lately.items() if self.ended.get(node) != member.incarnation}
             here = sum(1 for node in may | {self._node} if node == self._node or self.here(node))
             self._share = (min(1.0, here / max(1, len(may | {self._node}))), now)
         return self._share[0]
@@ -108,15 +108,15 @@
         """Who is not here may have ended."""
         for node, member in self.lately.items():
             address = parse_address(member.address)
-            if address and node != self._node and not self.here(node) and self.ended.get(node) != member.life:
+            if address and node != self._node and not self.here(node) and self.ended.get(node) != member.incarnation:
                 proven = partial(self.proven, member, address, self._loop.now)
                 self._transport.ask(address, "life", None, PROOF_TIMEOUT, proven)
 
     def proven(self, member: Member, address: Address, asked: int, answer: Any) -> None:
         """Its answer to any question tells whether the life on the list has ended."""
-        refused = answer is None and self._transport.ended(address, asked)
-        if isinstance(answer, str) and answer != member.life or refused:
-            self.ended[member.node] = member.life
+        refused = answer is None and self._transport.recently_refused(address, asked)
+        if isinstance(answer, str) and answer != member.incarnation or refused:
+            self.ended[member.node] = member.incarnation
 
     def reached(self, address: Address) -> None:
         """It answered, or is proven to have ended."""
--- a/oakvale/ratelimit/service.py
+++ b/oakvale/ratelimit/service.py
@@ -10,7 +10,7 @@
 
 from oakvale.base.address import Address, parse_address, spelled
 from oakvale.base.loop import Loop
-from oakvale.dissemination.tree import Member, Members, next_on_ring, place
+from oakvale.dissemination.tree import Member, Members, next_on_ring, ring_position
 from oakvale.election.voting import MARGIN, QUIET, SPAN, Ask, Candidate, Word
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.ratelimit.counter_state import CounterState, Receipt
@@ -43,7 +43,7 @@
 
 
 def duty_of(tenant: str) -> str:
-    return f"gauge/{place(tenant) % DUTIES}"
+    return f"gauge/{ring_position(tenant) % DUTIES}"
 
 
 class RateLimiter:
@@ -204,7 +204,7 @@
     def _unanswered(self, duty: str, holder: Address) -> None:
         if self._holders.get(duty) == holder:
             self._doubt[duty] = self.loop.now
-            if self.transport.ended(holder):
+            if self.transport.recently_refused(holder):
                 del self._holders[duty]
         self._find(duty, suspects=True)
 
@@ -221,7 +221,7 @@
     def away(self, gateways: frozenset[str]) -> float:
         """How many of them are not known to have heard from this one lately, nor to have ended: each of those may hold
         itself to be `cut`. Those of long ago count in part."""
-        now, lives = self.loop.now, {node: member.life for node, member in self._presence.lately.items()}
+        now, lives = self.loop.now, {node: member.incarnation for node, member in self._presence.lately.items()}
         return sum(
             FEW if now - self._presence.heard.get(node, self._counts_since) >= LONG_GONE else 1.0
             for node in gateways
@@ -264,13 +264,13 @@
         return said > len(self._voters()) // 2
 
     def _told_by(self, duty: str, address: Address, answer: Any) -> None:
-        if isinstance(answer, list) or self.transport.ended(address):
+        if isinstance(answer, list) or self.transport.recently_refused(address):
             self._presence.reached(address)
         self._heard_of(duty, answer[0] if isinstance(answer, list) else None)
 
     def _heard_of(self, duty: str, answer: Any) -> None:
         address = parse_address(answer) if answer else None
-        if address is None or answer == self._own or self.transport.ended(address):
+        if address is None or answer == self._own or self.transport.recently_refused(address):
             return
         if self._holders.get(duty) != address:
             self._holders[duty] = address
--- a/oakvale/storage/store.py
+++ b/oakvale/storage/store.py
@@ -26,24 +26,24 @@
 from oakvale.lifecycle.eventlog import EventLogger
 
 Row = tuple[str, bytes]
-Piece = tuple[bytes, bytes]  # its name, and what it holds
+Chunk = tuple[bytes, bytes]  # its name, and what it holds
 Write = tuple[str, Any]  # ("fact", (name, value)) | ("rows", [row...]) | ("gone", [key...]) | ("stage", [piece...])
 # | ("unstage", [name...]) | ("whole", [row...]): no rows but these, and no pieces
 
-RETRY = 0.05  # seconds between two tries at a disk that refuses
-MOST = 64  # writes in one transaction
-MOST_BYTES = 1 << 20  # a transaction that holds more takes no further write
-LOG = 4 << 20  # bytes that the log keeps of the disk once it is worked in
-SEALED = 1  # `user_version` of a file whose every transaction is sealed; 0 of one of before, or an empty one
-SEAL = "seal"  # the fact: 8 bytes that name the file, 8 of the transaction's number, 16 of the checksum
+DISK_RETRY_SECONDS = 0.05  # seconds between two tries at a disk that refuses
+MAX_BATCH_WRITES = 64  # writes in one transaction
+MAX_BATCH_BYTES = 1 << 20  # a transaction that holds more takes no further write
+MAX_WAL_BYTES = 4 << 20  # bytes that the log keeps of the disk once it is worked in
+SEALED_FORMAT = 1  # `user_version` of a file whose every transaction is sealed; 0 of one of before, or an empty one
+SEAL_FACT = "seal"  # the fact: 8 bytes that name the file, 8 of the transaction's number, 16 of the checksum
 TABLES = {"fact": "name", "row": "key", "piece": "name"}
-BROKEN = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
-DAMAGED = (*BROKEN, sqlite3.SQLITE_ERROR)  # the last: a table is missing
+CORRUPTION_CODES = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
+DAMAGE_CODES = (*CORRUPTION_CODES, sqlite3.SQLITE_ERROR)  # the last: a table is missing
 
 log_event = EventLogger(__name__)
 
 
-class Damaged(Exception):
+class DamagedFile(Exception):
     """The file holds something else than what was written to it, or an older state."""
 
 
@@ -56,35 +56,39 @@
             os.makedirs(folder, exist_ok=True)
             _sync_folder(os.path.dirname(os.path.abspath(folder)))
         self._folder, self._path = folder, os.path.join(folder, "oakvale.db")
-        self._mark, self._aside = (os.path.join(folder, f"oakvale.{name}") for name in ("mark", "db.damaged"))
-        self.first = not any(map(os.path.exists, (self._mark, self._aside)))  # no state was ever kept here
-        self._id, self._commits, self._total = os.urandom(8), 0, 0
-        self._sums: dict[str, dict[Any, int]] = {}  # of all that the file holds
-        self._undo: list[tuple[str, Any, int]] = []
+        self._mark_path, self._damaged_path = (
+            os.path.join(folder, f"oakvale.{name}") for name in ("mark", "db.damaged")
+        )
+        self.never_used = not any(
+            map(os.path.exists, (self._mark_path, self._damaged_path))
+        )  # no state was ever kept here
+        self._file_id, self._commit_count, self._checksum = os.urandom(8), 0, 0
+        self._entry_checksums: dict[str, dict[Any, int]] = {}  # of all that the file holds
+        self._checksum_undo: list[tuple[str, Any, int]] = []
         try:
             self._open()
-        except (Damaged, sqlite3.DatabaseError) as error:
-            if getattr(error, "sqlite_errorcode", sqlite3.SQLITE_CORRUPT) & 0xFF not in DAMAGED:
+        except (DamagedFile, sqlite3.DatabaseError) as error:
+            if getattr(error, "sqlite_errorcode", sqlite3.SQLITE_CORRUPT) & 0xFF not in DAMAGE_CODES:
                 raise  # the disk refuses
-            log_event("file is damaged", "error", why=str(error), kept=self._aside, begins="without state")
-            self.first = False
-            self._put_aside()
+            log_event("file is damaged", "error", why=str(error), kept=self._damaged_path, begins="without state")
+            self.never_used = False
+            self._move_damaged_aside()
             self._open()
         else:
-            if not self.first and not self._commits:
+            if not self.never_used and not self._commit_count:
                 log_event("no state where there was one", "error", folder=folder, begins="without state")
-        self._mark_file = os.open(self._mark, os.O_RDWR | os.O_CREAT, 0o644) if self._commits else -1
+        self._mark_file = os.open(self._mark_path, os.O_RDWR | os.O_CREAT, 0o644) if self._commit_count else -1
         self._queue: SimpleQueue[tuple[int, Write] | None] = SimpleQueue()
-        self._then: dict[int, Callable[[], None]] = {}
-        self._since: dict[int, int] = {}  # number -> when it was asked for
-        self._number = self._done = 0
+        self._callbacks: dict[int, Callable[[], None]] = {}
+        self._requested_at: dict[int, int] = {}  # number -> when it was asked for
+        self._last_number = self._last_synced = 0
         self.broken = False
         self.on_broken: Callable[[], None] = lambda: None
-        self._read, self._wake = socket.socketpair()
-        self._read.setblocking(False)
-        self._wake.setblocking(False)
-        loop.start(self._notice(), self._read.fileno(), Rank.COUNTER)
-        self._thread = threading.Thread(target=self._work, name="cistern", daemon=True)
+        self._wake_reader, self._wake_writer = socket.socketpair()
+        self._wake_reader.setblocking(False)
+        self._wake_writer.setblocking(False)
+        loop.start(self._run_callbacks(), self._wake_reader.fileno(), Rank.COUNTER)
+        self._thread = threading.Thread(target=self._write_loop, name="cistern", daemon=True)
         self._thread.start()
 
     # ---- opening
@@ -96,10 +100,10 @@
         self._db.execute("pragma journal_mode=wal")
         self._db.execute("pragma synchronous=full")
         self._db.execute("pragma wal_autocheckpoint=200")
-        self._db.execute(f"pragma journal_size_limit={LOG}")
-        sealed = self._db.execute("pragma user_version").fetchone()[0] == SEALED
+        self._db.execute(f"pragma journal_size_limit={MAX_WAL_BYTES}")
+        sealed = self._db.execute("pragma user_version").fetchone()[0] == SEALED_FORMAT
         if sealed:
-            self._check()
+            self._verify()
         self._db.execute("begin immediate")
         for table, key in TABLES.items():
             kind = "blob" if table == "piece" else "text"
@@ -107,53 +111,53 @@
         if not sealed:
             self._read_sums()  # empty, or of a version that sealed nothing
             self._seal(0)
-            self._db.execute(f"pragma user_version={SEALED}")
+            self._db.execute(f"pragma user_version={SEALED_FORMAT}")
         self._db.execute("commit")
         _sync_folder(self._folder)  # or a loss of power might leave the log without its file, or neither
 
     def _read_sums(self) -> None:
-        self._total, self._sums = 0, {table: {} for table in TABLES}
+        self._checksum, self._entry_checksums = 0, {table: {} for table in TABLES}
         for table in TABLES:
             for key, value in self._db.execute(f"select * from {table}"):
-                if (table, key) != ("fact", SEAL):
-                    self._sum(table, key, bytes(value))
-        self._undo.clear()
+                if (table, key) != ("fact", SEAL_FACT):
+                    self._update_checksum(table, key, bytes(value))
+        self._checksum_undo.clear()
 
-    def _check(self) -> None:
+    def _verify(self) -> None:
         """That what the file holds is what was last written to it, as far as it can tell."""
         found = self._db.execute("pragma quick_check(1)").fetchone()[0]
         if found != "ok":
-            raise Damaged(str(found))
+            raise DamagedFile(str(found))
         try:
             self._read_sums()
         except (TypeError, AttributeError, sqlite3.OperationalError) as error:
-            raise Damaged(str(error)) from error
-        seal = self.fact(SEAL)
-        if seal is None or len(seal) != 32 or int.from_bytes(seal[16:]) != self._total:
-            raise Damaged("what it holds is not what was sealed")
-        self._id, self._commits = seal[:8], int.from_bytes(seal[8:16])
+            raise DamagedFile(str(error)) from error
+        seal = self.fact(SEAL_FACT)
+        if seal is None or len(seal) != 32 or int.from_bytes(seal[16:]) != self._checksum:
+            raise DamagedFile("what it holds is not what was sealed")
+        self._file_id, self._commit_count = seal[:8], int.from_bytes(seal[8:16])
         try:
-            with open(self._mark, "rb") as file:
+            with open(self._mark_path, "rb") as file:
                 mark = file.read(24)
         except FileNotFoundError:
             return
-        noted = int.from_bytes(mark[8:16])
-        if mark == _marked(self._id, noted) and noted > self._commits:
-            raise Damaged(f"transaction {self._commits} is its last, and {noted} was synced")
+        recorded = int.from_bytes(mark[8:16])
+        if mark == _mark_record(self._file_id, recorded) and recorded > self._commit_count:
+            raise DamagedFile(f"transaction {self._commit_count} is its last, and {recorded} was synced")
 
-    def _put_aside(self) -> None:
+    def _move_damaged_aside(self) -> None:
         """The file goes before its log: without the log it might pass for whole, in an older state."""
         try:
             self._db.close()
         except sqlite3.Error:
             pass
-        os.replace(self._path, self._aside)
+        os.replace(self._path, self._damaged_path)
         _sync_folder(self._folder)
-        for end in ("-wal", "-shm", "-journal"):
-            if os.path.exists(self._path + end):
-                os.remove(self._path + end)
+        for suffix in ("-wal", "-shm", "-journal"):
+            if os.path.exists(self._path + suffix):
+                os.remove(self._path + suffix)
         _sync_folder(self._folder)
-        self._id, self._commits = os.urandom(8), 0
+        self._file_id, self._commit_count = os.urandom(8), 0
 
     # ---- reading, at the start alone
 
@@ -164,41 +168,41 @@
     def rows(self) -> list[Row]:
         return [(key, bytes(value)) for key, value in self._db.execute("select key, value from row")]
 
-    def pieces(self) -> list[Piece]:
+    def chunks(self) -> list[Chunk]:
         return [(bytes(name), bytes(value)) for name, value in self._db.execute("select name, value from piece")]
 
     # ---- writing
 
-    def write(self, what: Write, then: Callable[[], None]) -> None:
-        self._number += 1
-        self._then[self._number] = then
-        self._since[self._number] = self._loop.now
-        self._queue.put((self._number, what))
+    def write(self, write: Write, on_done: Callable[[], None]) -> None:
+        self._last_number += 1
+        self._callbacks[self._last_number] = on_done
+        self._requested_at[self._last_number] = self._loop.now
+        self._queue.put((self._last_number, write))
 
-    def waiting_since(self) -> int | None:
+    def oldest_pending_since(self) -> int | None:
         """When the oldest write that is not on disk yet was asked for."""
-        return next(iter(self._since.values()), None)
+        return next(iter(self._requested_at.values()), None)
 
-    def _notice(self) -> Coroutine:
+    def _run_callbacks(self) -> Coroutine:
         try:
             while True:
                 yield READ, 0
                 try:
-                    self._read.recv(4096)
+                    self._wake_reader.recv(4096)
                 except BlockingIOError:
                     continue
                 if self.broken:
                     self.on_broken()
-                done = self._done
-                for number in [n for n in self._then if n <= done]:
-                    then = self._then.pop(number)
-                    self._since.pop(number, None)
+                done = self._last_synced
+                for number in [n for n in self._callbacks if n <= done]:
+                    on_done = self._callbacks.pop(number)
+                    self._requested_at.pop(number, None)
                     try:
-                        then()
+                        on_done()
                     except Exception:
                         log_event.fault("what follows a write failed")
         finally:
-            self._read.close()
+            self._wake_reader.close()
 
     def close(self) -> None:
         """Waits for what is under way; a disk that hangs is not waited for."""
@@ -207,31 +211,31 @@
 
     # ---- the thread
 
-    def _work(self) -> None:
+    def _write_loop(self) -> None:
         while True:
             first = self._queue.get()
             if first is None:
                 return
-            batch, size = [first], _size(first[1])
-            while len(batch) < MOST and size < MOST_BYTES and not self._queue.empty():
-                more = self._queue.get()
-                if more is None:
+            batch, size = [first], _payload_bytes(first[1])
+            while len(batch) < MAX_BATCH_WRITES and size < MAX_BATCH_BYTES and not self._queue.empty():
+                following = self._queue.get()
+                if following is None:
                     self._commit(batch)
                     return
-                batch.append(more)
-                size += _size(more[1])
+                batch.append(following)
+                size += _payload_bytes(following[1])
             try:
                 self._commit(batch)
-            except Damaged as error:
+            except DamagedFile as error:
                 log_event("file breaks", "error", why=str(error))
                 self.broken = True
-                return self._tell()
-            self._done = batch[-1][0]
-            self._tell()
+                return self._wake_loop()
+            self._last_synced = batch[-1][0]
+            self._wake_loop()
 
-    def _tell(self) -> None:
+    def _wake_loop(self) -> None:
         try:
-            self._wake.send(b"\0")
+            self._wake_writer.send(b"\0")
         except (BlockingIOError, OSError):
             pass  # a byte is there already, or the loop has ended
 
@@ -242,21 +246,21 @@
                 self._db.execute("begin immediate")
                 for _, (kind, data) in batch:
                     self._apply(kind, data)
-                self._seal(self._commits + 1)
+                self._seal(self._commit_count + 1)
                 self._db.execute("commit")
                 break
             except sqlite3.Error as error:
-                if getattr(error, "sqlite_errorcode", 0) & 0xFF in BROKEN:
-                    raise Damaged(str(error)) from error
+                if getattr(error, "sqlite_errorcode", 0) & 0xFF in CORRUPTION_CODES:
+                    raise DamagedFile(str(error)) from error
                 log_event("disk refuses", "warning", why=str(error))
                 try:
                     self._db.execute("rollback")
                 except sqlite3.Error:
                     pass
-                self._take_back()
-                time.sleep(RETRY)
-        self._undo.clear()
-        self._note_number()
+                self._undo_checksums()
+                time.sleep(DISK_RETRY_SECONDS)
+        self._checksum_undo.clear()
+        self._record_commit()
 
     def _apply(self, kind: str, data: Any) -> None:
         if kind == "fact":
@@ -269,22 +273,22 @@
             self._remove("piece", data)
         else:
             if kind == "whole":
-                self._remove("row", list(self._sums["row"]))
-                self._remove("piece", list(self._sums["piece"]))
+                self._remove("row", list(self._entry_checksums["row"]))
+                self._remove("piece", list(self._entry_checksums["piece"]))
             self._put("row", data)
 
     def _put(self, table: str, rows: list[Any]) -> None:
         for key, value in rows:
-            self._sum(table, key, value)
+            self._update_checksum(table, key, value)
         self._db.executemany(f"insert or replace into {table} values (?, ?)", rows)
 
     def _remove(self, table: str, keys: list[Any]) -> None:
         for key in keys:
-            self._sum(table, key, None)
+            self._update_checksum(table, key, None)
         self._db.executemany(f"delete from {table} where {TABLES[table]} = ?", [(key,) for key in keys])
 
-    def _sum(self, table: str, key: Any, value: bytes | None) -> None:
-        sums = self._sums[table]
+    def _update_checksum(self, table: str, key: Any, value: bytes | None) -> None:
+        sums = self._entry_checksums[table]
         before, now = sums.pop(key, 0), 0
         if value is not None:
             name = key.encode() if isinstance(key, str) else key
@@ -293,46 +297,46 @@
                     value, digest_size=16, key=blake2b(name, digest_size=16, person=table.encode()).digest()
                 ).digest()
             )
-        self._total ^= before ^ now
-        self._undo.append((table, key, before))
+        self._checksum ^= before ^ now
+        self._checksum_undo.append((table, key, before))
 
-    def _take_back(self) -> None:
-        for table, key, before in reversed(self._undo):
-            sums = self._sums[table]
-            self._total ^= sums.pop(key, 0) ^ before
+    def _undo_checksums(self) -> None:
+        for table, key, before in reversed(self._checksum_undo):
+            sums = self._entry_checksums[table]
+            self._checksum ^= sums.pop(key, 0) ^ before
             if before:
                 sums[key] = before
-        self._undo.clear()
+        self._checksum_undo.clear()
 
     def _seal(self, number: int) -> None:
-        seal = self._id + number.to_bytes(8) + self._total.to_bytes(16)
-        self._db.execute("insert or replace into fact values (?, ?)", (SEAL, seal))
+        seal = self._file_id + number.to_bytes(8) + self._checksum.to_bytes(16)
+        self._db.execute("insert or replace into fact values (?, ?)", (SEAL_FACT, seal))
 
-    def _note_number(self) -> None:
+    def _record_commit(self) -> None:
         """Without a sync: it may lag behind the file, and is never ahead of it."""
-        self._commits += 1
+        self._commit_count += 1
         try:
             if self._mark_file < 0:
-                self._mark_file = os.open(self._mark, os.O_RDWR | os.O_CREAT, 0o644)
+                self._mark_file = os.open(self._mark_path, os.O_RDWR | os.O_CREAT, 0o644)
                 _sync_folder(self._folder)
-            os.pwrite(self._mark_file, _marked(self._id, self._commits), 0)
+            os.pwrite(self._mark_file, _mark_record(self._file_id, self._commit_count), 0)
         except OSError as error:
             log_event("disk refuses", "warning", why=str(error))
 
 
-def _marked(name: bytes, number: int) -> bytes:
-    noted = name + number.to_bytes(8)
-    return noted + blake2b(noted, digest_size=8).digest()
+def _mark_record(name: bytes, number: int) -> bytes:
+    recorded = name + number.to_bytes(8)
+    return recorded + blake2b(recorded, digest_size=8).digest()
 
 
-def _size(what: Write) -> int:
-    kind, data = what
+def _payload_bytes(write: Write) -> int:
+    kind, data = write
     return sum(len(value) for _, value in data) if kind in ("rows", "whole", "stage") else 0
 
 
 def _sync_folder(folder: str) -> None:
-    opened = os.open(folder, os.O_RDONLY)
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(opened)
+        os.fsync(descriptor)
     finally:
-        os.close(opened)
+        os.close(descriptor)
--- a/oakvale/transport/frames.py
+++ b/oakvale/transport/frames.py
@@ -10,8 +10,8 @@
 
 import cbor2
 
-LENGTH = struct.Struct(">I")
-LONGEST = 16 * 1024 * 1024  # bytes; what is longer than a little comes in parts (`links`)
+LENGTH_PREFIX = struct.Struct(">I")
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # bytes; what is longer than a little comes in parts (`links`)
 
 Frame = tuple[str, int, Any]
 
@@ -22,27 +22,27 @@
 
 def encode(kind: str, number: int, body: Any) -> bytes:
     data = cbor2.dumps([kind, number, body])
-    return LENGTH.pack(len(data)) + data
+    return LENGTH_PREFIX.pack(len(data)) + data
 
 
-def decode(buffer: bytearray, longest: int = LONGEST) -> list[Frame]:
+def decode(buffer: bytearray, max_bytes: int = MAX_FRAME_BYTES) -> list[Frame]:
     """Takes the whole frames off the buffer's front; raises BadFrame."""
     frames: list[Frame] = []
-    at = 0
-    while len(buffer) - at >= LENGTH.size:
-        size = LENGTH.unpack_from(buffer, at)[0]
-        if size > longest:
+    offset = 0
+    while len(buffer) - offset >= LENGTH_PREFIX.size:
+        size = LENGTH_PREFIX.unpack_from(buffer, offset)[0]
+        if size > max_bytes:
             raise BadFrame(f"{size} bytes")
-        if len(buffer) - at - LENGTH.size < size:
+        if len(buffer) - offset - LENGTH_PREFIX.size < size:
             break
-        at += LENGTH.size
+        offset += LENGTH_PREFIX.size
         try:
-            kind, number, body = cbor2.loads(bytes(buffer[at : at + size]))
+            kind, number, body = cbor2.loads(bytes(buffer[offset : offset + size]))
         except Exception as error:  # whatever a decoder may raise over foreign bytes
             raise BadFrame(repr(error)) from error
         if not isinstance(kind, str) or not isinstance(number, int):
             raise BadFrame("no kind or number")
         frames.append((kind, number, body))
-        at += size
-    del buffer[:at]
+        offset += size
+    del buffer[:offset]
     return frames
--- a/oakvale/transport/status_service.py
+++ b/oakvale/transport/status_service.py
@@ -15,70 +15,70 @@
 from oakvale.transport.frames import BadFrame, decode, encode
 from oakvale.transport.links import Transport
 
-EACH = 30_000_000  # microseconds between two notes
-KIND = "status"
-MS = 1_000
+LOG_INTERVAL_US = 30_000_000  # microseconds between two notes
+STATUS_KIND = "status"
+US_PER_MS = 1_000
 
 log_event = EventLogger(__name__)
 
 Fields = dict[str, Any]
 
 
-class Silent(Exception):
+class NoResponse(Exception):
     """Who was asked did not answer; one line."""
 
 
-def offer(transport: Transport, role: str, node: str, tell: Callable[[], Fields]) -> None:
+def serve_status(transport: Transport, role: str, node: str, own_fields: Callable[[], Fields]) -> None:
     """Answers whoever asks, and notes the same at intervals."""
-    loop, began = transport.loop, transport.loop.now
+    loop, started_at = transport.loop, transport.loop.now
 
-    def standing() -> Fields:
-        (cpu, memory), (out, come) = loop.net.used(), transport.links()
+    def status_fields() -> Fields:
+        (cpu_seconds, memory_mb), (outgoing, incoming) = loop.net.used(), transport.connection_counts()
         return (
-            {"role": role, "node": node, "up_ms": (loop.now - began) // MS}
-            | tell()
+            {"role": role, "node": node, "up_ms": (loop.now - started_at) // US_PER_MS}
+            | own_fields()
             | {
-                "links_out": out,
-                "links_in": come,
-                "sent_bytes": transport.sent.total(),
+                "links_out": outgoing,
+                "links_in": incoming,
+                "sent_bytes": transport.sent_bytes.total(),
                 "turns": loop.turns,
-                "cpu_ms": round(cpu * 1000),
-                "memory_mb": memory,
+                "cpu_ms": round(cpu_seconds * 1000),
+                "memory_mb": memory_mb,
             }
-            | {f"sent.{kind}": count for kind, count in sorted(transport.sent.items())}
+            | {f"sent.{kind}": count for kind, count in sorted(transport.sent_bytes.items())}
         )
 
-    def again(_: Any) -> None:
-        loop.at(loop.now + EACH, again)
-        log_event("standing", **standing())
+    def log_status(_: Any) -> None:
+        loop.at(loop.now + LOG_INTERVAL_US, log_status)
+        log_event("standing", **status_fields())
 
-    transport.handlers[KIND] = lambda conn, body, answer: answer(standing())
-    loop.at(loop.now + EACH, again)
+    transport.handlers[STATUS_KIND] = lambda conn, body, answer: answer(status_fields())
+    loop.at(loop.now + LOG_INTERVAL_US, log_status)
 
 
-def by_service(backends: Iterable[tuple[str, str]]) -> Fields:
+def count_by_service(backends: Iterable[tuple[str, str]]) -> Fields:
     """Counts from pairs of service and state."""
     counts = Counter(backends)
     return {f"backends.{service}.{state}": count for (service, state), count in sorted(counts.items())}
 
 
-def inquire(address: Address, timeout: float, kind: str = KIND) -> Mapping[str, Any]:
+def query_status(address: Address, timeout: float, kind: str = STATUS_KIND) -> Mapping[str, Any]:
     """Asks from outside a loop; raises Silent."""
-    due = time.monotonic() + timeout
-    came = bytearray()
+    deadline = time.monotonic() + timeout
+    received = bytearray()
     try:
         with socket.create_connection(address, timeout) as sock:
             sock.sendall(encode(kind, 1, None))
             while True:
-                sock.settimeout(max(0.01, due - time.monotonic()))
+                sock.settimeout(max(0.01, deadline - time.monotonic()))
                 data = sock.recv(65536)
                 if not data:
-                    raise Silent("closed without an answer")
-                came += data
-                for sort, number, body in decode(came):
-                    if not sort and number == 1 and isinstance(body, dict):
+                    raise NoResponse("closed without an answer")
+                received += data
+                for response_kind, number, body in decode(received):
+                    if not response_kind and number == 1 and isinstance(body, dict):
                         return body
-                if time.monotonic() > due:
-                    raise Silent("no answer in time")
+                if time.monotonic() > deadline:
+                    raise NoResponse("no answer in time")
     except (OSError, BadFrame) as error:
-        raise Silent(str(error)) from error
+        raise NoResponse(str(error)) from error
--- a/tests/control_plane_simulation.py
+++ b/tests/control_plane_simulation.py
@@ -17,7 +17,7 @@
 from oakvale.controlplane.compaction import Pruning
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.view_change import View, unpack_durable
-from oakvale.dissemination.table import NOTHING, Table, Version, unpack
+from oakvale.dissemination.table import NO_VERSION, Table, Version, unpack
 from oakvale.lab.simulation.disks import Held
 from tests import simulated_processes
 from tests.simulated_processes import MS, SECOND, Loop, Time
@@ -55,7 +55,7 @@
 
 class Transport:
     def __init__(self, world: World, life: Life) -> None:
-        self.own = life.machine.address
+        self.self_address = life.machine.address
         self.handlers: dict[str, Any] = {}
         self._world, self._life, self._number = world, life, 0
 
@@ -81,7 +81,7 @@
 
 
 class Storage:
-    first = True
+    never_used = True
 
     def __init__(self, world: World, life: Life) -> None:
         self._world, self._life, self._disk = world, life, life.machine.disk
@@ -94,10 +94,10 @@
     def rows(self) -> list[tuple[str, bytes]]:
         return list(self._disk.rows.items())
 
-    def pieces(self) -> list[tuple[bytes, bytes]]:
+    def chunks(self) -> list[tuple[bytes, bytes]]:
         return list(self._disk.pieces.items())
 
-    def waiting_since(self) -> int | None:
+    def oldest_pending_since(self) -> int | None:
         return self._waiting[0][0] if self._waiting else None
 
     def write(self, what: tuple[str, Any], then: Callable[[], None]) -> None:
@@ -204,7 +204,7 @@
         self.floor: dict[str, Version] = {}  # what every confirmed read from now on must show, or newer
         self.acknowledged = self.asked = self.reads = 0
         self.gateway = Table()
-        self._pulse: Version = NOTHING
+        self._pulse: Version = NO_VERSION
         self._value = 0
         for machine in self.machines:
             machine.start(bootstrap=True)
@@ -317,7 +317,7 @@
         """A gateway of the day takes news from whoever serves."""
         core = machine.core
         if serves and core is not None:
-            core.outlet.subscribe(cast(Any, Wire(self, machine)), self.gateway.high, (core.view().number, 0))  # type: ignore[union-attr]
+            core.outlet.subscribe(cast(Any, Wire(self, machine)), self.gateway.highest_version, (core.view().number, 0))  # type: ignore[union-attr]
 
     def news(self, body: Any) -> None:
         pulse, entries = tuple(body[0]), unpack(body[1])
@@ -329,7 +329,7 @@
         if body[2] is None:
             self.gateway.put(entries)
         else:
-            self.gateway.whole(entries, (int(body[2][0]), int(body[2][1])))
+            self.gateway.replace_all(entries, (int(body[2][0]), int(body[2][1])))
 
     def change(self, machine: Machine) -> None:
         core = machine.core
@@ -338,14 +338,14 @@
         self._value += 1
         key, value = f"k{self.rng.randrange(KEYS)}", self._value
         self.asked += 1
-        floor = self.floor.get(key, NOTHING)
+        floor = self.floor.get(key, NO_VERSION)
 
         def then(done: bool) -> None:
             if done:
                 self.acknowledged += 1
                 version = core.replicated_state.table.version(key)
                 assert version > floor
-                self.floor[key] = max(version, self.floor.get(key, NOTHING))
+                self.floor[key] = max(version, self.floor.get(key, NO_VERSION))
                 self.content(key, version, core.replicated_state.table.get(key))
 
         core.change({key: value} | ({f"left/b{value}": 1} if self.prunes else {}), then)
@@ -363,10 +363,10 @@
             for n in range(KEYS):
                 key = f"k{n}"
                 version = core.replicated_state.table.version(key)
-                assert version >= floor.get(key, NOTHING), f"{key} is back at {version}, was {floor[key]}"
-                if version != NOTHING:
+                assert version >= floor.get(key, NO_VERSION), f"{key} is back at {version}, was {floor[key]}"
+                if version != NO_VERSION:
                     self.content(key, version, core.replicated_state.table.get(key))
-                self.floor[key] = max(self.floor.get(key, NOTHING), version)
+                self.floor[key] = max(self.floor.get(key, NO_VERSION), version)
 
         core.confirm(then)
 
@@ -535,7 +535,7 @@
         self.run(SECOND)
         assert (self.acknowledged, self.reads) == (acknowledged + 1, reads + 1), "serves, but keeps nothing"
         assert found.core is not None
-        assert self.gateway.since(NOTHING) == found.core.replicated_state.table.since(NOTHING), (
+        assert self.gateway.since(NO_VERSION) == found.core.replicated_state.table.since(NO_VERSION), (
             "the news are not the state"
         )
 
@@ -557,10 +557,10 @@
         if self._life is not None:
             self._life.machine.run(self._life, lambda: then(None))
 
-    def busy(self) -> bool:
+    def sending_long_frame(self) -> bool:
         return False
 
-    def full(self) -> bool:
+    def is_congested(self) -> bool:
         return False
 
     def end(self) -> None:
--- a/tests/link_model.py
+++ b/tests/link_model.py
@@ -138,11 +138,11 @@
                 each.line.reset()
             return "the peers start again"
         if kind == 14:
-            self.transport.afresh(PEERS[which >> 1 & 1])
+            self.transport.retry_connect(PEERS[which >> 1 & 1])
             return "it is up"
         for each in self.peers:
             each.line.room = PLENTY
-        self.transport.sweep()
+        self.transport.close_idle_links()
         return "links are swept"
 
     def turn(self) -> None:
@@ -163,8 +163,8 @@
         self.pass_time(12 * SECOND)
         silent = [n for n, heard in enumerate(self.heard) if len(heard) != 1]
         self.holds(not silent, f"questions {silent} heard {[self.heard[n] for n in silent]}")
-        left = [*self.transport._out.values(), *self.transport._in]
-        self.holds(not any(conn.waiting for conn in left), "answers are waited for")
+        left = [*self.transport._outgoing.values(), *self.transport._incoming]
+        self.holds(not any(conn.pending_requests for conn in left), "answers are waited for")
         self.loop.close()
         assert not self.faults, "\n".join([self.faults[0], *self.log])
         return self
--- a/tests/ratelimit_simulation.py
+++ b/tests/ratelimit_simulation.py
@@ -20,7 +20,7 @@
 from oakvale.dissemination.tree import Member, Members
 from oakvale.ratelimit.quotas import Quota, Terms
 from oakvale.ratelimit.service import DUTIES, RateLimiter
-from oakvale.transport.links import CONNECT
+from oakvale.transport.links import CONNECT_TIMEOUT_US
 from tests import simulated_processes
 from tests.simulated_processes import MS, SECOND, Loop, Time
 
@@ -52,7 +52,7 @@
         life, fleet = self._life, self._life.machine.fleet
         there = fleet.machines[address]
         if there.off and life.stuck.get(address, 0) < fleet.now:  # nothing passes until the connection is given up
-            life.stuck[address] = fleet.now + CONNECT
+            life.stuck[address] = fleet.now + CONNECT_TIMEOUT_US
         stuck = life.stuck.get(address, 0) >= fleet.now
         if there.life is not None and not stuck:
             return self.ask_on(there.life, kind, body, timeout, then)
@@ -95,7 +95,7 @@
         life.waiting[number] = (target, then)
         fleet.ship(life, target, arrive)
 
-    def ended(self, address: Address, since: int = 0) -> bool:
+    def recently_refused(self, address: Address, since: int = 0) -> bool:
         at = self._life.refused.get(address, -SECOND)
         return self._life.machine.fleet.now - at < 120 * MS and at >= since
 
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -15,7 +15,7 @@
 from oakvale.controlplane import chunks
 from oakvale.controlplane.chunks import PIECE, cut, join, names
 from oakvale.controlplane.core import SILENCE, Core
-from oakvale.dissemination.table import NOTHING, Entry
+from oakvale.dissemination.table import NO_VERSION, Entry
 from oakvale.lab.simulation.works import Layout, Station, Works
 from tests.control_plane_simulation import Machine, World
 from tests.simulated_processes import MS, SECOND
@@ -155,9 +155,9 @@
         """The plain model: after all has settled, each copy holds what the primary does, in memory and on disk."""
         self.world.run(6 * SECOND)
         core, copy = self.serving(), self.copy()
-        held = core.replicated_state.table.since(NOTHING)
+        held = core.replicated_state.table.since(NO_VERSION)
         assert copy.core is not None and not core.replicated_state.waits()
-        assert copy.core.replicated_state.table.since(NOTHING) == held
+        assert copy.core.replicated_state.table.since(NO_VERSION) == held
         assert set(copy.disk.rows) == {key for key, _, _ in held} and not copy.disk.pieces
         assert copy.disk.rows == self.machine(core).disk.rows
 
@@ -397,8 +397,8 @@
         thin.run(250 * MS)
     thin.run(SECOND)
     other = thin.core(backup)
-    assert other is not None and other.replicated_state.table.since(NOTHING) == core.replicated_state.table.since(
-        NOTHING
+    assert other is not None and other.replicated_state.table.since(NO_VERSION) == core.replicated_state.table.since(
+        NO_VERSION
     )
     assert (
         core.replicated_state.table.get("config")["gen"] == 2
@@ -437,7 +437,7 @@
 
     def held() -> list[bool]:
         feeds = [cast(Any, s.process).works.sluice.feed for s in thin.works.edges]
-        return [feed.table.get("config")["gen"] == 2 and feed.fresh() for feed in feeds]
+        return [feed.table.get("config")["gen"] == 2 and feed.is_fresh() for feed in feeds]
 
     spans: list[int] = []
     for second in range(1, 61):
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -12,9 +12,26 @@
 
 from oakvale.base.address import parse_address
 from oakvale.dataplane.routes import members as shown_members
-from oakvale.dissemination.feed import FORGIVEN, PULSE, STALE, TRY, UNHEARD, Feed, Publisher
-from oakvale.dissemination.table import FLOOR, GRAVES, NOTHING, Entry, Table, Version, unpack
-from oakvale.dissemination.tree import FAN_OUT, Member, Members, next_on_ring, ring, sources, watched, watchers
+from oakvale.dissemination.feed import (
+    FAILED_SOURCE_RETRY_US,
+    FIRST_UPDATE_TIMEOUT_US,
+    HEARTBEAT_INTERVAL_US,
+    STALE_AFTER_US,
+    SUBSCRIBE_TIMEOUT_US,
+    Feed,
+    Publisher,
+)
+from oakvale.dissemination.table import HORIZON_KEY, NO_VERSION, TOMBSTONES_KEPT, Entry, Table, Version, unpack
+from oakvale.dissemination.tree import (
+    FAN_OUT,
+    Member,
+    Members,
+    heartbeat_senders,
+    heartbeat_targets,
+    next_on_ring,
+    ring_order,
+    update_sources,
+)
 
 MS, SECOND = 1_000, 1_000_000
 
@@ -26,7 +43,7 @@
     table = Table()
     assert table.put([("a", (1, 2), "x"), ("b", (1, 3), "y")]) == ["a", "b"]
     assert table.put([("a", (1, 1), "old"), ("b", (1, 3), "again"), ("c", (2, 1), None)]) == ["c"]
-    assert (table.get("a"), table.get("c"), table.version("c"), table.high) == ("x", None, (2, 1), (2, 1))
+    assert (table.get("a"), table.get("c"), table.version("c"), table.highest_version) == ("x", None, (2, 1), (2, 1))
     assert table.since((1, 2)) == [("b", (1, 3), "y"), ("c", (2, 1), None)]
     assert table.items("") == [("a", "x"), ("b", "y")]
 
@@ -34,53 +51,53 @@
 def test_a_whole_state_takes_away_what_its_sender_forgot_and_nothing_newer() -> None:
     table = Table()
     table.put([("gone", (1, 1), 1), ("kept", (1, 2), 2), ("newer", (1, 9), 3)])
-    assert table.whole([("kept", (1, 2), 2), ("x", (1, 5), 4)], (1, 3)) == ["gone", "x"]
-    assert dict(table.items("")) == {"kept": 2, "newer": 3, "x": 4} and table.floor == (1, 3)
+    assert table.replace_all([("kept", (1, 2), 2), ("x", (1, 5), 4)], (1, 3)) == ["gone", "x"]
+    assert dict(table.items("")) == {"kept": 2, "newer": 3, "x": 4} and table.horizon == (1, 3)
 
 
 def test_pruned_graves_reach_those_who_were_behind() -> None:
     """By the floor a subscriber that has seen less is known, and is given everything anew."""
     table, behind = Table(), Table()
-    table.put([(f"k{n}", (1, n + 1), n) for n in range(3 * GRAVES)])
-    behind.put(table.since(NOTHING))
-    table.put([(f"k{n}", (2, n + 1), None) for n in range(3 * GRAVES)])
-    floor = table.next_floor()
-    forgotten = table.put([(FLOOR, (3, 1), list(floor))])
-    assert len(forgotten) == 2 * GRAVES + 1 and table.floor == floor == (2, 2 * GRAVES)
-    assert table.next_floor() == floor
+    table.put([(f"k{n}", (1, n + 1), n) for n in range(3 * TOMBSTONES_KEPT)])
+    behind.put(table.since(NO_VERSION))
+    table.put([(f"k{n}", (2, n + 1), None) for n in range(3 * TOMBSTONES_KEPT)])
+    floor = table.next_horizon()
+    forgotten = table.put([(HORIZON_KEY, (3, 1), list(floor))])
+    assert len(forgotten) == 2 * TOMBSTONES_KEPT + 1 and table.horizon == floor == (2, 2 * TOMBSTONES_KEPT)
+    assert table.next_horizon() == floor
     sent: list[Any] = []
     conn: Any = type("Below", (), {"on_close": [], "ask": lambda self, kind, body, timeout, then: sent.append(body)})()
-    Publisher(table).subscribe(conn, behind.high, (2, 1))
+    Publisher(table).subscribe(conn, behind.highest_version, (2, 1))
     [(_, entries, floor)] = sent
-    behind.whole([(key, (view, place), value) for key, view, place, value in entries], tuple(floor))
-    assert behind.since(NOTHING) == table.since(NOTHING)
+    behind.replace_all([(key, (view, place), value) for key, view, place, value in entries], tuple(floor))
+    assert behind.since(NO_VERSION) == table.since(NO_VERSION)
 
 
 def test_the_floor_travels_as_an_entry() -> None:
     """All forget the same, so that their digests stay alike; what is older than the floor does not come back."""
     one, other = Table(), Table()
-    entries: list[Entry] = [("a", (1, 1), 1), ("b", (1, 2), None), ("c", (1, 3), None), (FLOOR, (1, 4), [1, 2])]
-    assert one.put(entries) == ["a", "c", FLOOR] or one.version("b") == NOTHING
+    entries: list[Entry] = [("a", (1, 1), 1), ("b", (1, 2), None), ("c", (1, 3), None), (HORIZON_KEY, (1, 4), [1, 2])]
+    assert one.put(entries) == ["a", "c", HORIZON_KEY] or one.version("b") == NO_VERSION
     other.put(reversed(entries))
-    assert one.digests() == other.digests() and one.floor == other.floor == (1, 2)
-    assert one.put([("b", (1, 2), None)]) == [] and one.version("b") == NOTHING
+    assert one.digests() == other.digests() and one.horizon == other.horizon == (1, 2)
+    assert one.put([("b", (1, 2), None)]) == [] and one.version("b") == NO_VERSION
     other.put([("d", (1, 1), 1)])
-    assert other.put([("d", (1, 2), None)]) and other.version("d") == NOTHING
+    assert other.put([("d", (1, 2), None)]) and other.version("d") == NO_VERSION
 
 
 def test_a_source_that_is_behind_brings_nothing_back() -> None:
     """It still held what was taken away and forgotten here."""
     behind, table, answers = Table(), Table(), list[Any]()
     behind.put([("a", (1, 1), 1), ("b", (1, 2), 1)])
-    table.put([("a", (1, 3), None), ("b", (1, 2), 1), (FLOOR, (1, 4), [1, 3])])
+    table.put([("a", (1, 3), None), ("b", (1, 2), 1), (HORIZON_KEY, (1, 4), [1, 3])])
     nothing: Any = type("Nothing", (), {"now": 0, "handlers": {}, "at": lambda *_: None})()
     feed = Feed(nothing, nothing, table, dict, lambda failed: [], lambda keys: None)
-    Publisher(behind).mend(nothing, table.digests(), answers.append)
+    Publisher(behind).send_repair(nothing, table.digests(), answers.append)
     assert answers[0]
-    feed._mended(answers[0])
-    assert table.version("a") == NOTHING and table.get("b") == 1
-    Publisher(table).mend(nothing, behind.digests(), answers.append)
-    assert any(key == FLOOR for key, *_ in answers[1])
+    feed._apply_repair(answers[0])
+    assert table.version("a") == NO_VERSION and table.get("b") == 1
+    Publisher(table).send_repair(nothing, behind.digests(), answers.append)
+    assert any(key == HORIZON_KEY for key, *_ in answers[1])
 
 
 def test_digests_find_what_differs_and_no_more() -> None:
@@ -89,10 +106,10 @@
     entries = [(f"k{n}", (1, n + 1), n) for n in range(200)]
     one.put(entries)
     other.put(entries)
-    assert one.differing(other.digests()) == []
+    assert one.differing_entries(other.digests()) == []
     for key, _, _ in rng.sample(entries, 3):
         one.put([(key, (2, rng.randrange(99)), "new")])
-    found = one.differing(other.digests())
+    found = one.differing_entries(other.digests())
     assert 3 <= len(found) < 100
     other.put(found)
     assert other.digests() == one.digests()
@@ -110,24 +127,24 @@
     known = members(count)
     load: dict[str, int] = {}
     for member in known.values():
-        path = sources(known, member.node, member.zone, ["core"], {})
+        path = update_sources(known, member.node, member.zone, ["core"], {})
         assert path[-1] == "core" and member.address not in path and len(path) <= 5
         load[path[0]] = load.get(path[0], 0) + 1
         if path[0] != "core":  # its own parent's way is the rest of this one: no circles
             above = next(m for m in known.values() if m.address == path[0])
-            assert above.zone == member.zone and sources(known, above.node, above.zone, ["core"], {}) == path[1:]
-            assert sources(known, member.node, member.zone, ["core"], {path[0]: 5})[-1] == path[0]
+            assert above.zone == member.zone and update_sources(known, above.node, above.zone, ["core"], {}) == path[1:]
+            assert update_sources(known, member.node, member.zone, ["core"], {path[0]: 5})[-1] == path[0]
     assert load["core"] == min(3, count) and max(load.values()) <= max(3, FAN_OUT)
 
 
 def test_ring_neighbours_and_juries_move_little() -> None:
     known = list(members(40).values())
-    order = [m.node for m in ring(known)]
+    order = [m.node for m in ring_order(known)]
     for member in known:
-        found = [m.node for m in watchers(known, member.node, 3)]
+        found = [m.node for m in heartbeat_targets(known, member.node, 3)]
         at = order.index(member.node)
         assert found == [order[(at + k) % 40] for k in (1, 2, 3)]
-    assert watchers(known, "unknown", 3) == [] and watchers(known[:1], "n0", 3) == []
+    assert heartbeat_targets(known, "unknown", 3) == [] and heartbeat_targets(known[:1], "n0", 3) == []
     for duty in (f"gauge/{k}" for k in range(4)):
         before = next_on_ring(known, duty, 5)
         assert next_on_ring(reversed(known), duty, 5) == before and len(before) == 5
@@ -165,7 +182,7 @@
         self.other: End = self
         self.last = 0
         self.waiting: dict[int, Any] = {}
-        self.on_room: Callable[[Any], None] | None = None
+        self.on_writable: Callable[[Any], None] | None = None
         self._room_at = 0
 
     def send(self, kind: str, number: int, body: Any) -> None:
@@ -191,15 +208,15 @@
     def ask(self, kind: str, body: Any, timeout: int, then: Callable[[Any], None]) -> None:
         self.port.ask_on(self, kind, body, timeout, then)
 
-    def busy(self) -> bool:
+    def sending_long_frame(self) -> bool:
         return False
 
-    def full(self) -> bool:
+    def is_congested(self) -> bool:
         return self.port.net.now < self._room_at
 
     def _room(self) -> None:
-        if self.on_room is not None and self.alive and not self.full():
-            call, self.on_room = self.on_room, None
+        if self.on_writable is not None and self.alive and not self.is_congested():
+            call, self.on_writable = self.on_writable, None
             call(self)
 
     def end(self) -> None:
@@ -241,7 +258,7 @@
         end.other.other = end
         return end
 
-    def afresh(self, address: Any) -> None:
+    def retry_connect(self, address: Any) -> None:
         pass  # connections are made at once here
 
     def tell(self, address: Any, kind: str, body: Any) -> None:
@@ -277,8 +294,8 @@
         self.view, self.tick, self.primary = 1, 0, ""
         self.port.handlers.update(
             subscribe=self.subscribe,
-            leave=lambda conn, body, answer: self.outlet.leave(conn),
-            digests=lambda conn, body, answer: self.outlet.mend(conn, body, answer),
+            leave=lambda conn, body, answer: self.outlet.unsubscribe(conn),
+            digests=lambda conn, body, answer: self.outlet.send_repair(conn, body, answer),
         )
         self.pulse(None)
 
@@ -295,10 +312,10 @@
     def pulse(self, _: Any) -> None:
         if self.primary == self.address:
             self.outlet.publish(self.next(), [])
-        self.port.at(self.port.now + PULSE, self.pulse)
+        self.port.at(self.port.now + HEARTBEAT_INTERVAL_US, self.pulse)
 
     def change(self, key: str, value: Any) -> None:
-        place = self.table.high[1] + 1 if self.table.high[0] == self.view else 1
+        place = self.table.highest_version[1] + 1 if self.table.highest_version[0] == self.view else 1
         entries = [(key, (self.view, place), value)]
         self.table.put(entries)
         self.outlet.publish(self.next(), entries)
@@ -319,7 +336,7 @@
     def elect(self, core: int) -> None:
         self.first = core
         for other in self.cores:
-            other.outlet.drop()
+            other.outlet.close_all()
             other.primary, other.view = self.cores[core].address, other.view + 1
 
     def start(self, node: str) -> None:
@@ -329,7 +346,7 @@
 
         def changed(keys: list[str]) -> None:
             for key in keys:
-                assert table.version(key) >= seen.get(key, NOTHING), f"{key} goes back"
+                assert table.version(key) >= seen.get(key, NO_VERSION), f"{key} goes back"
                 seen[key] = table.version(key)
 
         self.feeds[node] = Feed(
@@ -337,7 +354,7 @@
             cast(Any, port),
             table,
             dict,
-            lambda failed: sources(self.members, node, member.zone, core, failed),
+            lambda failed: update_sources(self.members, node, member.zone, core, failed),
             changed,
         )
 
@@ -353,7 +370,7 @@
         return [
             node
             for node, feed in self.feeds.items()
-            if not feed.fresh() or feed.table.since(NOTHING) != self.table.since(NOTHING)
+            if not feed.is_fresh() or feed.table.since(NO_VERSION) != self.table.since(NO_VERSION)
         ]
 
 
@@ -378,14 +395,14 @@
         net.run(rng.randrange(10, 400) * MS)
     net.cut.clear()
     net.run(3_100 * MS)  # those killed last are back
-    net.run(STALE + 6 * TRY + 2 * PULSE)
+    net.run(STALE_AFTER_US + 6 * SUBSCRIBE_TIMEOUT_US + 2 * HEARTBEAT_INTERVAL_US)
     assert not fleet.behind()
 
 
 def test_all_find_their_place_in_the_tree_and_news_pass_it_soon() -> None:
     """At the start nobody is fresh and all turn to the core; most took their news from there ever after."""
     fleet = Fleet(1, 60)
-    fleet.net.run(FORGIVEN + 3 * SECOND)
+    fleet.net.run(FAILED_SOURCE_RETRY_US + 3 * SECOND)
     assert not fleet.behind()
     assert all(len(core.outlet) <= 3 for core in fleet.cores)  # the first of each zone
     fleet.cores[0].change("a", 1)
@@ -399,13 +416,13 @@
     fleet.net.run(2 * SECOND)
     feed = fleet.feeds["n4"]
     fleet.kill("n5")
-    feed.turn(fleet.members["n5"].address)
+    feed.switch_to(fleet.members["n5"].address)
     fleet.net.run(20 * MS)
     fleet.cores[0].change("a", 1)
     fleet.net.run(20 * MS)
     assert feed.table.get("a") == 1
     fleet.net.run(SECOND)
-    assert feed.fresh() and feed.source() != parse_address(fleet.members["n5"].address)
+    assert feed.is_fresh() and feed.source() != parse_address(fleet.members["n5"].address)
 
 
 def test_a_dark_machine_does_not_keep_a_gateway_without_news() -> None:
@@ -414,8 +431,8 @@
     fleet.elect(1)
     fleet.net.cut.add(parse_address(fleet.cores[0].address))
     fleet.start("n0")
-    fleet.net.run(UNHEARD + 20 * MS)
-    assert fleet.feeds["n0"].fresh()
+    fleet.net.run(FIRST_UPDATE_TIMEOUT_US + 20 * MS)
+    assert fleet.feeds["n0"].is_fresh()
 
 
 def test_a_primary_that_begins_calls_those_without_news_and_no_others() -> None:
@@ -430,7 +447,7 @@
     fleet.elect(2)
     fleet.feeds["n0"].transport.handlers["serves"](cast(Any, None), fleet.cores[2].address, print)
     fleet.net.run(10 * MS)
-    assert fleet.feeds["n0"].fresh()
+    assert fleet.feeds["n0"].is_fresh()
 
 
 def test_a_spell_without_news_is_noted_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -442,10 +459,10 @@
     for core in fleet.cores:
         core.primary = ""
     fleet.net.run(5 * SECOND)
-    assert noted == ["10.9.0.0"] and not fleet.feeds["n0"].fresh()
+    assert noted == ["10.9.0.0"] and not fleet.feeds["n0"].is_fresh()
     fleet.elect(1)
     fleet.net.run(SECOND)
-    assert fleet.feeds["n0"].fresh()
+    assert fleet.feeds["n0"].is_fresh()
     for core in fleet.cores:
         core.primary = ""
     fleet.net.run(2 * SECOND)
@@ -456,7 +473,9 @@
     fleet = Fleet(1, 1)
     fleet.net.run(SECOND)
     feed = fleet.feeds["n0"]
-    feed.transport.handlers["news"](cast(Any, None), [[feed.pulse[0] - 1, 1 << 40], [["a", 1, 99, "x"]], None], print)
+    feed.transport.handlers["news"](
+        cast(Any, None), [[feed.heartbeat[0] - 1, 1 << 40], [["a", 1, 99, "x"]], None], print
+    )
     assert feed.table.get("a") is None
 
 
@@ -474,8 +493,8 @@
     fleet = [Member(f"n{n}", f"10.0.0.{n}:1", "a", "l") for n in range(9)]
     for size in range(1, 10):
         for one in fleet[:size]:
-            sends = {m.node for m in fleet[:size] if one in watchers(fleet[:size], m.node, 3)}
-            assert {m.node for m in watched(fleet[:size], one.node, 3)} == sends
+            sends = {m.node for m in fleet[:size] if one in heartbeat_targets(fleet[:size], m.node, 3)}
+            assert {m.node for m in heartbeat_senders(fleet[:size], one.node, 3)} == sends
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -490,13 +509,13 @@
         keys: list[str] = []
         if draw.random() < 0.1:
             floor = (1, draw.randrange(place))
-            other.put([(FLOOR, (1, place), list(floor))])
+            other.put([(HORIZON_KEY, (1, place), list(floor))])
         if draw.random() < 0.05:
-            keys = table.whole(other.since(NOTHING), other.floor)
+            keys = table.replace_all(other.since(NO_VERSION), other.horizon)
         elif draw.random() < 0.3:
-            keys = table.put(other.differing(table.digests()))
+            keys = table.put(other.differing_entries(table.digests()))
         elif draw.random() < 0.8:
-            keys = table.put(other.since(table.high))
+            keys = table.put(other.since(table.highest_version))
         shown = shown_members(table, keys, shown)
         assert dict(shown) == {node: Member(node, v["addr"], v["az"], v["life"]) for node, v in table.items("gate/")}
 
@@ -505,7 +524,7 @@
 def test_news_reach_all_within_a_second_though_a_tenth_of_the_gateways_just_went_dark(seed: int) -> None:
     """A dark source was waited for half as long as its pulses were missed; below two of them, news took 1.1 s."""
     fleet = Fleet(seed, 85)
-    fleet.net.run(FORGIVEN + 2 * SECOND)
+    fleet.net.run(FAILED_SOURCE_RETRY_US + 2 * SECOND)
     down = fleet.net.rng.sample(sorted(fleet.feeds), 8)
     fleet.net.cut |= {parse_address(fleet.members[node].address) for node in down}
     fleet.cores[0].change("a", 1)
@@ -520,7 +539,7 @@
 
     class Slow:
         on_close: list[Any] = []
-        on_room: Callable[[Any], None] | None = None
+        on_writable: Callable[[Any], None] | None = None
 
         def send(self, kind: str, number: int, body: Any) -> None:
             sent.append(([key for key, _, _ in unpack(body[1])], body[2]))
@@ -531,10 +550,10 @@
 
         alive = True
 
-        def busy(self) -> bool:
+        def sending_long_frame(self) -> bool:
             return False
 
-        def full(self) -> bool:
+        def is_congested(self) -> bool:
             return full
 
     slow, outlet = Slow(), Publisher(table)
@@ -546,12 +565,12 @@
         outlet.publish((1, place), entries)
 
     table.put([("config", (1, 1), 1)])
-    outlet.subscribe(conn, NOTHING, (1, 1))
+    outlet.subscribe(conn, NO_VERSION, (1, 1))
     for place in range(2, 50):
         put(place, "config" if place % 2 else f"backend/{place}")
-    assert sent == [(["config"], [0, 0])] and slow.on_room is not None
+    assert sent == [(["config"], [0, 0])] and slow.on_writable is not None
     full = False
-    slow.on_room(conn)
+    slow.on_writable(conn)
     assert [sorted(keys) for keys, _ in sent[1:]] == [sorted(["config", *(f"backend/{n}" for n in range(2, 50, 2))])]
     put(50, "config")
     assert sent[2:] == [(["config"], None)]
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -525,7 +525,7 @@
     loads = [Load("a", "s", 0, 5.0)]
     held = pack(plan(3, hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, loads, ["g"]))
     answers: list[Any] = [held, held, held, None]
-    monkeypatch.setattr(status_service, "inquire", lambda address, timeout, kind: {"held": answers.pop(0)})
+    monkeypatch.setattr(status_service, "query_status", lambda address, timeout, kind: {"held": answers.pop(0)})
     ends = []
     for words in (["check"], ["explain", "b", "s"], ["explain", "b", "x"], ["show"]):
         try:
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -12,7 +12,7 @@
 import pytest
 
 from oakvale.controlplane.core import SILENCE
-from oakvale.dissemination.feed import STALE
+from oakvale.dissemination.feed import STALE_AFTER_US
 from oakvale.lab.models.orders import Books
 from oakvale.lab.models.ways import Reply, ask
 from oakvale.lab.simulation.sockets import Stream
@@ -107,11 +107,11 @@
         self.loop.at(self.loop.now + 20 * MS, self._look)
         assert sum(map(self.serves, self.works.cores)) < 2, "two serve"
         now = self.loop.now
-        floor = max((gen for at, gen in self.acked if at <= now - STALE - RELAYED), default=0)
+        floor = max((gen for at, gen in self.acked if at <= now - STALE_AFTER_US - RELAYED), default=0)
         for station in self.works.edges:
             if station.up and station.process is not None and not station.process.paused:
                 sluice = station.process.works.sluice
-                if sluice.feed.fresh():
+                if sluice.feed.is_fresh():
                     held = (sluice.table.get("config") or {"gen": 0})["gen"]
                     assert held >= floor, f"{station.name} holds {held} for fresh, where {floor} was acknowledged"
 
@@ -134,7 +134,7 @@
     last = play.highest
     play.works.run_for(2 * SECOND)
     assert play.highest > last
-    assert all(s.process.works.sluice.feed.fresh() for s in play.works.edges if s.process is not None)
+    assert all(s.process.works.sluice.feed.is_fresh() for s in play.works.edges if s.process is not None)
 
 
 @pytest.mark.parametrize("way", ["whole", "hears nobody", "nobody hears it"])
--- a/tests/test_lab_experiments.py
+++ b/tests/test_lab_experiments.py
@@ -149,10 +149,10 @@
 
 def test_what_follows_from_a_constant_changes_with_it() -> None:
     """The bench plays edited sources; a variant that left a default as it was would be another one there than here."""
-    found = variants.patches(Spec(name="slow", set={"oakvale.dissemination.feed.STALE": 1_000_000}))
-    assert found["oakvale.dissemination.feed.FORGIVEN"] == 20_000_000
-    assert found["oakvale.dissemination.feed.Feed.fresh.__defaults__"] == (1_000_000,)
-    assert found.keys() >= {"oakvale.dissemination.feed.STALE"} and all(variants.found(name) for name in found)
+    found = variants.patches(Spec(name="slow", set={"oakvale.dissemination.feed.STALE_AFTER_US": 1_000_000}))
+    assert found["oakvale.dissemination.feed.FAILED_SOURCE_RETRY_US"] == 20_000_000
+    assert found["oakvale.dissemination.feed.Feed.is_fresh.__defaults__"] == (1_000_000,)
+    assert found.keys() >= {"oakvale.dissemination.feed.STALE_AFTER_US"} and all(variants.found(name) for name in found)
     later = variants.patches(Spec(name="later", set={"oakvale.ratelimit.presence.PRESENT": 5}))
     assert later["oakvale.ratelimit.presence.ABSENT"] == later["oakvale.ratelimit.service.ABSENT"] == 100_005
 
--- a/tests/test_lab_failures.py
+++ b/tests/test_lab_failures.py
@@ -50,7 +50,7 @@
         (
             "dark",
             2,
-            Spec(name="notes", swap={"oakvale.dissemination.feed.Feed._next": f"{UNDONE}.next_source"}),
+            Spec(name="notes", swap={"oakvale.dissemination.feed.Feed._try_next_source": f"{UNDONE}.next_source"}),
             lambda record: sum(one.event == "news are stale" for one in record.noted),
             3,
         ),
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -31,14 +31,14 @@
     stuck = peer.link(address)
     for _ in range(5):
         loop.turn(0)
-    assert stuck is not None and not stuck.up and not answers
+    assert stuck is not None and not stuck.connected and not answers
     held += [listener.accept()[0]]
-    peer.afresh(address)
+    peer.retry_connect(address)
     fresh = peer.link(address)
     assert fresh is not stuck
     for _ in range(20):
         loop.turn(0.01)
-    assert fresh is not None and fresh.up and answers == [None] and peer.link(address) is fresh
+    assert fresh is not None and fresh.connected and answers == [None] and peer.link(address) is fresh
     loop.close()
     for sock in (*held, listener):
         sock.close()
@@ -65,29 +65,29 @@
 
 def kept(conn: Connection, frame: Any) -> None:
     """An answer leaves its question waiting."""
-    waited = conn.waiting.get(frame[1])
+    waited = conn.pending_requests.get(frame[1])
     TAKE(conn, frame)
     if waited is not None and not frame[0]:
-        conn.waiting[frame[1]] = waited
+        conn.pending_requests[frame[1]] = waited
 
 
 def alike(transport: Transport, conn: Connection, *rest: Any) -> None:
     """All questions bear one number."""
-    transport._number = 0
+    transport._last_number = 0
     ASK_ON(transport, conn, *rest)
 
 
 def unheard(transport: Transport, conn: Connection) -> None:
     """What is asked on a connection that ends hears nothing."""
-    conn.waiting = {}
+    conn.pending_requests = {}
     GONE(transport, conn)
 
 
-TAKE, ASK_ON, GONE = Connection._take, Transport.ask_on, Transport.gone
+TAKE, ASK_ON, GONE = Connection._dispatch, Transport.ask_on, Transport.connection_closed
 BREAKAGES = {
-    "kept": (Connection, "_take", kept),
+    "kept": (Connection, "_dispatch", kept),
     "alike": (Transport, "ask_on", alike),
-    "unheard": (Transport, "gone", unheard),
+    "unheard": (Transport, "connection_closed", unheard),
 }
 
 
@@ -106,7 +106,7 @@
     world.mode = 1
     world.transport.ask(PEERS[0], "life", None, 150_000, heard.append)
     world.turn()
-    assert heard == [None] and world.transport.ended(PEERS[0])
+    assert heard == [None] and world.transport.recently_refused(PEERS[0])
     world.now += 30_000
     world.turn()
     members = Members([Member("g2", "10.0.0.2:7", "z", "new")])
@@ -124,7 +124,7 @@
     rate_limiter.members_changed()
     rate_limiter._presence.prove()
     world.turn()
-    assert world.transport.ended(PEERS[0]) and not rate_limiter._presence.ended
+    assert world.transport.recently_refused(PEERS[0]) and not rate_limiter._presence.ended
     world.now += 100_000
     world.turn()
     rate_limiter._presence.prove()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -17,7 +17,7 @@
 from oakvale.controlplane import chunks, resources
 from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.controlplane.resources import TAKEN, Config, Reply
-from oakvale.dissemination.table import NOTHING
+from oakvale.dissemination.table import NO_VERSION
 from oakvale.lab import undone
 from tests.control_plane_simulation import Machine, World
 from tests.simulated_processes import MS, SECOND, Loop
@@ -165,12 +165,12 @@
     machine = operators.world.serving()
     assert machine is not None and machine.core is not None
     table, gateway = machine.core.replicated_state.table, operators.world.gateway
-    for held in (machine.disk.rows, {key for key, _, _ in table.since(NOTHING)}):
+    for held in (machine.disk.rows, {key for key, _, _ in table.since(NO_VERSION)}):
         assert len([key for key in held if key.startswith(TAKEN)]) == 21
     assert not gateway.items(TAKEN) and gateway.get("config") == table.get("config")
     assert (operators.now(361, 0), operators.now(361, 0)) == (200, 503)  # the lowest of 21, forgotten at once
-    assert (operators.now(363, 0), gateway.high) == (200, table.high)
-    assert gateway.digests() == table.digests() and not gateway.differing(table.digests())
+    assert (operators.now(363, 0), gateway.highest_version) == (200, table.highest_version)
+    assert gateway.digests() == table.digests() and not gateway.differing_entries(table.digests())
     assert (operators.now(364, 364 % 3), operators.now(364, 0), operators.now(363, 1)) == (200, 409, 409)
     assert (operators.now(362, 362 % 3), operators.now(361, 0), operators.now(10, 10 % 3)) == (503, 503, 503)
     assert (operators.now(400, 400 % 3), operators.now(400, 0), operators.held()["gen"]) == (200, 409, 400)
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -48,7 +48,7 @@
 
 
 def holds(storage: Storage) -> tuple[dict[str, bytes], dict[bytes, bytes], bytes | None]:
-    return dict(storage.rows()), dict(storage.pieces()), storage.fact("state")
+    return dict(storage.rows()), dict(storage.chunks()), storage.fact("state")
 
 
 def written(folder: Path, seed: int, writes: int = 60) -> Held:
@@ -119,7 +119,7 @@
         if which == "oakvale.mark":
             assert holds(storage) == whole
         if holds(storage) != whole:  # who it was is gone, it founds nothing, and that is said once
-            assert not storage.first and storage.fact("self") is None
+            assert not storage.never_used and storage.fact("self") is None
             assert notes in (["error file is damaged"], ["error no state where there was one"])
         else:
             assert not notes
@@ -127,24 +127,24 @@
         storage.write(("rows", [("new", b"1")]), lambda: None)
         ended(storage)
         again = opened(folder)
-        assert dict(again.rows())["new"] == b"1" and again._commits > 0
+        assert dict(again.rows())["new"] == b"1" and again._commit_count > 0
         ended(again)
 
 
 def test_an_empty_folder_may_found_and_a_log_that_was_not_synced_harms_nothing(tmp_path: Path) -> None:
     """The number is noted behind each sync, never before: where it is behind, the file is the newer."""
     storage = opened(tmp_path)
-    assert storage.first and not (tmp_path / "oakvale.mark").exists()
+    assert storage.never_used and not (tmp_path / "oakvale.mark").exists()
     ended(storage)
     storage = opened(tmp_path)
-    assert storage.first
+    assert storage.never_used
     storage._commit([(1, ("fact", ("self", b"1")))])
     mark = (tmp_path / "oakvale.mark").read_bytes()
     storage._commit([(2, ("fact", ("self", b"2")))])
     ended(storage)
     (tmp_path / "oakvale.mark").write_bytes(mark)
     storage = opened(tmp_path)
-    assert (storage.fact("self"), storage.first) == (b"2", False)
+    assert (storage.fact("self"), storage.never_used) == (b"2", False)
     ended(storage)
 
 
@@ -162,12 +162,12 @@
         db.execute("update row set value = x'03'")
     db.close()
     storage = opened(tmp_path)
-    assert storage.rows() == [] and not storage.first
+    assert storage.rows() == [] and not storage.never_used
     ended(storage)
 
 
 def test_a_write_that_failed_is_taken_back_and_made_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(store, "RETRY", 0.0)
+    monkeypatch.setattr(store, "DISK_RETRY_SECONDS", 0.0)
     storage, fails = opened(tmp_path), [3]
     real = Storage._seal
 
@@ -200,13 +200,13 @@
     for n in range(1, 4):
         storage.write(("rows", [(f"k{n * 500}", b"new")]), lambda n=n: on_disk.append(n))  # type: ignore[misc]
     storage._thread.join(5)
-    notice = storage._notice()
+    notice = storage._run_callbacks()
     next(notice), notice.send(READ)
     notice.close()
     assert storage.broken and told == ["broken"] and not on_disk
     storage._db.close()
     again = opened(tmp_path)
-    assert not again.first and again.rows() == []
+    assert not again.never_used and again.rows() == []
     ended(again)
 
 
@@ -229,7 +229,7 @@
         )
         if n % 500 == 499:
             most = max(most, sum(file.stat().st_size for file in tmp_path.iterdir()))
-    assert most < 300 * 400 + 3 * 200_000 + store.LOG
+    assert most < 300 * 400 + 3 * 200_000 + store.MAX_WAL_BYTES
     ended(storage)
 
 
--- a/tests/test_view_change.py
+++ b/tests/test_view_change.py
@@ -21,7 +21,7 @@
     founded,
     founding,
 )
-from oakvale.dissemination.table import NOTHING
+from oakvale.dissemination.table import NO_VERSION
 from tests.control_plane_simulation import Link, Machine, World
 from tests.simulated_processes import MS, SECOND
 
@@ -39,21 +39,21 @@
 @pytest.mark.parametrize("seed", range(100, 108))
 def test_a_day_of_faults_with_much_that_is_forgotten(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Markers and graves go from all copies, disks and gateways, whoever is primary."""
-    monkeypatch.setattr("oakvale.dissemination.table.GRAVES", 3)
+    monkeypatch.setattr("oakvale.dissemination.table.TOMBSTONES_KEPT", 3)
     world = World(seed, *SHAPES[seed % len(SHAPES)], prunes=(200 * MS, 600 * MS))
     world.day(5)
     world.run(4 * SECOND)
     for core in roles(world)[1:]:
-        assert core.replicated_state.table.floor > NOTHING
-        assert len(core.replicated_state.table.since(NOTHING)) < 20
+        assert core.replicated_state.table.horizon > NO_VERSION
+        assert len(core.replicated_state.table.since(NO_VERSION)) < 20
     for machine in (m for m in world.machines if m.core in roles(world)[1:]):
         assert len(machine.disk.rows) < 20 and set(machine.disk.rows) == {
-            key for key, _, _ in cast(Core, machine.core).replicated_state.table.since(NOTHING)
+            key for key, _, _ in cast(Core, machine.core).replicated_state.table.since(NO_VERSION)
         }
 
 
 def test_a_pruned_state_survives_a_takeover(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("oakvale.dissemination.table.GRAVES", 3)
+    monkeypatch.setattr("oakvale.dissemination.table.TOMBSTONES_KEPT", 3)
     world = World(1, prunes=(200 * MS, 600 * MS))
     world.run(2 * SECOND)
     for _ in range(30):
@@ -61,23 +61,23 @@
         world.run(100 * MS)
     world.run(4 * SECOND)
     machine, core, backup = roles(world)
-    kept = core.replicated_state.table.since(NOTHING)
+    kept = core.replicated_state.table.since(NO_VERSION)
     assert (
         len(kept) < 15
-        and backup.replicated_state.table.since(NOTHING) == kept
-        and core.replicated_state.table.floor > NOTHING
+        and backup.replicated_state.table.since(NO_VERSION) == kept
+        and core.replicated_state.table.horizon > NO_VERSION
     )
     world.down(machine, 6 * SECOND)
     world.run(3 * SECOND)
     now, found, _ = roles(world)
-    assert found is backup and found.replicated_state.table.floor >= core.replicated_state.table.floor
+    assert found is backup and found.replicated_state.table.horizon >= core.replicated_state.table.horizon
     assert [e for e in kept if e[0].startswith("k")] == [
-        e for e in found.replicated_state.table.since(NOTHING) if e[0].startswith("k")
+        e for e in found.replicated_state.table.since(NO_VERSION) if e[0].startswith("k")
     ]
     world.run(8 * SECOND)
     world.change(now)
     world.run(SECOND)
-    assert world.gateway.since(NOTHING) == roles(world)[1].replicated_state.table.since(NOTHING)
+    assert world.gateway.since(NO_VERSION) == roles(world)[1].replicated_state.table.since(NO_VERSION)
 
 
 def test_rows_whose_forgetting_was_cut_short_go_at_the_next_start() -> None:
@@ -176,11 +176,11 @@
     machine, _, backup = roles(world)
     world.change(machine)
     world.run(SECOND)
-    high, answers = backup.replicated_state.table.high, list[Any]()
+    high, answers = backup.replicated_state.table.highest_version, list[Any]()
     assert world.acknowledged == 1 and machine.life is not None
     backup.transport.handlers["sync"](cast(Any, Link(machine.life, None)), bodies[-1], answers.append)
     world.run(SECOND)
-    assert answers == [False] and backup.replicated_state.table.high == high
+    assert answers == [False] and backup.replicated_state.table.highest_version == high
 
 
 def test_pulses_of_a_primary_that_starts_again_are_newer() -> None:
--- a/tests/test_wire_snapshots.py
+++ b/tests/test_wire_snapshots.py
@@ -10,7 +10,7 @@
 
 from oakvale.controlplane.view_change import FOUNDER, Durable, View, founding, unpack, unpack_durable
 from oakvale.dissemination import table
-from oakvale.transport.frames import LENGTH, LONGEST, BadFrame, decode, encode
+from oakvale.transport.frames import LENGTH_PREFIX, MAX_FRAME_BYTES, BadFrame, decode, encode
 
 VIEW = founding(["10.1.0.33:7340", "10.2.0.25:7340", "10.3.0.16:7340"], 2)
 DURABLE = Durable(VIEW, (3, VIEW.primary), ((2, VIEW.backups[0]), View(2, VIEW.backups[0], (), VIEW.witnesses)), 1, 0)
@@ -51,12 +51,12 @@
 @pytest.mark.parametrize(
     "data",
     [
-        LENGTH.pack(LONGEST + 1),
-        LENGTH.pack(1) + b"\xff",
-        LENGTH.pack(1) + b"\x01",
+        LENGTH_PREFIX.pack(MAX_FRAME_BYTES + 1),
+        LENGTH_PREFIX.pack(1) + b"\xff",
+        LENGTH_PREFIX.pack(1) + b"\x01",
         encode("a", 1, 2)[:4] + b"\x83" * 9,
-        LENGTH.pack(4) + b"\x83\x01\x01\x01",
-        LENGTH.pack(0),
+        LENGTH_PREFIX.pack(4) + b"\x83\x01\x01\x01",
+        LENGTH_PREFIX.pack(0),
     ],
 )
 def test_what_is_no_frame(data: bytes) -> None:
