--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -230,7 +230,7 @@
 class Port:
     """A process's mains and loop."""
 
-    long_at = 0
+    long_notice_at = 0
 
     def __init__(self, net: Net, address: str) -> None:
         self.net, self.address, self.alive, self.handlers = net, parse_address(address), True, dict[str, Any]()
