--- a/oakvale/dissemination/__init__.py
+++ b/oakvale/dissemination/__init__.py
@@ -1,4 +1,4 @@
-"""Penstock: how news of the control state reaches the data plane, down a tree of relays that the gateways
-form among themselves; it owns the table of news and its way. It must never decide what is true. Begin with
-`table`.
+"""Dissemination of control state updates to the data plane, along a tree of relays that the gateways form.
+
+It owns the table of state entries and their delivery, and never decides what the state is. Start with `table`.
 """
--- a/oakvale/dissemination/feed.py
+++ b/oakvale/dissemination/feed.py
@@ -1,8 +1,9 @@
-"""The feed: takes news from above and hands them to those below.
+"""The feed: receives state updates from a source further up the tree and relays them to subscribers.
 
-Every frame of news bears the pulse of the primary that it comes from: its view and a count. Pulses come several
-times a second with or without news, so that a gateway knows how fresh its table is, however many relays are
-between: with no new pulse for `STALE` it turns to the next source. It never goes back, and takes from anybody.
+Every update message carries a heartbeat of its primary: the view number and a counter. The primary sends heartbeats
+several times a second, with or without updates, so a gateway knows how fresh its table is however many relays lie in
+between. Without a new heartbeat for `STALE_AFTER_US` it tries the next source. It accepts updates from any sender;
+table entries and heartbeats never go back to an older version.
 """
 
 from __future__ import annotations
@@ -18,42 +19,46 @@
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.transport.links import Answer, Connection, Transport
 
-HEARTBEAT_INTERVAL_US = 250_000  # microseconds between two of the primary's pulses
-STALE_AFTER_US = 800_000  # without a new one, another source is tried
-SUBSCRIBE_TIMEOUT_US = 200_000  # for a source to agree; a dark one holds up what it gives for this beside STALE
-FIRST_UPDATE_TIMEOUT_US = (
-    150_000  # one that is silent for so long while there are no news need not be the only one that is asked
-)
-MAX_NOTICE_HOPS = 6  # as far is told that something long is on its way: two that told each other would never end
-RETRY_DELAY_US = 60_000  # before another is asked, after one that could not help
-REPAIR_INTERVAL_US = 5_000_000  # between two comparisons of digests
-LARGE_MESSAGE_BYTES = 4 * 1024  # bytes of a message that is waited for
-LARGE_MESSAGE_ACK_TIMEOUT_US = 2_000_000  # without a word that it came
-FAILED_SOURCE_RETRY_US = 20 * STALE_AFTER_US  # a source that failed is asked like the others again
+HEARTBEAT_INTERVAL_US = 250_000  # between heartbeats of the primary
+STALE_AFTER_US = 800_000  # without a new heartbeat, the next source is tried
+SUBSCRIBE_TIMEOUT_US = 200_000  # an unreachable source delays updates by this, on top of STALE_AFTER_US
+FIRST_UPDATE_TIMEOUT_US = 150_000  # a stale feed whose new source has sent nothing by then asks another one too
+MAX_NOTICE_HOPS = 6  # limits the relaying of long-message notices, which could otherwise circulate for ever
+RETRY_DELAY_US = 60_000  # between a rejected subscription and the next source
+REPAIR_INTERVAL_US = 5_000_000  # between comparisons of table digests
+LARGE_MESSAGE_BYTES = 4 * 1024  # larger messages are acknowledged before more is sent
+LARGE_MESSAGE_ACK_TIMEOUT_US = 2_000_000
+FAILED_SOURCE_RETRY_US = 20 * STALE_AFTER_US  # then a failure no longer counts against a source
 
 log_event = EventLogger(__name__)
 
 
 class Publisher:
-    """Those below, each with its connection. One that has not said that a large message came, or whose connection is
-    full, is sent no more until then, and then what the table holds: of a key that changed several times meanwhile, the
-    newest alone. Without the word, what is old would wait in the buffers of the connection."""
+    """Sends state updates to subscribers.
+
+    A subscriber whose connection is congested, or that has not acknowledged a large message, gets nothing more until it
+    has caught up. It then gets the current table entries, so of a key that changed several times only the newest value.
+    The acknowledgement keeps outdated entries from queueing in the connection's buffers.
+    """
 
     def __init__(self, table: Table) -> None:
         self._table = table
-        self._subscribers: dict[Connection, Version | None] = {}  # None: all was sent; else what is newer was not
-        self._unacknowledged: set[Connection] = set()  # a large message is on its way there
+        self._subscribers: dict[
+            Connection, Version | None
+        ] = {}  # None if all was sent, else entries newer than this are deferred
+        self._unacknowledged: set[Connection] = set()  # with a large message in flight
         self._heartbeat = NO_VERSION
 
     def __len__(self) -> int:
         return len(self._subscribers)
 
     def subscribe(self, conn: Connection, highest_version: Version, heartbeat: Version) -> None:
+        """Adds a subscriber whose table reaches `highest_version` and sends it all newer entries."""
         if conn not in self._subscribers:
             self._subscribers[conn] = None
             conn.on_close.append(self._forget)
         elif conn.sending_long_frame():
-            return  # all of it is on its way there
+            return  # the complete table is already being sent
         self._send_since(conn, highest_version, heartbeat)
 
     def _send_since(self, conn: Connection, highest_version: Version, heartbeat: Version) -> None:
@@ -82,12 +87,13 @@
         self._subscribers.pop(conn, None)
 
     def unsubscribe(self, conn: Connection) -> None:
+        """Removes a subscriber; its connection stays open."""
         if conn in self._subscribers:
             del self._subscribers[conn]
             conn.on_close.remove(self._forget)
 
     def publish(self, heartbeat: Version, entries: list[Entry]) -> None:
-        """The table holds these entries already."""
+        """Sends entries that the table already holds, with a heartbeat, to all subscribers."""
         self._heartbeat = heartbeat
         body = [list(heartbeat), pack(gateway_entries(entries)), None]
         size = len(cbor2.dumps(body)) if entries else 0
@@ -101,10 +107,12 @@
                 self._send_deferred(conn)
 
     def _defer(self, conn: Connection, entries: list[Entry]) -> None:
-        """A pulse alone is not missed: there will be another."""
-        behind = [(view, sequence - 1) for _, (view, sequence), _ in entries]
-        before = self._subscribers[conn]
-        self._subscribers[conn] = min([*behind, before] if before is not None else behind, default=None)
+        """Records which entries the subscriber still needs. A skipped heartbeat needs none: another follows."""
+        versions_before = [(view, sequence - 1) for _, (view, sequence), _ in entries]
+        deferred = self._subscribers[conn]
+        self._subscribers[conn] = min(
+            [*versions_before, deferred] if deferred is not None else versions_before, default=None
+        )
         conn.on_writable = self._send_deferred
 
     def _send_deferred(self, conn: Connection) -> None:
@@ -113,21 +121,24 @@
             self._send_since(conn, since, self._heartbeat)
 
     def send_repair(self, conn: Connection, digests: list[bytes], answer: Answer) -> None:
+        """Answers with the entries of all key ranges whose digest differs, and the compaction horizon."""
         found = self._table.differing_entries(digests)
         horizon = (HORIZON_KEY, self._table.version(HORIZON_KEY), self._table.get(HORIZON_KEY))
         answer(pack([*found, horizon] if found and horizon[2] is not None else found))
 
     def forward_long_notice(self, hops: int) -> None:
+        """Tells subscribers that a long message is on its way, so that they do not request it elsewhere."""
         for conn in list(self._subscribers):
             conn.send_long_notice(hops)
 
     def close_all(self) -> None:
+        """Ends the connections of all subscribers."""
         for conn in list(self._subscribers):
             conn.end()
 
 
 class Feed:
-    """A gateway's side: the source that it takes news from now, and the relay to those below."""
+    """The gateway's side: subscribes to one source at a time and relays its updates to subscribers."""
 
     def __init__(
         self,
@@ -136,18 +147,18 @@
         table: Table,
         identity: Callable[[], dict[str, Any]],
         candidate_sources: Callable[[dict[str, int]], list[str]],
-        changed: Callable[[list[str]], None],
+        on_changed: Callable[[list[str]], None],
     ) -> None:
         self.loop, self.transport, self.table = loop, transport, table
-        self._identity, self._candidate_sources, self._on_changed = identity, candidate_sources, changed
+        self._identity, self._candidate_sources, self._on_changed = identity, candidate_sources, on_changed
         self.publisher = Publisher(table)
         self.heartbeat: Version = NO_VERSION
-        self.last_fresh_at = 0  # when the latest new pulse came
+        self.last_fresh_at = 0  # when the latest new heartbeat arrived
         self._source: Address | None = None
-        self._previous_source: Address | None = None  # still gives news until the new one has agreed to
+        self._previous_source: Address | None = None  # sends updates until the new source accepts the subscription
         self._requested_at = 0
         self._failed_at: dict[str, int] = {}
-        self._reported_fresh_at = 0  # the last pulse of the spell without news that was noted
+        self._reported_fresh_at = 0  # `last_fresh_at` of the latest stale period that was logged
         self._best_source_checked = False
         transport.handlers["news"] = self._receive_updates
         transport.handlers["subscribe"] = self._serve_subscriber
@@ -158,29 +169,31 @@
         loop.at(loop.now + REPAIR_INTERVAL_US, self._request_repair)
 
     def is_fresh(self, within: int = STALE_AFTER_US) -> bool:
+        """Whether a new heartbeat arrived less than `within` microseconds ago."""
         return bool(self.last_fresh_at) and self.loop.now - self.last_fresh_at < within
 
     def _long_message_incoming(self) -> bool:
-        """Something long is on its way here: to ask another for it would only make it longer."""
+        """Whether a long message is on its way here; requesting it from another source would only delay it."""
         return self.loop.now - self.transport.long_notice_at < STALE_AFTER_US
 
     def source(self) -> Address | None:
+        """The source of the latest subscription request."""
         return self._source
 
     def switch_to(self, address: str) -> None:
-        """Somebody knows better: a new primary, say. Its news are asked for at once."""
+        """Subscribes to a better source, such as a new primary, at once."""
         parsed = parse_address(address)
         if parsed is not None:
             self._request_updates(parsed)
 
     def reselect_source(self) -> None:
-        """The list of gateways changed: the place in the tree may have too."""
+        """Checks for the best source again: a changed gateway list may have moved this gateway in the tree."""
         self._best_source_checked = False
 
-    # ---- from above
+    # ---- updates from the source
 
     def _on_primary_serving(self, conn: Connection, body: Any, _: Answer) -> None:
-        """A primary has begun: who finds it first need not search on."""
+        """A new primary announces itself; a stale gateway subscribes to it without searching further."""
         address = parse_address(str(body))
         if address is not None and not self.is_fresh():
             self.transport.retry_connect(address)
@@ -207,9 +220,7 @@
     def _try_next_source(self, now: int) -> None:
         if self._source is not None:
             self._failed_at[f"{self._source[0]}:{self._source[1]}"] = now
-            if (
-                self.last_fresh_at != self._reported_fresh_at
-            ):  # once a spell: the others asked in it have not fallen silent
+            if self.last_fresh_at != self._reported_fresh_at:  # once per stale period: only its first source went stale
                 self._reported_fresh_at = self.last_fresh_at
                 log_event("news are stale", source=self._source[0], for_ms=(now - self.last_fresh_at) // 1000)
         candidates = self._candidate_sources(self._failed_at)
@@ -237,7 +248,7 @@
         self.loop.at(now + FIRST_UPDATE_TIMEOUT_US, lambda _: self._check_first_update(address, now))
 
     def _check_first_update(self, address: Address, requested_at: int) -> None:
-        """A machine that is dark, or just starting, lets the first packet of a connection fall."""
+        """Tries the next source early: a machine that is down or starting drops the first packet of a connection."""
         if (
             self._source == address
             and self._requested_at == requested_at
@@ -247,13 +258,13 @@
             self._try_next_source(self.loop.now)
 
     def _on_subscribe_response(self, address: Address, answer: Any) -> None:
-        """A core machine that is not primary names the one that is; who can't help is not waited for."""
+        """Follows a core machine's pointer to the primary, and moves on from a source that cannot serve updates."""
         if self._source != address:
             return
-        previous_source, named = self._previous_source, answer.get("primary") if isinstance(answer, dict) else None
-        other = parse_address(named) if named else None
-        if other is not None and other != address:
-            return self._request_updates(other)
+        previous_source, primary = self._previous_source, answer.get("primary") if isinstance(answer, dict) else None
+        primary_address = parse_address(primary) if primary else None
+        if primary_address is not None and primary_address != address:
+            return self._request_updates(primary_address)
         if answer == {} or not self.is_fresh():
             self._previous_source = None
             if previous_source is not None and previous_source != address:
@@ -271,7 +282,7 @@
         answer(None)
         heartbeat, entries, horizon = (int(body[0][0]), int(body[0][1])), unpack(body[1]), body[2]
         if heartbeat < self.heartbeat and heartbeat[0] < self.heartbeat[0]:
-            return  # of a primary that was replaced
+            return  # from a replaced primary
         if horizon is not None:
             changed = self.table.replace_all(entries, (int(horizon[0]), int(horizon[1])))
         else:
@@ -295,14 +306,14 @@
             entries = unpack(answer)
             horizon = next((value for key, _, value in entries if key == HORIZON_KEY), list(NO_VERSION))
             if (int(horizon[0]), int(horizon[1])) < self.table.horizon:
-                return  # behind this one: it may still hold what was forgotten here
+                return  # the source may still hold entries that were deleted and compacted here
             changed = self.table.put(entries)
             if changed:
                 log_event("table mended", "warning", entries=len(changed))
                 self._on_changed(changed)
                 self.publisher.publish(self.heartbeat, [entry for entry in entries if entry[0] in set(changed)])
 
-    # ---- from below
+    # ---- subscribers
 
     def _serve_subscriber(self, conn: Connection, body: Any, answer: Answer) -> None:
         if not self.is_fresh():
--- a/oakvale/dissemination/table.py
+++ b/oakvale/dissemination/table.py
@@ -1,9 +1,9 @@
-"""The table of news: keys with values and versions. It only goes forward, entry by entry.
+"""The table of state entries: keys with values and versions. Each entry only moves to newer versions.
 
-No I/O and no clock. A version is the number of the view in which an entry was made and its place in that view.
-What was taken away stays as an entry with the value None, so that the news of it can be passed on; a table
-forgets such entries only up to `floor`, and who has seen less than that is given everything anew. The floor is
-an entry itself: all who hold it have forgotten the same.
+No I/O and no clock. A version is the number of the view in which an entry was made and a sequence number within that
+view. A deleted entry stays as a tombstone, with the value None, so that the deletion can be disseminated. Tombstones
+are dropped up to the compaction horizon; a subscriber whose table ends below it is sent the complete table. The horizon
+is an entry itself, so that all tables that hold it have dropped the same tombstones.
 """
 
 from __future__ import annotations
@@ -19,35 +19,41 @@
 
 DIGEST_RANGES = 16
 NO_VERSION: Version = (0, 0)
-TOMBSTONES_KEPT = 500  # entries taken away that are kept to be passed on
-CORE_ONLY_PREFIX = "taken/"  # of the core machines alone: gateways are neither sent such entries nor asked for them
-HORIZON_KEY = "floor"  # the key of the entry that raises it; its value is a version
+TOMBSTONES_KEPT = 500  # the newest tombstones, which compaction never drops
+CORE_ONLY_PREFIX = "taken/"  # keys of entries that only core machines hold; never sent to gateways
+HORIZON_KEY = "floor"  # key of the entry that raises the compaction horizon; its value is a version
 
 
 def gateway_entries(entries: Iterable[Entry]) -> list[Entry]:
+    """The entries that are sent to gateways, without those of core machines alone."""
     return [entry for entry in entries if not entry[0].startswith(CORE_ONLY_PREFIX)]
 
 
 def digest_range(key: str) -> int:
+    """The range of keys whose digest covers this key."""
     return blake2b(key.encode(), digest_size=1).digest()[0] % DIGEST_RANGES
 
 
 class Table:
+    """Versioned entries by key, tombstones included."""
+
     def __init__(self) -> None:
         self._entries: dict[str, tuple[Version, Any]] = {}
-        self.highest_version = NO_VERSION  # all entries up to here are held
-        self.horizon = NO_VERSION  # what was taken away up to here may be forgotten
+        self.highest_version = NO_VERSION  # the newest version seen
+        self.horizon = NO_VERSION  # tombstones up to here have been dropped
 
     def get(self, key: str) -> Any:
+        """The value of a key; None if it is absent or deleted."""
         found = self._entries.get(key)
         return found[1] if found else None
 
     def version(self, key: str) -> Version:
+        """The version of an entry or tombstone; NO_VERSION if the key is unknown."""
         found = self._entries.get(key)
         return found[0] if found else NO_VERSION
 
     def items(self, prefix: str) -> list[tuple[str, Any]]:
-        """Key behind the prefix and value of what is there."""
+        """Existing keys that start with the prefix, without it, and their values."""
         return [
             (key[len(prefix) :], value)
             for key, (_, value) in self._entries.items()
@@ -55,7 +61,7 @@
         ]
 
     def put(self, entries: Iterable[Entry]) -> list[str]:
-        """Takes entries that are newer than what is held; gives their keys, and those that it forgets."""
+        """Applies the entries that are newer than the held ones; returns their keys and those of dropped tombstones."""
         changed = []
         for key, version, value in entries:
             if version > self.version(key) and (value is not None or version > self.horizon or key in self._entries):
@@ -76,7 +82,7 @@
         return removed
 
     def replace_all(self, entries: list[Entry], horizon: Version) -> list[str]:
-        """Everything that the sender holds: what is missing there and not newer than it is gone."""
+        """Applies a sender's complete table: entries that it lacks and that are not newer than it are removed."""
         sent = {key for key, _, _ in entries}
         newest = max((version for _, version, _ in entries), default=NO_VERSION)
         removed = [
@@ -91,21 +97,21 @@
         return [*removed, *changed]
 
     def since(self, version: Version) -> list[Entry]:
-        """Entries newer than a version, oldest first."""
+        """Entries newer than a version, oldest first, tombstones included."""
         return sorted(
-            ((key, own, value) for key, (own, value) in self._entries.items() if own > version),
+            ((key, held, value) for key, (held, value) in self._entries.items() if held > version),
             key=lambda entry: entry[1],
         )
 
     def next_horizon(self) -> Version:
-        """Up to where what was taken away may be forgotten: the newest stay, as long as there are not twice as many."""
+        """The horizon to compact to: once there are over twice TOMBSTONES_KEPT tombstones, the newest ones remain."""
         tombstones = sorted(version for version, value in self._entries.values() if value is None)
         return tombstones[-TOMBSTONES_KEPT - 1] if len(tombstones) > 2 * TOMBSTONES_KEPT else self.horizon
 
     # ---- repair
 
     def digests(self) -> list[bytes]:
-        """One for each range of keys: equal where two tables hold the same versions of what gateways are sent."""
+        """One digest per range of keys; equal if two tables hold the same versions of the entries sent to gateways."""
         hashes = [blake2b(digest_size=8) for _ in range(DIGEST_RANGES)]
         for key in sorted(key for key in self._entries if not key.startswith(CORE_ONLY_PREFIX)):
             version = self._entries[key][0]
@@ -113,9 +119,9 @@
         return [hasher.digest() for hasher in hashes]
 
     def differing_entries(self, digests: list[bytes]) -> list[Entry]:
-        """All entries of the ranges in which the other's digest is another."""
-        own = self.digests()
-        differing_ranges = {n for n in range(DIGEST_RANGES) if n >= len(digests) or digests[n] != own[n]}
+        """All gateway entries of the key ranges whose digest differs from that of the other table."""
+        own_digests = self.digests()
+        differing_ranges = {n for n in range(DIGEST_RANGES) if n >= len(digests) or digests[n] != own_digests[n]}
         return gateway_entries(
             (key, version, value)
             for key, (version, value) in self._entries.items()
@@ -124,8 +130,10 @@
 
 
 def pack(entries: Iterable[Entry]) -> list[Any]:
+    """Entries in the form in which they are sent."""
     return [[key, version[0], version[1], value] for key, version, value in entries]
 
 
 def unpack(data: Any) -> list[Entry]:
+    """Entries from the form that `pack` gives them."""
     return [(str(key), (int(view), int(sequence)), value) for key, view, sequence, value in data]
