--- a/oakvale/transport/__init__.py
+++ b/oakvale/transport/__init__.py
@@ -1,3 +1,4 @@
-"""Mains: what the system's own processes say to each other, `cbor2` frames over TCP, with connections,
-questions, answers and time-outs. It must know nothing of what is said. Begin with `links`.
+"""Messaging between the system's own processes: `cbor2` frames over TCP, with requests, responses and timeouts.
+
+It does not interpret what the messages contain. Start with `links`.
 """
--- a/oakvale/transport/links.py
+++ b/oakvale/transport/links.py
@@ -1,11 +1,11 @@
-"""Links between the system's processes: one outgoing connection to each peer that is spoken to, made when it
-is first needed; answers come back on the connection that the question went out on.
+"""TCP links between the system's processes: one outgoing connection per peer, opened on first use. A response returns
+on the connection that carried its request.
 
-No call waits for a peer: what can't be said or is not answered in time ends with `None`, and a peer that does
-not read is cut off when its backlog is full. Loss is the caller's to mend.
+No call blocks on a peer. A request that cannot be sent or is not answered in time yields `None`, and a peer that does
+not read is disconnected once its backlog is full. Callers handle lost messages.
 
-A long frame goes in parts, one on its way on each connection and few on all, and what is short goes between them, so
-that heartbeats do not wait behind it on a thin link. Frames of one kind stay in their order.
+A long frame is split into parts, with one part in flight per connection and a small limit over all connections. Short
+frames are sent in between, so that heartbeats are not delayed on slow links. Frames of one kind keep their order.
 """
 
 from __future__ import annotations
@@ -22,60 +22,56 @@
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.transport.frames import BadFrame, Frame, decode, encode
 
-TCP_USER_TIMEOUT = 18  # Linux; milliseconds that sent bytes may stay unacknowledged
-UNACKNOWLEDGED_TIMEOUT_MS = 1_500  # behind a cut nothing is ever refused: such a connection is given up after this
-CONNECT_TIMEOUT_US = (
-    300_000  # microseconds; a machine that is just starting drops the first packet, the next comes late
-)
-RECONNECT_DELAY_US = 60_000  # after a connection failed, before the next is tried
-CONGESTED_BYTES = 16 * 1024  # bytes; while more wait for a peer, what can be said later better is
-MAX_BACKLOG_BYTES = 8 * 1024 * 1024  # bytes that may wait for one peer, beside the long frame that is on its way
-MAX_UNSPLIT_BYTES = 64 * 1024  # bytes of a frame that go at once; more go in parts
-PART_BYTES = 16 * 1024  # 65 ms on 2 Mbit/s
-MAX_PARTS_IN_FLIGHT = 4  # on their way at a time, over all connections
-PART_ACK_TIMEOUT_US = 1_000_000  # a peer that has not said for so long that a part came holds up nobody else
-LONG_NOTICE_INTERVAL_US = 300_000  # so often a peer is told that something long is on its way
-IDLE_TIMEOUT_US = 20_000_000  # an unused link ends
+TCP_USER_TIMEOUT = 18  # Linux socket option: milliseconds that sent data may stay unacknowledged
+UNACKNOWLEDGED_TIMEOUT_MS = 1_500  # a network partition does not reset connections
+CONNECT_TIMEOUT_US = 300_000  # shorter than the kernel's SYN retransmission, which follows a lost first packet
+RECONNECT_DELAY_US = 60_000  # after a failed connection attempt
+CONGESTED_BYTES = 16 * 1024  # with more unsent data, messages that can be deferred should be
+MAX_BACKLOG_BYTES = 8 * 1024 * 1024  # unsent data per peer, without the long frame being sent
+MAX_UNSPLIT_BYTES = 64 * 1024  # longer frames are sent in parts
+PART_BYTES = 16 * 1024  # 65 ms at 2 Mbit/s
+MAX_PARTS_IN_FLIGHT = 4  # over all connections
+PART_ACK_TIMEOUT_US = 1_000_000  # after this, an unacknowledged part no longer counts as in flight
+LONG_NOTICE_INTERVAL_US = 300_000  # between notices to a peer that a long message is being sent to it
+IDLE_TIMEOUT_US = 20_000_000  # unused links are closed
 READ_BYTES = 64 * 1024
 MAX_ACCEPTS_PER_TURN = 64
 
 Answer = Callable[[Any], None]
 Handler = Callable[["Connection", Any, Answer], None]
-Callback = Callable[[Any], None]  # the answer's body, or None where there was none
+Callback = Callable[[Any], None]  # gets the response body, or None if there was no response
 
 log_event = EventLogger(__name__)
 
 
 class Connection:
-    """One connection, either way. `on_close` hears once that it is gone."""
+    """An incoming or outgoing connection. `on_close` callbacks run once, when it has closed."""
 
     def __init__(self, transport: Transport, sock: Sock, address: Address, outgoing: bool) -> None:
         self.transport, self.sock, self.address, self._outgoing = transport, sock, address, outgoing
         self.alive, self.connected = True, not outgoing
-        self.refused = False  # nobody listens there: whoever did has ended
+        self.refused = False  # no process listens at the address
         self.on_close: list[Callable[[Connection], None]] = []
-        self.on_writable: Callable[[Connection], None] | None = (
-            None  # hears once, when nothing waits for the peer any more
-        )
+        # Called once, when no more data waits to be sent.
+        self.on_writable: Callable[[Connection], None] | None = None
         self.pending_requests: dict[int, tuple[Callback, Timer]] = {}
         self._receive_buffer, self._send_buffer = bytearray(), bytearray()
-        self._long_frames: deque[tuple[str, bytes]] = (
-            deque()
-        )  # kind and frame, what goes in parts and what waits behind it
-        self._queued_long_bytes = 0  # bytes that wait behind the first of them
-        self._long_offset = 0  # of the first, so much has gone
-        self._part_in_flight = False  # a part is on its way
-        self._part_timer: Timer | None = None  # set while it counts for all connections
-        self._received_parts = bytearray()  # of a long frame that comes
+        # Kind and encoded frame: the long frame being sent in parts, then the frames queued behind it.
+        self._long_frames: deque[tuple[str, bytes]] = deque()
+        self._queued_long_bytes = 0  # without the first long frame
+        self._long_offset = 0  # bytes of the first long frame already sent
+        self._part_in_flight = False
+        self._part_timer: Timer | None = None  # set while the part counts towards MAX_PARTS_IN_FLIGHT
+        self._received_parts = bytearray()  # of the long frame being received
         self.last_used = transport.loop.now
         self._task = transport.loop.start(self._run(), sock.fileno(), Rank.COUNTER)
 
     def send(self, kind: str, number: int, body: Any, request_kind: str = "") -> None:
-        """`of`: the kind of the question that an answer is given to."""
+        """Sends a frame. For a response, `request_kind` is the kind of the request that it answers."""
         if not self.alive:
             return
         data = encode(kind, number, body)
-        if len(data) > MAX_UNSPLIT_BYTES or kind and any(kind == waits for waits, _ in self._long_frames):
+        if len(data) > MAX_UNSPLIT_BYTES or kind and any(kind == queued_kind for queued_kind, _ in self._long_frames):
             return self._queue_long_frame(kind or request_kind, data)
         if len(self._send_buffer) + len(data) > MAX_BACKLOG_BYTES:
             log_event("peer does not read", "warning", peer=self.address[0])
@@ -83,9 +79,9 @@
         self.transport.sent_bytes[kind or request_kind] += len(data)
         self._transmit(data)
 
-    def ask(self, kind: str, body: Any, timeout: int, on_response: Callback) -> None:
-        """As `Mains.ask_on`."""
-        self.transport.ask_on(self, kind, body, timeout, on_response)
+    def ask(self, kind: str, body: Any, timeout_us: int, on_response: Callback) -> None:
+        """Sends a request on this connection; see `Transport.ask_on`."""
+        self.transport.ask_on(self, kind, body, timeout_us, on_response)
 
     def _transmit(self, data: bytes) -> None:
         self.last_used = self.transport.loop.now
@@ -102,14 +98,14 @@
         self._send_buffer += data
         self.transport.loop.wake(self._task)
 
-    # ---- what is long
+    # ---- long frames
 
     def sending_long_frame(self) -> bool:
-        """Something long is on its way."""
+        """Whether a long frame is being sent in parts."""
         return bool(self._long_frames)
 
     def is_congested(self) -> bool:
-        """What is sent now would wait long behind what waits already."""
+        """Whether new data would be delayed by data that is still unsent."""
         return self.sending_long_frame() or len(self._send_buffer) > CONGESTED_BYTES
 
     def _notify_writable(self) -> None:
@@ -135,10 +131,11 @@
             self.transport.loop.at(self.transport.loop.now + LONG_NOTICE_INTERVAL_US, self._repeat_long_notice)
 
     def send_long_notice(self, hops: int) -> None:
-        """That something long is on its way there; `hops` from whoever has it."""
+        """Tells the peer that a long message is on its way to it, `hops` relays after its sender."""
         self._transmit(encode("part", 0, [b"", False, hops]))
 
     def send_next_part(self) -> None:
+        """Sends the next part of the first long frame; the part holds a slot until its acknowledgement or a timeout."""
         data = self._long_frames[0][1]
         part = data[self._long_offset : self._long_offset + PART_BYTES]
         self._long_offset += len(part)
@@ -171,6 +168,7 @@
             self._notify_writable()
 
     def discard_long_frames(self) -> None:
+        """Drops unsent long frames of a closed connection and releases its part slot."""
         self._long_frames.clear()
         self._release_part_slot(None)
 
@@ -191,7 +189,7 @@
                 self._dispatch(frame)
 
     def end(self) -> None:
-        """Later in this turn: whoever speaks need not reckon with its own connection gone under it."""
+        """Closes the connection later in this loop turn, so that it does not vanish under its caller."""
         if self.alive:
             self.alive = False
             self.transport.loop.wake(self._task)
@@ -215,7 +213,7 @@
             self.transport.connection_closed(self)
 
     def _connect(self) -> Coroutine | Any:
-        """As wire.tcp's, but it also ends when the link is ended meanwhile."""
+        """As the connect in `wire.tcp`, but it also stops when the connection is ended meanwhile."""
         code = self.sock.connect_ex(self.address)
         if code == 0:
             return True
@@ -272,7 +270,7 @@
         try:
             handler(self, body, (lambda answer: self.send("", number, answer, kind)) if number else _discard_response)
         except Exception:
-            # one peer's odd message never ends the process, nor the connection that others' news come on
+            # A malformed message must end neither the process nor a connection that also carries other messages.
             log_event.fault("message failed", kind=kind, peer=self.address[0])
 
 
@@ -281,7 +279,7 @@
 
 
 def _deliver(on_response: Callback, answer: Any) -> None:
-    """One answer that its asker can't use ends neither the connection nor what others asked on it."""
+    """Runs a response callback; its failure must not affect the connection or its other requests."""
     try:
         on_response(answer)
     except Exception:
@@ -289,28 +287,24 @@
 
 
 class Transport:
-    """All links of a process."""
+    """All connections of a process, with the handlers of its incoming messages by kind."""
 
     def __init__(self, loop: Loop, self_address: Address) -> None:
         self.loop, self.self_address = loop, self_address
         self.handlers: dict[str, Handler] = {}
-        self.sent_bytes: Counter[str] = Counter()  # bytes by kind, answers with their questions
+        self.sent_bytes: Counter[str] = Counter()  # by kind; responses count under the kind of their request
         self._outgoing: dict[Address, Connection] = {}
         self._failed_at: dict[Address, int] = {}
         self._refused_at: dict[Address, int] = {}
         self._incoming: set[Connection] = set()
         self._last_number = 0
-        self.ready_for_part: deque[Connection] = (
-            deque()
-        )  # connections with something long, and no part of it on its way
-        self.parts_in_flight = 0  # parts on their way
-        self.long_notice_at = (
-            -UNACKNOWLEDGED_TIMEOUT_MS * 1000
-        )  # when the latest word came of something long that is on its way here
-        self.long_notice_hops = 0  # and how far it has yet to go
+        self.ready_for_part: deque[Connection] = deque()  # have a long frame to send and no part of it in flight
+        self.parts_in_flight = 0
+        self.long_notice_at = -UNACKNOWLEDGED_TIMEOUT_MS * 1000  # latest notice that a long message is on its way here
+        self.long_notice_hops = 0  # relays between the sender of that message and the peer that sent the notice
 
     def listen(self) -> None:
-        """Raises OSError where the address can't be had."""
+        """Accepts connections; raises OSError if the address cannot be bound."""
         sock = self.loop.net.listen(self.self_address, 256)
         self.loop.start(self._accept(sock), sock.fileno(), Rank.COUNTER)
 
@@ -335,15 +329,17 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         except OSError:
-            pass  # gone already: the first read says so
+            pass  # already closed; the first read reports it
 
     def send_parts(self) -> None:
+        """Sends parts of long frames, connection by connection, up to the limit of parts in flight."""
         while self.parts_in_flight < MAX_PARTS_IN_FLIGHT and self.ready_for_part:
             conn = self.ready_for_part.popleft()
             if conn.alive and conn.sending_long_frame():
                 conn.send_next_part()
 
     def connection_closed(self, conn: Connection) -> None:
+        """Forgets a closed connection, fails its pending requests and runs its `on_close` callbacks."""
         conn.discard_long_frames()
         self._incoming.discard(conn)
         if self._outgoing.get(conn.address) is conn:
@@ -360,7 +356,7 @@
             call(conn)
 
     def link(self, address: Address) -> Connection | None:
-        """The connection to a peer, made if need be; None shortly after one failed."""
+        """The connection to a peer, opened if necessary; None shortly after a failed attempt."""
         conn = self._outgoing.get(address)
         if conn is not None and conn.alive:
             return conn
@@ -379,8 +375,8 @@
         return None
 
     def retry_connect(self, address: Address) -> None:
-        """Who listens there is known to be up: a connection whose first packet may have met a dark machine is not
-        waited for any longer."""
+        """Abandons a connection attempt to a peer that is now known to be up: its first packet may have been lost while
+        the machine was down."""
         conn = self._outgoing.get(address)
         if conn is not None and not conn.connected:
             del self._outgoing[address]
@@ -388,20 +384,21 @@
         self._failed_at.pop(address, None)
 
     def tell(self, address: Address, kind: str, body: Any) -> None:
+        """Sends a message that needs no response; it is lost if there is no connection."""
         conn = self.link(address)
         if conn is not None:
             conn.send(kind, 0, body)
 
-    def ask(self, address: Address, kind: str, body: Any, timeout: int, on_response: Callback) -> None:
-        """`then` hears the answer, or None after `timeout` microseconds or once the connection is gone."""
+    def ask(self, address: Address, kind: str, body: Any, timeout_us: int, on_response: Callback) -> None:
+        """Sends a request. `on_response` gets the response, or None on a timeout or when the connection closes."""
         conn = self.link(address)
         if conn is None:
             self.loop.at(self.loop.now, lambda _: _deliver(on_response, None))
         else:
-            self.ask_on(conn, kind, body, timeout, on_response)
+            self.ask_on(conn, kind, body, timeout_us, on_response)
 
-    def ask_on(self, conn: Connection, kind: str, body: Any, timeout: int, on_response: Callback) -> None:
-        """As `ask`, of the very process at the other end of a connection, whoever made it."""
+    def ask_on(self, conn: Connection, kind: str, body: Any, timeout_us: int, on_response: Callback) -> None:
+        """As `ask`, on a given connection, which either side may have opened."""
         self._last_number += 1
         number = self._last_number
 
@@ -409,21 +406,21 @@
             if conn.pending_requests.pop(number, None) is not None:
                 _deliver(on_response, None)
 
-        conn.pending_requests[number] = (on_response, self.loop.at(self.loop.now + timeout, timed_out))
+        conn.pending_requests[number] = (on_response, self.loop.at(self.loop.now + timeout_us, timed_out))
         conn.send(kind, number, body)
 
     def connection_counts(self) -> tuple[int, int]:
-        """How many there are, outgoing and incoming."""
+        """Number of outgoing and of incoming connections."""
         return len(self._outgoing), len(self._incoming)
 
     def recently_refused(self, address: Address, since: int = 0) -> bool:
-        """Whether a connection was refused there just now: the process that listened has ended. `since`: of one that
-        was known then; what was refused before was refused for want of a life before it."""
-        at = self._refused_at.get(address, -2 * RECONNECT_DELAY_US)
-        return self.loop.now - at < 2 * RECONNECT_DELAY_US and at >= since
+        """Whether the address refused a connection a moment ago, which proves that the process listening there has
+        ended. Refusals before `since` are ignored: they came before the process in question started."""
+        refused_at = self._refused_at.get(address, -2 * RECONNECT_DELAY_US)
+        return self.loop.now - refused_at < 2 * RECONNECT_DELAY_US and refused_at >= since
 
     def close_idle_links(self) -> None:
-        """Ends links that nothing went over for long."""
+        """Closes outgoing connections that have not been used for a while."""
         for conn in list(self._outgoing.values()):
             if self.loop.now - conn.last_used > IDLE_TIMEOUT_US and not conn.pending_requests and not conn.on_close:
                 conn.end()
--- a/oakvale/transport/status_service.py
+++ b/oakvale/transport/status_service.py
@@ -1,5 +1,6 @@
-"""Standing: what a process says of itself when it is asked over the mains (`oakvale status`), and notes in its log
-at intervals. Values are numbers and short texts; ages are in milliseconds of the steady clock.
+"""Status of a process: returned over the transport on request (`oakvale status`) and logged at intervals.
+
+Values are numbers and short texts; ages are in milliseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from oakvale.transport.frames import BadFrame, decode, encode
 from oakvale.transport.links import Transport
 
-LOG_INTERVAL_US = 30_000_000  # microseconds between two notes
+LOG_INTERVAL_US = 30_000_000
 STATUS_KIND = "status"
 US_PER_MS = 1_000
 
@@ -25,11 +26,11 @@
 
 
 class NoResponse(Exception):
-    """Who was asked did not answer; one line."""
+    """The process did not answer; the message is a single line."""
 
 
 def serve_status(transport: Transport, role: str, node: str, own_fields: Callable[[], Fields]) -> None:
-    """Answers whoever asks, and notes the same at intervals."""
+    """Answers status requests and logs the same fields at intervals."""
     loop, started_at = transport.loop, transport.loop.now
 
     def status_fields() -> Fields:
@@ -57,28 +58,28 @@
 
 
 def count_by_service(backends: Iterable[tuple[str, str]]) -> Fields:
-    """Counts from pairs of service and state."""
+    """Status fields that count backends, given as pairs of service and state."""
     counts = Counter(backends)
     return {f"backends.{service}.{state}": count for (service, state), count in sorted(counts.items())}
 
 
-def query_status(address: Address, timeout: float, kind: str = STATUS_KIND) -> Mapping[str, Any]:
-    """Asks from outside a loop; raises Silent."""
-    deadline = time.monotonic() + timeout
+def query_status(address: Address, timeout_seconds: float, kind: str = STATUS_KIND) -> Mapping[str, Any]:
+    """Requests the status of a process, blocking, from outside an event loop; raises NoResponse."""
+    deadline = time.monotonic() + timeout_seconds
     received = bytearray()
     try:
-        with socket.create_connection(address, timeout) as sock:
+        with socket.create_connection(address, timeout_seconds) as sock:
             sock.sendall(encode(kind, 1, None))
             while True:
                 sock.settimeout(max(0.01, deadline - time.monotonic()))
                 data = sock.recv(65536)
                 if not data:
-                    raise NoResponse("closed without an answer")
+                    raise NoResponse("connection closed without a response")
                 received += data
                 for response_kind, number, body in decode(received):
                     if not response_kind and number == 1 and isinstance(body, dict):
                         return body
                 if time.monotonic() > deadline:
-                    raise NoResponse("no answer in time")
+                    raise NoResponse("no response before the timeout")
     except (OSError, BadFrame) as error:
         raise NoResponse(str(error)) from error
