--- a/oakvale/storage/__init__.py
+++ b/oakvale/storage/__init__.py
@@ -1,3 +1,4 @@
-"""Cistern: what outlives a process, one `sqlite3` file, written by a thread of its own in the order it is
-told, many writes to a sync. It must decide nothing and knows no network. Begin with `store`.
+"""Durable state of a process in one `sqlite3` file, written in order by a dedicated thread that batches its syncs.
+
+It makes no decisions and knows nothing of the network. Start with `store`.
 """
--- a/oakvale/storage/store.py
+++ b/oakvale/storage/store.py
@@ -1,13 +1,13 @@
-"""The file of a core machine: a few named facts, the rows of the control state, and pieces of one that is on its way.
+"""The state file of a core machine: named facts, the rows of the control state, and chunks of a state in transfer.
 
-All writes go through one thread, in order; those that wait together share a transaction and its sync. A call's
-`then` runs in the loop once its write, and so every earlier one, is on disk. A disk that hangs or refuses
-holds the thread up, never the loop: `waiting_since` tells how long, and the write is tried again until it lasts. A file
-that is found broken while it is in use is not written to any more: `on_broken` runs in the loop.
+One thread does all writes in order; waiting writes share a transaction and its sync. The `on_done` callback of a write
+runs in the event loop once that write, and so every earlier one, is on disk. A disk that hangs or fails blocks the
+thread but never the loop: the write is retried until it succeeds, and `oldest_pending_since` shows the delay. A file
+found corrupt while in use is not written to any more; `on_broken` then runs in the loop.
 
-A file is taken as it is only if it is whole. Each transaction is numbered and seals all that the file holds with a
-checksum; the number is also noted in a file of its own, behind the sync and without one, so that it is never ahead of
-an honest disk: a file that was cut back to an older state shows by it, though that state is whole in itself.
+At startup a file is used only if it is intact. Each transaction is numbered and stores a checksum of the whole content.
+Its number is also written, after the sync and without one, to a separate mark file, which is therefore never ahead of
+a disk that honours syncs. A file that was cut back to an older, self-consistent state is detected by it.
 """
 
 from __future__ import annotations
@@ -26,31 +26,33 @@
 from oakvale.lifecycle.eventlog import EventLogger
 
 Row = tuple[str, bytes]
-Chunk = tuple[bytes, bytes]  # its name, and what it holds
-Write = tuple[str, Any]  # ("fact", (name, value)) | ("rows", [row...]) | ("gone", [key...]) | ("stage", [piece...])
-# | ("unstage", [name...]) | ("whole", [row...]): no rows but these, and no pieces
-
-DISK_RETRY_SECONDS = 0.05  # seconds between two tries at a disk that refuses
-MAX_BATCH_WRITES = 64  # writes in one transaction
-MAX_BATCH_BYTES = 1 << 20  # a transaction that holds more takes no further write
-MAX_WAL_BYTES = 4 << 20  # bytes that the log keeps of the disk once it is worked in
-SEALED_FORMAT = 1  # `user_version` of a file whose every transaction is sealed; 0 of one of before, or an empty one
-SEAL_FACT = "seal"  # the fact: 8 bytes that name the file, 8 of the transaction's number, 16 of the checksum
-TABLES = {"fact": "name", "row": "key", "piece": "name"}
+Chunk = tuple[bytes, bytes]  # name and content
+Write = tuple[str, Any]  # ("fact", (name, value)) | ("rows", [row...]) | ("gone", [key...]) | ("stage", [chunk...])
+# | ("unstage", [name...]) | ("whole", [row...]): replaces all rows and removes all chunks
+
+DISK_RETRY_SECONDS = 0.05
+MAX_BATCH_WRITES = 64  # per transaction
+MAX_BATCH_BYTES = 1 << 20  # a transaction that exceeds this takes no further write
+MAX_WAL_BYTES = 4 << 20  # size of the write-ahead log file after a checkpoint
+SEALED_FORMAT = 1  # `user_version` of files with seals; older and empty files have 0
+SEAL_FACT = "seal"  # name of the fact with 8 bytes of file id, 8 of transaction number and 16 of checksum
+KEY_COLUMNS = {"fact": "name", "row": "key", "piece": "name"}
 CORRUPTION_CODES = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
-DAMAGE_CODES = (*CORRUPTION_CODES, sqlite3.SQLITE_ERROR)  # the last: a table is missing
+DAMAGE_CODES = (*CORRUPTION_CODES, sqlite3.SQLITE_ERROR)  # SQLITE_ERROR: a table is missing
 
 log_event = EventLogger(__name__)
 
 
 class DamagedFile(Exception):
-    """The file holds something else than what was written to it, or an older state."""
+    """The content of the file is not what was written to it, or is an older state."""
 
 
 class Storage:
+    """The state file with its writer thread. The reading methods are for startup, before the first write."""
+
     def __init__(self, loop: Loop, folder: str) -> None:
-        """A file that is damaged is put aside, and another begun. Raises OSError or sqlite3.Error where the folder
-        can't be used."""
+        """Opens the file. A damaged one is moved aside and replaced by an empty one. Raises OSError or sqlite3.Error if
+        the folder cannot be used."""
         self._loop = loop
         if not os.path.isdir(folder):
             os.makedirs(folder, exist_ok=True)
@@ -59,17 +61,16 @@
         self._mark_path, self._damaged_path = (
             os.path.join(folder, f"oakvale.{name}") for name in ("mark", "db.damaged")
         )
-        self.never_used = not any(
-            map(os.path.exists, (self._mark_path, self._damaged_path))
-        )  # no state was ever kept here
+        # No state was ever kept here.
+        self.never_used = not any(map(os.path.exists, (self._mark_path, self._damaged_path)))
         self._file_id, self._commit_count, self._checksum = os.urandom(8), 0, 0
-        self._entry_checksums: dict[str, dict[Any, int]] = {}  # of all that the file holds
+        self._entry_checksums: dict[str, dict[Any, int]] = {}  # by table and key
         self._checksum_undo: list[tuple[str, Any, int]] = []
         try:
             self._open()
         except (DamagedFile, sqlite3.DatabaseError) as error:
             if getattr(error, "sqlite_errorcode", sqlite3.SQLITE_CORRUPT) & 0xFF not in DAMAGE_CODES:
-                raise  # the disk refuses
+                raise  # a disk error, not damage
             log_event("file is damaged", "error", why=str(error), kept=self._damaged_path, begins="without state")
             self.never_used = False
             self._move_damaged_aside()
@@ -80,7 +81,7 @@
         self._mark_file = os.open(self._mark_path, os.O_RDWR | os.O_CREAT, 0o644) if self._commit_count else -1
         self._queue: SimpleQueue[tuple[int, Write] | None] = SimpleQueue()
         self._callbacks: dict[int, Callable[[], None]] = {}
-        self._requested_at: dict[int, int] = {}  # number -> when it was asked for
+        self._requested_at: dict[int, int] = {}  # write number -> loop time
         self._last_number = self._last_synced = 0
         self.broken = False
         self.on_broken: Callable[[], None] = lambda: None
@@ -94,9 +95,9 @@
     # ---- opening
 
     def _open(self) -> None:
-        """Raises Damaged, sqlite3.Error, OSError."""
+        """Opens, verifies and if necessary initializes the database; raises DamagedFile, sqlite3.Error or OSError."""
         self._db = sqlite3.connect(self._path, isolation_level=None, check_same_thread=False)
-        self._db.execute("pragma locking_mode=exclusive")  # one process: no index of the log in shared pages
+        self._db.execute("pragma locking_mode=exclusive")  # a single process needs no shared-memory index of the log
         self._db.execute("pragma journal_mode=wal")
         self._db.execute("pragma synchronous=full")
         self._db.execute("pragma wal_autocheckpoint=200")
@@ -105,36 +106,36 @@
         if sealed:
             self._verify()
         self._db.execute("begin immediate")
-        for table, key in TABLES.items():
+        for table, key in KEY_COLUMNS.items():
             kind = "blob" if table == "piece" else "text"
             self._db.execute(f"create table if not exists {table} ({key} {kind} primary key, value blob) without rowid")
         if not sealed:
-            self._read_sums()  # empty, or of a version that sealed nothing
+            self._load_checksums()  # empty, or written before seals were introduced
             self._seal(0)
             self._db.execute(f"pragma user_version={SEALED_FORMAT}")
         self._db.execute("commit")
-        _sync_folder(self._folder)  # or a loss of power might leave the log without its file, or neither
+        _sync_folder(self._folder)  # makes the directory entries of database and log survive a power loss
 
-    def _read_sums(self) -> None:
-        self._checksum, self._entry_checksums = 0, {table: {} for table in TABLES}
-        for table in TABLES:
+    def _load_checksums(self) -> None:
+        self._checksum, self._entry_checksums = 0, {table: {} for table in KEY_COLUMNS}
+        for table in KEY_COLUMNS:
             for key, value in self._db.execute(f"select * from {table}"):
                 if (table, key) != ("fact", SEAL_FACT):
                     self._update_checksum(table, key, bytes(value))
         self._checksum_undo.clear()
 
     def _verify(self) -> None:
-        """That what the file holds is what was last written to it, as far as it can tell."""
+        """Checks that the file holds what was last written to it, as far as it can be detected."""
         found = self._db.execute("pragma quick_check(1)").fetchone()[0]
         if found != "ok":
             raise DamagedFile(str(found))
         try:
-            self._read_sums()
+            self._load_checksums()
         except (TypeError, AttributeError, sqlite3.OperationalError) as error:
             raise DamagedFile(str(error)) from error
         seal = self.fact(SEAL_FACT)
         if seal is None or len(seal) != 32 or int.from_bytes(seal[16:]) != self._checksum:
-            raise DamagedFile("what it holds is not what was sealed")
+            raise DamagedFile("content does not match its seal")
         self._file_id, self._commit_count = seal[:8], int.from_bytes(seal[8:16])
         try:
             with open(self._mark_path, "rb") as file:
@@ -143,10 +144,10 @@
             return
         recorded = int.from_bytes(mark[8:16])
         if mark == _mark_record(self._file_id, recorded) and recorded > self._commit_count:
-            raise DamagedFile(f"transaction {self._commit_count} is its last, and {recorded} was synced")
+            raise DamagedFile(f"last transaction is {self._commit_count}, but {recorded} was synced")
 
     def _move_damaged_aside(self) -> None:
-        """The file goes before its log: without the log it might pass for whole, in an older state."""
+        """Moves the file before deleting its log: without the log it could pass for an intact, older state."""
         try:
             self._db.close()
         except sqlite3.Error:
@@ -159,28 +160,32 @@
         _sync_folder(self._folder)
         self._file_id, self._commit_count = os.urandom(8), 0
 
-    # ---- reading, at the start alone
+    # ---- reading, at startup only
 
     def fact(self, name: str) -> bytes | None:
+        """The value of a named fact."""
         found = self._db.execute("select value from fact where name = ?", (name,)).fetchone()
         return bytes(found[0]) if found else None
 
     def rows(self) -> list[Row]:
+        """All rows of the control state."""
         return [(key, bytes(value)) for key, value in self._db.execute("select key, value from row")]
 
     def chunks(self) -> list[Chunk]:
+        """All chunks of the state in transfer."""
         return [(bytes(name), bytes(value)) for name, value in self._db.execute("select name, value from piece")]
 
     # ---- writing
 
     def write(self, write: Write, on_done: Callable[[], None]) -> None:
+        """Queues a write; `on_done` runs in the loop once it is on disk."""
         self._last_number += 1
         self._callbacks[self._last_number] = on_done
         self._requested_at[self._last_number] = self._loop.now
         self._queue.put((self._last_number, write))
 
     def oldest_pending_since(self) -> int | None:
-        """When the oldest write that is not on disk yet was asked for."""
+        """The time at which the oldest write that is not yet on disk was queued; None if there is none."""
         return next(iter(self._requested_at.values()), None)
 
     def _run_callbacks(self) -> Coroutine:
@@ -193,8 +198,8 @@
                     continue
                 if self.broken:
                     self.on_broken()
-                done = self._last_synced
-                for number in [n for n in self._callbacks if n <= done]:
+                last_synced = self._last_synced
+                for number in [n for n in self._callbacks if n <= last_synced]:
                     on_done = self._callbacks.pop(number)
                     self._requested_at.pop(number, None)
                     try:
@@ -205,11 +210,11 @@
             self._wake_reader.close()
 
     def close(self) -> None:
-        """Waits for what is under way; a disk that hangs is not waited for."""
+        """Waits briefly for queued writes, but not for a disk that hangs."""
         self._queue.put(None)
         self._thread.join(0.3)
 
-    # ---- the thread
+    # ---- writer thread
 
     def _write_loop(self) -> None:
         while True:
@@ -237,10 +242,10 @@
         try:
             self._wake_writer.send(b"\0")
         except (BlockingIOError, OSError):
-            pass  # a byte is there already, or the loop has ended
+            pass  # a wake-up is already pending, or the loop has ended
 
     def _commit(self, batch: list[tuple[int, Write]]) -> None:
-        """Raises Damaged where trying again is of no use."""
+        """Commits the writes in one transaction, with retries; raises DamagedFile if a retry cannot help."""
         while True:
             try:
                 self._db.execute("begin immediate")
@@ -285,27 +290,27 @@
     def _remove(self, table: str, keys: list[Any]) -> None:
         for key in keys:
             self._update_checksum(table, key, None)
-        self._db.executemany(f"delete from {table} where {TABLES[table]} = ?", [(key,) for key in keys])
+        self._db.executemany(f"delete from {table} where {KEY_COLUMNS[table]} = ?", [(key,) for key in keys])
 
     def _update_checksum(self, table: str, key: Any, value: bytes | None) -> None:
         sums = self._entry_checksums[table]
-        before, now = sums.pop(key, 0), 0
+        previous_checksum, checksum = sums.pop(key, 0), 0
         if value is not None:
             name = key.encode() if isinstance(key, str) else key
-            now = sums[key] = int.from_bytes(
+            checksum = sums[key] = int.from_bytes(
                 blake2b(
                     value, digest_size=16, key=blake2b(name, digest_size=16, person=table.encode()).digest()
                 ).digest()
             )
-        self._checksum ^= before ^ now
-        self._checksum_undo.append((table, key, before))
+        self._checksum ^= previous_checksum ^ checksum
+        self._checksum_undo.append((table, key, previous_checksum))
 
     def _undo_checksums(self) -> None:
-        for table, key, before in reversed(self._checksum_undo):
+        for table, key, previous_checksum in reversed(self._checksum_undo):
             sums = self._entry_checksums[table]
-            self._checksum ^= sums.pop(key, 0) ^ before
-            if before:
-                sums[key] = before
+            self._checksum ^= sums.pop(key, 0) ^ previous_checksum
+            if previous_checksum:
+                sums[key] = previous_checksum
         self._checksum_undo.clear()
 
     def _seal(self, number: int) -> None:
@@ -313,7 +318,7 @@
         self._db.execute("insert or replace into fact values (?, ?)", (SEAL_FACT, seal))
 
     def _record_commit(self) -> None:
-        """Without a sync: it may lag behind the file, and is never ahead of it."""
+        """Writes the transaction number to the mark file, without a sync: it may lag behind the file, never lead it."""
         self._commit_count += 1
         try:
             if self._mark_file < 0:
@@ -324,8 +329,8 @@
             log_event("disk refuses", "warning", why=str(error))
 
 
-def _mark_record(name: bytes, number: int) -> bytes:
-    recorded = name + number.to_bytes(8)
+def _mark_record(file_id: bytes, number: int) -> bytes:
+    recorded = file_id + number.to_bytes(8)
     return recorded + blake2b(recorded, digest_size=8).digest()
 
 
