--- a/oakvale/dissemination/table.py
+++ b/oakvale/dissemination/table.py
@@ -99,7 +99,11 @@
     def since(self, version: Version) -> list[Entry]:
         """Entries newer than a version, oldest first, tombstones included."""
         return sorted(
-            ((key, held, value) for key, (held, value) in self._entries.items() if held > version),
+            (
+                (key, entry_version, value)
+                for key, (entry_version, value) in self._entries.items()
+                if entry_version > version
+            ),
             key=lambda entry: entry[1],
         )
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links between processes, on loopback sockets."""
+"""Links between processes: on loopback sockets, and against a model over in-memory connections."""
 
 from __future__ import annotations
 
@@ -16,31 +16,31 @@
 from oakvale.ratelimit.service import RateLimiter
 from oakvale.transport.links import Connection, Transport
 from tests import schedules
-from tests.link_model import PEERS, World
+from tests.link_model import PEER_ADDRESSES, World
 
 
-def test_a_connection_that_is_being_made_is_not_waited_for_once_its_peer_is_known_to_be_up() -> None:
-    """Its first packet had met a dark machine; the peer had called meanwhile, and was asked 0.3 s later."""
+def test_a_stalled_connection_attempt_is_replaced_once_the_peer_is_known_to_be_up() -> None:
+    """Guards against waiting for the connect timeout when the first packet was lost while the peer was down."""
     loop = Loop(Clock(), Limits.fill(256, 192 << 20, 250_000, 30_000_000, 80_000, 100))
     peer = Transport(loop, ("127.0.0.1", 0))
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     address: tuple[str, int] = listener.getsockname()
-    held = [socket.create_connection(address)]  # the queue is full: further first packets fall
+    client_sockets = [socket.create_connection(address)]  # the accept queue is full: further connection attempts stall
     answers: list[Any] = []
     peer.ask(address, "x", None, 5_000_000, answers.append)
-    stuck = peer.link(address)
+    stalled = peer.link(address)
     for _ in range(5):
         loop.turn(0)
-    assert stuck is not None and not stuck.connected and not answers
-    held += [listener.accept()[0]]
+    assert stalled is not None and not stalled.connected and not answers
+    client_sockets += [listener.accept()[0]]
     peer.retry_connect(address)
     fresh = peer.link(address)
-    assert fresh is not stuck
+    assert fresh is not stalled
     for _ in range(20):
         loop.turn(0.01)
     assert fresh is not None and fresh.connected and answers == [None] and peer.link(address) is fresh
     loop.close()
-    for sock in (*held, listener):
+    for sock in (*client_sockets, listener):
         sock.close()
 
 
@@ -49,64 +49,63 @@
 
 
 @pytest.fixture
-def quiet(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Odd answers are drawn, and would be noted."""
+def silence_logs(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Generated schedules contain unusable responses, which would be logged."""
     monkeypatch.setattr(BOOK, "write", lambda *_: None)
     monkeypatch.setattr(logging.getLogger("oakvale"), "disabled", True)
 
 
-@pytest.mark.usefixtures("quiet")
-def test_each_question_hears_once_and_its_own_answer_or_none() -> None:
-    """Over connections that break, refuse, stay silent or don't read, peers that start again, answers late, twice and
-    in pieces, peers that ask under the same numbers, and askers that fail at what they hear. Where one failed as its
-    connection ended, the others that had asked on it heard nothing, ever."""
+@pytest.mark.usefixtures("silence_logs")
+def test_each_request_gets_exactly_one_response_its_own_or_none() -> None:
+    """Connections break, refuse, stall or do not read; peers restart, respond late, twice and in pieces, and reuse
+    request numbers; callbacks fail. Guards against a failing callback that keeps other pending requests from ending."""
     search(1_000)
 
 
-def kept(conn: Connection, frame: Any) -> None:
-    """An answer leaves its question waiting."""
-    waited = conn.pending_requests.get(frame[1])
-    TAKE(conn, frame)
-    if waited is not None and not frame[0]:
-        conn.pending_requests[frame[1]] = waited
+def leave_request_pending(conn: Connection, frame: Any) -> None:
+    """A response leaves its request pending."""
+    pending = conn.pending_requests.get(frame[1])
+    DISPATCH(conn, frame)
+    if pending is not None and not frame[0]:
+        conn.pending_requests[frame[1]] = pending
 
 
-def alike(transport: Transport, conn: Connection, *rest: Any) -> None:
-    """All questions bear one number."""
+def reuse_request_number(transport: Transport, conn: Connection, *rest: Any) -> None:
+    """All requests have the same number."""
     transport._last_number = 0
     ASK_ON(transport, conn, *rest)
 
 
-def unheard(transport: Transport, conn: Connection) -> None:
-    """What is asked on a connection that ends hears nothing."""
+def drop_pending_requests(transport: Transport, conn: Connection) -> None:
+    """Requests pending on a closing connection get no response."""
     conn.pending_requests = {}
-    GONE(transport, conn)
+    CONNECTION_CLOSED(transport, conn)
 
 
-TAKE, ASK_ON, GONE = Connection._dispatch, Transport.ask_on, Transport.connection_closed
-BREAKAGES = {
-    "kept": (Connection, "_dispatch", kept),
-    "alike": (Transport, "ask_on", alike),
-    "unheard": (Transport, "connection_closed", unheard),
+DISPATCH, ASK_ON, CONNECTION_CLOSED = Connection._dispatch, Transport.ask_on, Transport.connection_closed
+MUTATIONS = {
+    "leave-request-pending": (Connection, "_dispatch", leave_request_pending),
+    "reuse-request-number": (Transport, "ask_on", reuse_request_number),
+    "drop-pending-requests": (Transport, "connection_closed", drop_pending_requests),
 }
 
 
-@pytest.mark.usefixtures("quiet")
-@pytest.mark.parametrize("what", BREAKAGES)
-def test_each_mechanism_of_questions_taken_out_is_found(monkeypatch: pytest.MonkeyPatch, what: str) -> None:
-    monkeypatch.setattr(*BREAKAGES[what])
+@pytest.mark.usefixtures("silence_logs")
+@pytest.mark.parametrize("mutation", MUTATIONS)
+def test_the_model_detects_each_mutation(monkeypatch: pytest.MonkeyPatch, mutation: str) -> None:
+    monkeypatch.setattr(*MUTATIONS[mutation])
     with pytest.raises(AssertionError):
         search(300, shrinks=False)
 
 
-def test_what_was_refused_before_a_question_proves_nothing_of_who_is_asked() -> None:
-    """A gateway that had just started again, and was silent next, counted as ended for all its new life: its share of
-    the quota, which it passes when it is cut off, was left with the counter (QUOTA)."""
-    world, heard = World(), list[Any]()
-    world.mode = 1
-    world.transport.ask(PEERS[0], "life", None, 150_000, heard.append)
+def test_a_refusal_before_a_request_does_not_prove_that_the_requested_process_ended() -> None:
+    """Guards against a restarted gateway counting as ended because its address refused connections before: its quota
+    share would stay with the counter (QUOTA)."""
+    world, responses = World(), list[Any]()
+    world.connect_mode = 1
+    world.transport.ask(PEER_ADDRESSES[0], "life", None, 150_000, responses.append)
     world.turn()
-    assert heard == [None] and world.transport.recently_refused(PEERS[0])
+    assert responses == [None] and world.transport.recently_refused(PEER_ADDRESSES[0])
     world.now += 30_000
     world.turn()
     members = Members([Member("g2", "10.0.0.2:7", "z", "new")])
@@ -124,9 +123,9 @@
     rate_limiter.members_changed()
     rate_limiter._presence.prove()
     world.turn()
-    assert world.transport.recently_refused(PEERS[0]) and not rate_limiter._presence.ended
+    assert world.transport.recently_refused(PEER_ADDRESSES[0]) and not rate_limiter._presence.ended
     world.now += 100_000
     world.turn()
     rate_limiter._presence.prove()
     world.turn()
-    assert rate_limiter._presence.ended == {"g2": "new"}  # refused since: nobody listens there now
+    assert rate_limiter._presence.ended == {"g2": "new"}  # refused after the request: no process listens there any more
--- a/tests/test_wire_snapshots.py
+++ b/tests/test_wire_snapshots.py
@@ -1,4 +1,4 @@
-"""What goes over the mains, byte by byte: processes of two versions talk to each other while one is replaced."""
+"""Wire and storage formats, byte by byte: during an upgrade, processes of two versions communicate."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 def test_digests(snapshot: SnapshotAssertion) -> None:
-    held = table.Table()
-    held.put(ENTRIES)
-    assert [digest.hex() for digest in held.digests()] == snapshot
+    held_table = table.Table()
+    held_table.put(ENTRIES)
+    assert [digest.hex() for digest in held_table.digests()] == snapshot
     assert table.unpack(table.pack(ENTRIES)) == ENTRIES
 
 
-def test_frames_come_in_any_pieces() -> None:
+def test_frames_are_decoded_from_any_fragments() -> None:
     data, buffer, found = encode("a", 1, {"x": b"y" * 300}) + encode("", 1, None), bytearray(), list[Any]()
     for byte in data:
         buffer.append(byte)
@@ -59,6 +59,6 @@
         LENGTH_PREFIX.pack(0),
     ],
 )
-def test_what_is_no_frame(data: bytes) -> None:
+def test_invalid_frames_are_rejected(data: bytes) -> None:
     with pytest.raises(BadFrame):
         decode(bytearray(data))
