--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -1,4 +1,4 @@
-"""The news: the table, the tree, and feeds in simulated time whose relays die, are cut off and come back."""
+"""Dissemination: the table, the tree, and feeds in simulated time whose relays fail, are partitioned and return."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import pytest
 
 from oakvale.base.address import parse_address
-from oakvale.dataplane.routes import members as shown_members
+from oakvale.dataplane.routes import members as updated_members
 from oakvale.dissemination.feed import (
     FAILED_SOURCE_RETRY_US,
     FIRST_UPDATE_TIMEOUT_US,
@@ -39,7 +39,7 @@
 # ---- the table
 
 
-def test_entries_only_go_forward() -> None:
+def test_entries_only_move_to_newer_versions() -> None:
     table = Table()
     assert table.put([("a", (1, 2), "x"), ("b", (1, 3), "y")]) == ["a", "b"]
     assert table.put([("a", (1, 1), "old"), ("b", (1, 3), "again"), ("c", (2, 1), None)]) == ["c"]
@@ -48,45 +48,45 @@
     assert table.items("") == [("a", "x"), ("b", "y")]
 
 
-def test_a_whole_state_takes_away_what_its_sender_forgot_and_nothing_newer() -> None:
+def test_a_complete_table_removes_what_its_sender_lacks_and_nothing_newer() -> None:
     table = Table()
     table.put([("gone", (1, 1), 1), ("kept", (1, 2), 2), ("newer", (1, 9), 3)])
     assert table.replace_all([("kept", (1, 2), 2), ("x", (1, 5), 4)], (1, 3)) == ["gone", "x"]
     assert dict(table.items("")) == {"kept": 2, "newer": 3, "x": 4} and table.horizon == (1, 3)
 
 
-def test_pruned_graves_reach_those_who_were_behind() -> None:
-    """By the floor a subscriber that has seen less is known, and is given everything anew."""
+def test_compacted_deletions_reach_subscribers_that_were_behind() -> None:
+    """A subscriber whose table ends below the compaction horizon is sent the complete table."""
     table, behind = Table(), Table()
     table.put([(f"k{n}", (1, n + 1), n) for n in range(3 * TOMBSTONES_KEPT)])
     behind.put(table.since(NO_VERSION))
     table.put([(f"k{n}", (2, n + 1), None) for n in range(3 * TOMBSTONES_KEPT)])
-    floor = table.next_horizon()
-    forgotten = table.put([(HORIZON_KEY, (3, 1), list(floor))])
-    assert len(forgotten) == 2 * TOMBSTONES_KEPT + 1 and table.horizon == floor == (2, 2 * TOMBSTONES_KEPT)
-    assert table.next_horizon() == floor
+    horizon = table.next_horizon()
+    forgotten = table.put([(HORIZON_KEY, (3, 1), list(horizon))])
+    assert len(forgotten) == 2 * TOMBSTONES_KEPT + 1 and table.horizon == horizon == (2, 2 * TOMBSTONES_KEPT)
+    assert table.next_horizon() == horizon
     sent: list[Any] = []
     conn: Any = type("Below", (), {"on_close": [], "ask": lambda self, kind, body, timeout, then: sent.append(body)})()
     Publisher(table).subscribe(conn, behind.highest_version, (2, 1))
-    [(_, entries, floor)] = sent
-    behind.replace_all([(key, (view, place), value) for key, view, place, value in entries], tuple(floor))
+    [(_, entries, horizon)] = sent
+    behind.replace_all([(key, (view, sequence), value) for key, view, sequence, value in entries], tuple(horizon))
     assert behind.since(NO_VERSION) == table.since(NO_VERSION)
 
 
-def test_the_floor_travels_as_an_entry() -> None:
-    """All forget the same, so that their digests stay alike; what is older than the floor does not come back."""
-    one, other = Table(), Table()
+def test_the_compaction_horizon_is_disseminated_as_an_entry() -> None:
+    """All tables drop the same tombstones, so their digests stay equal; entries below the horizon do not come back."""
+    table_a, table_b = Table(), Table()
     entries: list[Entry] = [("a", (1, 1), 1), ("b", (1, 2), None), ("c", (1, 3), None), (HORIZON_KEY, (1, 4), [1, 2])]
-    assert one.put(entries) == ["a", "c", HORIZON_KEY] or one.version("b") == NO_VERSION
-    other.put(reversed(entries))
-    assert one.digests() == other.digests() and one.horizon == other.horizon == (1, 2)
-    assert one.put([("b", (1, 2), None)]) == [] and one.version("b") == NO_VERSION
-    other.put([("d", (1, 1), 1)])
-    assert other.put([("d", (1, 2), None)]) and other.version("d") == NO_VERSION
+    assert table_a.put(entries) == ["a", "c", HORIZON_KEY] or table_a.version("b") == NO_VERSION
+    table_b.put(reversed(entries))
+    assert table_a.digests() == table_b.digests() and table_a.horizon == table_b.horizon == (1, 2)
+    assert table_a.put([("b", (1, 2), None)]) == [] and table_a.version("b") == NO_VERSION
+    table_b.put([("d", (1, 1), 1)])
+    assert table_b.put([("d", (1, 2), None)]) and table_b.version("d") == NO_VERSION
 
 
-def test_a_source_that_is_behind_brings_nothing_back() -> None:
-    """It still held what was taken away and forgotten here."""
+def test_a_repair_from_a_source_that_is_behind_restores_no_deleted_entries() -> None:
+    """The source still holds an entry that was deleted and compacted here."""
     behind, table, answers = Table(), Table(), list[Any]()
     behind.put([("a", (1, 1), 1), ("b", (1, 2), 1)])
     table.put([("a", (1, 3), None), ("b", (1, 2), 1), (HORIZON_KEY, (1, 4), [1, 3])])
@@ -100,19 +100,19 @@
     assert any(key == HORIZON_KEY for key, *_ in answers[1])
 
 
-def test_digests_find_what_differs_and_no_more() -> None:
+def test_digests_identify_the_differing_ranges_only() -> None:
     rng = random.Random(1)
-    one, other = Table(), Table()
+    table_a, table_b = Table(), Table()
     entries = [(f"k{n}", (1, n + 1), n) for n in range(200)]
-    one.put(entries)
-    other.put(entries)
-    assert one.differing_entries(other.digests()) == []
+    table_a.put(entries)
+    table_b.put(entries)
+    assert table_a.differing_entries(table_b.digests()) == []
     for key, _, _ in rng.sample(entries, 3):
-        one.put([(key, (2, rng.randrange(99)), "new")])
-    found = one.differing_entries(other.digests())
+        table_a.put([(key, (2, rng.randrange(99)), "new")])
+    found = table_a.differing_entries(table_b.digests())
     assert 3 <= len(found) < 100
-    other.put(found)
-    assert other.digests() == one.digests()
+    table_b.put(found)
+    assert table_b.digests() == table_a.digests()
 
 
 # ---- the tree
@@ -123,63 +123,66 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 7, 60, 150])
-def test_every_way_leads_up_to_the_core(count: int) -> None:
-    known = members(count)
+def test_every_path_leads_to_the_core(count: int) -> None:
+    fleet_members = members(count)
     load: dict[str, int] = {}
-    for member in known.values():
-        path = update_sources(known, member.node, member.zone, ["core"], {})
+    for member in fleet_members.values():
+        path = update_sources(fleet_members, member.node, member.zone, ["core"], {})
         assert path[-1] == "core" and member.address not in path and len(path) <= 5
         load[path[0]] = load.get(path[0], 0) + 1
-        if path[0] != "core":  # its own parent's way is the rest of this one: no circles
-            above = next(m for m in known.values() if m.address == path[0])
-            assert above.zone == member.zone and update_sources(known, above.node, above.zone, ["core"], {}) == path[1:]
-            assert update_sources(known, member.node, member.zone, ["core"], {path[0]: 5})[-1] == path[0]
+        if path[0] != "core":  # the parent's path is the rest of this one, so there are no cycles
+            above = next(m for m in fleet_members.values() if m.address == path[0])
+            assert (
+                above.zone == member.zone
+                and update_sources(fleet_members, above.node, above.zone, ["core"], {}) == path[1:]
+            )
+            assert update_sources(fleet_members, member.node, member.zone, ["core"], {path[0]: 5})[-1] == path[0]
     assert load["core"] == min(3, count) and max(load.values()) <= max(3, FAN_OUT)
 
 
-def test_ring_neighbours_and_juries_move_little() -> None:
-    known = list(members(40).values())
-    order = [m.node for m in ring_order(known)]
-    for member in known:
-        found = [m.node for m in heartbeat_targets(known, member.node, 3)]
+def test_ring_neighbours_and_duty_candidates_change_little() -> None:
+    fleet_members = list(members(40).values())
+    order = [m.node for m in ring_order(fleet_members)]
+    for member in fleet_members:
+        found = [m.node for m in heartbeat_targets(fleet_members, member.node, 3)]
         at = order.index(member.node)
         assert found == [order[(at + k) % 40] for k in (1, 2, 3)]
-    assert heartbeat_targets(known, "unknown", 3) == [] and heartbeat_targets(known[:1], "n0", 3) == []
+    assert heartbeat_targets(fleet_members, "unknown", 3) == [] and heartbeat_targets(fleet_members[:1], "n0", 3) == []
     for duty in (f"gauge/{k}" for k in range(4)):
-        before = next_on_ring(known, duty, 5)
-        assert next_on_ring(reversed(known), duty, 5) == before and len(before) == 5
-        without = next_on_ring([m for m in known if m != before[2]], duty, 5)
+        before = next_on_ring(fleet_members, duty, 5)
+        assert next_on_ring(reversed(fleet_members), duty, 5) == before and len(before) == 5
+        without = next_on_ring([m for m in fleet_members if m != before[2]], duty, 5)
         assert [m for m in before if m != before[2]] == without[:4]
 
 
 # ---- feeds
 
 
-class Net:
+class Network:
     def __init__(self, seed: int) -> None:
-        self.rng, self.now, self._heap, self._order = random.Random(seed), 1_000 * SECOND, list[Any](), 0
-        self.ports: dict[Any, Port] = {}
-        self.cut: set[Any] = set()
-        self.fills = 0.0  # share of the news that fill their connection for a while
+        self.rng, self.now, self._events, self._order = random.Random(seed), 1_000 * SECOND, list[Any](), 0
+        self.ports: dict[Any, ProcessTransport] = {}
+        self.partitioned: set[Any] = set()
+        self.congested_share = 0.0  # share of the updates that congest their connection for a while
 
     def at(self, due: int, call: Callable[[], None]) -> None:
         self._order += 1
-        heapq.heappush(self._heap, (due, self._order, call))
+        heapq.heappush(self._events, (due, self._order, call))
 
     def run(self, span: int) -> None:
         end = self.now + span
-        while self._heap and self._heap[0][0] <= end:
-            self.now, _, call = heapq.heappop(self._heap)
+        while self._events and self._events[0][0] <= end:
+            self.now, _, call = heapq.heappop(self._events)
             call()
         self.now = end
 
 
-class End:
+class ConnectionEnd:
     """One end of a connection."""
 
-    def __init__(self, port: Port) -> None:
+    def __init__(self, port: ProcessTransport) -> None:
         self.port, self.alive, self.on_close = port, True, list[Any]()
-        self.other: End = self
+        self.remote: ConnectionEnd = self
         self.last = 0
         self.waiting: dict[int, Any] = {}
         self.on_writable: Callable[[Any], None] | None = None
@@ -187,21 +190,21 @@
 
     def send(self, kind: str, number: int, body: Any) -> None:
         net, data = self.port.net, cbor2.dumps(body)
-        if kind == "news" and net.fills and net.rng.random() < net.fills:
+        if kind == "news" and net.congested_share and net.rng.random() < net.congested_share:
             self._room_at = net.now + net.rng.randrange(10, 400) * MS
             net.at(self._room_at, self._room)
         self.last = due = max(self.last + 1, net.now + net.rng.randrange(300, 4_000))
 
         def arrive() -> None:
-            there = self.other.port
-            if not (self.alive and self.other.alive and there.alive):
+            there = self.remote.port
+            if not (self.alive and self.remote.alive and there.alive):
                 return self.end()
-            if (self.port.address in net.cut) != (there.address in net.cut):
+            if (self.port.address in net.partitioned) != (there.address in net.partitioned):
                 if net.now - due > 1_500 * MS:
                     return self.end()
                 self.last = max(self.last, net.now + 100 * MS)
                 return net.at(net.now + 100 * MS, arrive)
-            there.take(self.other, kind, number, cbor2.loads(data))
+            there.take(self.remote, kind, number, cbor2.loads(data))
 
         net.at(due, arrive)
 
@@ -220,21 +223,21 @@
             call(self)
 
     def end(self) -> None:
-        for side in (self, self.other):
+        for side in (self, self.remote):
             if side.alive:
                 side.alive = False
                 for call in side.on_close if side.port.alive else []:
                     call(side)
 
 
-class Port:
-    """A process's mains and loop."""
+class ProcessTransport:
+    """The transport and the event loop of a process."""
 
     long_notice_at = 0
 
-    def __init__(self, net: Net, address: str) -> None:
+    def __init__(self, net: Network, address: str) -> None:
         self.net, self.address, self.alive, self.handlers = net, parse_address(address), True, dict[str, Any]()
-        self._out: dict[Any, End] = {}
+        self._out: dict[Any, ConnectionEnd] = {}
         self._number = 0
         net.ports[self.address] = self
 
@@ -245,21 +248,21 @@
     def at(self, due: int, call: Callable[[Any], None]) -> None:
         self.net.at(due, lambda: call(None) if self.alive else None)
 
-    def link(self, address: Any) -> End | None:
+    def link(self, address: Any) -> ConnectionEnd | None:
         end, there = self._out.get(address), self.net.ports.get(address)
-        if end is not None and end.alive and end.other.port.alive:
+        if end is not None and end.alive and end.remote.port.alive:
             return end
         if end is not None:
             end.end()
         if there is None or not there.alive:
             return None
-        end = self._out[address] = End(self)
-        end.other = End(there)
-        end.other.other = end
+        end = self._out[address] = ConnectionEnd(self)
+        end.remote = ConnectionEnd(there)
+        end.remote.remote = end
         return end
 
     def retry_connect(self, address: Any) -> None:
-        pass  # connections are made at once here
+        pass  # connections are established at once here
 
     def tell(self, address: Any, kind: str, body: Any) -> None:
         end = self.link(address)
@@ -272,14 +275,14 @@
             return self.at(self.now, then)
         self.ask_on(end, kind, body, timeout, then)
 
-    def ask_on(self, end: End, kind: str, body: Any, timeout: int, then: Callable[[Any], None]) -> None:
+    def ask_on(self, end: ConnectionEnd, kind: str, body: Any, timeout: int, then: Callable[[Any], None]) -> None:
         self._number += 1
         number = self._number
         end.waiting[number] = then
         end.send(kind, number, body)
         self.at(self.now + timeout, lambda _: end.waiting.pop(number, lambda _: None)(None))
 
-    def take(self, end: End, kind: str, number: int, body: Any) -> None:
+    def take(self, end: ConnectionEnd, kind: str, number: int, body: Any) -> None:
         if not kind:
             return cast(None, end.waiting.pop(number, lambda _: None)(body))
         if kind in self.handlers:
@@ -287,15 +290,20 @@
 
 
 class Core:
-    """What gateways see of a core machine."""
+    """A core machine as gateways see it."""
 
-    def __init__(self, net: Net, address: str, table: Table) -> None:
-        self.port, self.address, self.table, self.outlet = Port(net, address), address, table, Publisher(table)
+    def __init__(self, net: Network, address: str, table: Table) -> None:
+        self.port, self.address, self.table, self.publisher = (
+            ProcessTransport(net, address),
+            address,
+            table,
+            Publisher(table),
+        )
         self.view, self.tick, self.primary = 1, 0, ""
         self.port.handlers.update(
             subscribe=self.subscribe,
-            leave=lambda conn, body, answer: self.outlet.unsubscribe(conn),
-            digests=lambda conn, body, answer: self.outlet.send_repair(conn, body, answer),
+            leave=lambda conn, body, answer: self.publisher.unsubscribe(conn),
+            digests=lambda conn, body, answer: self.publisher.send_repair(conn, body, answer),
         )
         self.pulse(None)
 
@@ -303,7 +311,7 @@
         if self.primary != self.address:
             return cast(None, answer({"primary": self.primary}))
         answer({})
-        self.outlet.subscribe(conn, (body["high"][0], body["high"][1]), self.next())
+        self.publisher.subscribe(conn, (body["high"][0], body["high"][1]), self.next())
 
     def next(self) -> Version:
         self.tick += 1
@@ -311,42 +319,42 @@
 
     def pulse(self, _: Any) -> None:
         if self.primary == self.address:
-            self.outlet.publish(self.next(), [])
+            self.publisher.publish(self.next(), [])
         self.port.at(self.port.now + HEARTBEAT_INTERVAL_US, self.pulse)
 
     def change(self, key: str, value: Any) -> None:
-        place = self.table.highest_version[1] + 1 if self.table.highest_version[0] == self.view else 1
-        entries = [(key, (self.view, place), value)]
+        sequence = self.table.highest_version[1] + 1 if self.table.highest_version[0] == self.view else 1
+        entries = [(key, (self.view, sequence), value)]
         self.table.put(entries)
-        self.outlet.publish(self.next(), entries)
+        self.publisher.publish(self.next(), entries)
 
 
 class Fleet:
     def __init__(self, seed: int, gateways: int) -> None:
-        self.net = net = Net(seed)
-        self.table = Table()  # of the control state: each primary goes on with it
+        self.net = net = Network(seed)
+        self.table = Table()  # the control state, shared by successive primaries
         self.cores = [Core(net, f"10.9.0.{k}:7340", self.table) for k in range(3)]
         self.members = members(gateways)
         self.feeds: dict[str, Feed] = {}
-        self.first = 0
+        self.primary_index = 0
         self.elect(0)
         for node in self.members:
-            self.start(node)
+            self.start_gateway(node)
 
     def elect(self, core: int) -> None:
-        self.first = core
-        for other in self.cores:
-            other.outlet.close_all()
-            other.primary, other.view = self.cores[core].address, other.view + 1
+        self.primary_index = core
+        for core_machine in self.cores:
+            core_machine.publisher.close_all()
+            core_machine.primary, core_machine.view = self.cores[core].address, core_machine.view + 1
 
-    def start(self, node: str) -> None:
+    def start_gateway(self, node: str) -> None:
         member = self.members[node]
-        port, table, seen = Port(self.net, member.address), Table(), dict[str, Version]()
+        port, table, seen = ProcessTransport(self.net, member.address), Table(), dict[str, Version]()
         core = [c.address for c in self.cores]
 
         def changed(keys: list[str]) -> None:
             for key in keys:
-                assert table.version(key) >= seen.get(key, NO_VERSION), f"{key} goes back"
+                assert table.version(key) >= seen.get(key, NO_VERSION), f"{key} went back to an older version"
                 seen[key] = table.version(key)
 
         self.feeds[node] = Feed(
@@ -359,11 +367,11 @@
         )
 
     def kill(self, node: str) -> None:
-        port = cast(Port, self.feeds[node].transport)
+        port = cast(ProcessTransport, self.feeds[node].transport)
         port.alive = False
-        for other in self.net.ports.values():  # a process that ends resets its connections
-            for end in list(other._out.values()):
-                if end.other.port is port:
+        for transport in self.net.ports.values():  # a process that ends resets its connections
+            for end in list(transport._out.values()):
+                if end.remote.port is port:
                     end.end()
 
     def behind(self) -> list[str]:
@@ -375,43 +383,43 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_all_tables_follow_the_primary_whatever_becomes_of_relays(seed: int) -> None:
+def test_all_tables_converge_to_the_primary_when_relays_fail(seed: int) -> None:
     fleet = Fleet(seed, 12 + 6 * (seed % 3))
-    fleet.net.fills = 0.05 * (seed % 2)
+    fleet.net.congested_share = 0.05 * (seed % 2)
     net, rng = fleet.net, fleet.net.rng
     net.run(2 * SECOND)
     assert not fleet.behind()
     for step in range(40):
-        fleet.cores[fleet.first].change(f"k{rng.randrange(30)}", rng.choice([step, step, None]))
+        fleet.cores[fleet.primary_index].change(f"k{rng.randrange(30)}", rng.choice([step, step, None]))
         node = rng.choice(list(fleet.feeds))
         kind = rng.random()
         if kind < 0.15:
             fleet.kill(node)
-            net.at(net.now + rng.randrange(50, 3_000) * MS, lambda node=node: fleet.start(node))  # type: ignore[misc]
+            net.at(net.now + rng.randrange(50, 3_000) * MS, lambda node=node: fleet.start_gateway(node))  # type: ignore[misc]
         elif kind < 0.3:
-            net.cut ^= {parse_address(fleet.members[node].address)}
+            net.partitioned ^= {parse_address(fleet.members[node].address)}
         elif kind < 0.35:
             fleet.elect(rng.randrange(3))
         net.run(rng.randrange(10, 400) * MS)
-    net.cut.clear()
-    net.run(3_100 * MS)  # those killed last are back
+    net.partitioned.clear()
+    net.run(3_100 * MS)  # the gateways killed last have restarted
     net.run(STALE_AFTER_US + 6 * SUBSCRIBE_TIMEOUT_US + 2 * HEARTBEAT_INTERVAL_US)
     assert not fleet.behind()
 
 
-def test_all_find_their_place_in_the_tree_and_news_pass_it_soon() -> None:
-    """At the start nobody is fresh and all turn to the core; most took their news from there ever after."""
+def test_all_gateways_move_to_their_place_in_the_tree_and_updates_arrive_quickly() -> None:
+    """Guards against gateways that stay subscribed to the core, where all of them turn at the start."""
     fleet = Fleet(1, 60)
     fleet.net.run(FAILED_SOURCE_RETRY_US + 3 * SECOND)
     assert not fleet.behind()
-    assert all(len(core.outlet) <= 3 for core in fleet.cores)  # the first of each zone
+    assert all(len(core.publisher) <= 3 for core in fleet.cores)  # the first of each zone
     fleet.cores[0].change("a", 1)
     fleet.net.run(20 * MS)
     assert not fleet.behind()
 
 
-def test_turning_to_a_source_that_has_no_news_costs_none() -> None:
-    """The former source was left before the new one had agreed: news stood still until a third was found."""
+def test_switching_to_a_failed_source_loses_no_updates() -> None:
+    """Guards against leaving the previous source before the new one has accepted the subscription."""
     fleet = Fleet(1, 9)
     fleet.net.run(2 * SECOND)
     feed = fleet.feeds["n4"]
@@ -425,17 +433,17 @@
     assert feed.is_fresh() and feed.source() != parse_address(fleet.members["n5"].address)
 
 
-def test_a_dark_machine_does_not_keep_a_gateway_without_news() -> None:
-    """After all power was gone half of the gateways waited 370 ms more for a core machine that was still dark."""
+def test_an_unreachable_source_does_not_keep_a_gateway_stale() -> None:
+    """Guards against waiting for a core machine that is still down when others already serve updates."""
     fleet = Fleet(1, 1)
     fleet.elect(1)
-    fleet.net.cut.add(parse_address(fleet.cores[0].address))
-    fleet.start("n0")
+    fleet.net.partitioned.add(parse_address(fleet.cores[0].address))
+    fleet.start_gateway("n0")
     fleet.net.run(FIRST_UPDATE_TIMEOUT_US + 20 * MS)
     assert fleet.feeds["n0"].is_fresh()
 
 
-def test_a_primary_that_begins_calls_those_without_news_and_no_others() -> None:
+def test_a_new_primary_attracts_stale_gateways_only() -> None:
     fleet = Fleet(1, 2)
     fleet.net.run(SECOND)
     was = fleet.feeds["n0"].source()
@@ -450,26 +458,28 @@
     assert fleet.feeds["n0"].is_fresh()
 
 
-def test_a_spell_without_news_is_noted_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each source asked in it was said to have fallen silent, 15 lines a second: those that did not were hid."""
-    noted: list[Any] = []
-    monkeypatch.setattr("oakvale.dissemination.feed.log_event", lambda event, **fields: noted.append(fields["source"]))
+def test_a_stale_period_is_logged_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a log line for each source that is tried, which hides the one that stopped responding."""
+    logged_sources: list[Any] = []
+    monkeypatch.setattr(
+        "oakvale.dissemination.feed.log_event", lambda event, **fields: logged_sources.append(fields["source"])
+    )
     fleet = Fleet(1, 1)
     fleet.net.run(2 * SECOND)
     for core in fleet.cores:
         core.primary = ""
     fleet.net.run(5 * SECOND)
-    assert noted == ["10.9.0.0"] and not fleet.feeds["n0"].is_fresh()
+    assert logged_sources == ["10.9.0.0"] and not fleet.feeds["n0"].is_fresh()
     fleet.elect(1)
     fleet.net.run(SECOND)
     assert fleet.feeds["n0"].is_fresh()
     for core in fleet.cores:
         core.primary = ""
     fleet.net.run(2 * SECOND)
-    assert noted == ["10.9.0.0", "10.9.0.1"]
+    assert logged_sources == ["10.9.0.0", "10.9.0.1"]
 
 
-def test_news_of_a_primary_that_was_replaced_are_passed_over() -> None:
+def test_updates_of_a_replaced_primary_are_ignored() -> None:
     fleet = Fleet(1, 1)
     fleet.net.run(SECOND)
     feed = fleet.feeds["n0"]
@@ -479,7 +489,7 @@
     assert feed.table.get("a") is None
 
 
-def test_what_is_lost_without_a_trace_is_mended() -> None:
+def test_an_entry_lost_without_detection_is_repaired() -> None:
     fleet = Fleet(1, 9)
     fleet.cores[0].change("a", 1)
     fleet.net.run(2 * SECOND)
@@ -488,56 +498,58 @@
     assert not fleet.behind()
 
 
-def test_who_is_watched_is_who_sends_heartbeats() -> None:
-    """Each gateway works out both sides from the ring alone; where they differed, a silent one was missed by none."""
+def test_heartbeat_senders_and_targets_agree() -> None:
+    """Each gateway derives both from the ring alone; a mismatch would leave a failed gateway unnoticed."""
     fleet = [Member(f"n{n}", f"10.0.0.{n}:1", "a", "l") for n in range(9)]
     for size in range(1, 10):
-        for one in fleet[:size]:
-            sends = {m.node for m in fleet[:size] if one in heartbeat_targets(fleet[:size], m.node, 3)}
-            assert {m.node for m in heartbeat_senders(fleet[:size], one.node, 3)} == sends
+        for member in fleet[:size]:
+            sends = {m.node for m in fleet[:size] if member in heartbeat_targets(fleet[:size], m.node, 3)}
+            assert {m.node for m in heartbeat_senders(fleet[:size], member.node, 3)} == sends
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_picture_that_reads_changes_alone_shows_all_that_the_table_holds(seed: int) -> None:
-    """What the table was given whole, forgot or was mended must show too, or a gone backend would be served on."""
-    draw, table, shown = random.Random(seed), Table(), Members()
-    other = Table()
-    for place in range(1, 400):
-        key = f"gate/g{draw.randrange(12)}"
-        value = None if draw.random() < 0.3 else {"addr": f"a{place}", "az": "z", "life": str(place)}
-        other.put([(key, (1, place), value)])
+def test_routes_updated_from_changed_keys_match_the_table(seed: int) -> None:
+    """Covers replaced, compacted and repaired tables; a missed change would keep a removed gateway in use."""
+    rng, table, displayed = random.Random(seed), Table(), Members()
+    source_table = Table()
+    for sequence in range(1, 400):
+        key = f"gate/g{rng.randrange(12)}"
+        value = None if rng.random() < 0.3 else {"addr": f"a{sequence}", "az": "z", "life": str(sequence)}
+        source_table.put([(key, (1, sequence), value)])
         keys: list[str] = []
-        if draw.random() < 0.1:
-            floor = (1, draw.randrange(place))
-            other.put([(HORIZON_KEY, (1, place), list(floor))])
-        if draw.random() < 0.05:
-            keys = table.replace_all(other.since(NO_VERSION), other.horizon)
-        elif draw.random() < 0.3:
-            keys = table.put(other.differing_entries(table.digests()))
-        elif draw.random() < 0.8:
-            keys = table.put(other.since(table.highest_version))
-        shown = shown_members(table, keys, shown)
-        assert dict(shown) == {node: Member(node, v["addr"], v["az"], v["life"]) for node, v in table.items("gate/")}
+        if rng.random() < 0.1:
+            horizon = (1, rng.randrange(sequence))
+            source_table.put([(HORIZON_KEY, (1, sequence), list(horizon))])
+        if rng.random() < 0.05:
+            keys = table.replace_all(source_table.since(NO_VERSION), source_table.horizon)
+        elif rng.random() < 0.3:
+            keys = table.put(source_table.differing_entries(table.digests()))
+        elif rng.random() < 0.8:
+            keys = table.put(source_table.since(table.highest_version))
+        displayed = updated_members(table, keys, displayed)
+        assert dict(displayed) == {
+            node: Member(node, v["addr"], v["az"], v["life"]) for node, v in table.items("gate/")
+        }
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_news_reach_all_within_a_second_though_a_tenth_of_the_gateways_just_went_dark(seed: int) -> None:
-    """A dark source was waited for half as long as its pulses were missed; below two of them, news took 1.1 s."""
+def test_updates_reach_all_within_a_second_after_a_tenth_of_the_gateways_failed(seed: int) -> None:
+    """Guards against long waits for unreachable sources, which add up where two of them are above a gateway."""
     fleet = Fleet(seed, 85)
     fleet.net.run(FAILED_SOURCE_RETRY_US + 2 * SECOND)
     down = fleet.net.rng.sample(sorted(fleet.feeds), 8)
-    fleet.net.cut |= {parse_address(fleet.members[node].address) for node in down}
+    fleet.net.partitioned |= {parse_address(fleet.members[node].address) for node in down}
     fleet.cores[0].change("a", 1)
     fleet.net.run(SECOND)
     assert [node for node, feed in fleet.feeds.items() if node not in down and feed.table.get("a") != 1] == []
 
 
-def test_one_whose_connection_is_full_is_told_the_newest_alone() -> None:
-    """On 2 Mbit/s five changes a second of 11 KB to four relays' children were more than the link: what waited grew."""
-    table, sent, came = Table(), list[Any](), list[Any]()
+def test_a_subscriber_with_a_congested_connection_gets_only_the_newest_entries() -> None:
+    """Guards against a growing backlog of outdated entries on slow links."""
+    table, sent, acknowledgements = Table(), list[Any](), list[Any]()
     full = True
 
-    class Slow:
+    class SlowConnection:
         on_close: list[Any] = []
         on_writable: Callable[[Any], None] | None = None
 
@@ -546,7 +558,7 @@
 
         def ask(self, kind: str, body: Any, timeout: int, then: Callable[[Any], None]) -> None:
             self.send(kind, 1, body)
-            came.append(then)
+            acknowledgements.append(then)
 
         alive = True
 
@@ -556,38 +568,38 @@
         def is_congested(self) -> bool:
             return full
 
-    slow, outlet = Slow(), Publisher(table)
-    conn = cast(Any, slow)
+    slow_connection, publisher = SlowConnection(), Publisher(table)
+    conn = cast(Any, slow_connection)
 
-    def put(place: int, key: str) -> None:
-        entries = [(key, (1, place), place)]
+    def put(sequence: int, key: str) -> None:
+        entries = [(key, (1, sequence), sequence)]
         table.put(entries)
-        outlet.publish((1, place), entries)
+        publisher.publish((1, sequence), entries)
 
     table.put([("config", (1, 1), 1)])
-    outlet.subscribe(conn, NO_VERSION, (1, 1))
-    for place in range(2, 50):
-        put(place, "config" if place % 2 else f"backend/{place}")
-    assert sent == [(["config"], [0, 0])] and slow.on_writable is not None
+    publisher.subscribe(conn, NO_VERSION, (1, 1))
+    for sequence in range(2, 50):
+        put(sequence, "config" if sequence % 2 else f"backend/{sequence}")
+    assert sent == [(["config"], [0, 0])] and slow_connection.on_writable is not None
     full = False
-    slow.on_writable(conn)
+    slow_connection.on_writable(conn)
     assert [sorted(keys) for keys, _ in sent[1:]] == [sorted(["config", *(f"backend/{n}" for n in range(2, 50, 2))])]
     put(50, "config")
     assert sent[2:] == [(["config"], None)]
     full = True
     put(51, "config")
     full = False
-    outlet.publish((1, 52), [])  # no room was told of; the next pulse brings it
+    publisher.publish((1, 52), [])  # on_writable was not called; the next heartbeat sends the deferred entries
     assert sent[3:] == [(["config"], None)]
     sent.clear()
-    for place in range(53, 60):  # nothing waits here, but what was sent did not come yet
-        entries = [("config", (1, place), "x" * 8_000)]
+    for sequence in range(53, 60):  # nothing is unsent, but a large message is not acknowledged yet
+        entries = [("config", (1, sequence), "x" * 8_000)]
         table.put(entries)
-        outlet.publish((1, place), entries)
-    assert len(sent) == len(came) == 1
-    outlet.publish((1, 60), [])
-    came[0](None)
-    assert sent == [(["config"], None)] * 2 and len(came) == 2
-    came[1](None)
+        publisher.publish((1, sequence), entries)
+    assert len(sent) == len(acknowledgements) == 1
+    publisher.publish((1, 60), [])
+    acknowledgements[0](None)
+    assert sent == [(["config"], None)] * 2 and len(acknowledgements) == 2
+    acknowledgements[1](None)
     put(61, "backend/1")
     assert sent[2:] == [(["backend/1"], None)]
