--- a/oakvale/dissemination/__init__.py
+++ b/oakvale/dissemination/__init__.py
@@ -1,4 +1,3 @@
-"""Dissemination of control state updates to the data plane, along a tree of relays that the gateways form.
-
-It owns the table of state entries and their delivery, and never decides what the state is. Start with `table`.
+"""Dissemination of control state updates to the data plane, along a tree of relays that the gateways form: it owns the
+table of state entries and their delivery. It must never decide what the state is. Begin with `table`.
 """
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -305,7 +305,7 @@
             leave=lambda conn, body, answer: self.publisher.unsubscribe(conn),
             digests=lambda conn, body, answer: self.publisher.send_repair(conn, body, answer),
         )
-        self.pulse(None)
+        self.send_heartbeat(None)
 
     def subscribe(self, conn: Any, body: Any, answer: Any) -> None:
         if self.primary != self.address:
@@ -317,10 +317,10 @@
         self.tick += 1
         return (self.view, self.tick)
 
-    def pulse(self, _: Any) -> None:
+    def send_heartbeat(self, _: Any) -> None:
         if self.primary == self.address:
             self.publisher.publish(self.next(), [])
-        self.port.at(self.port.now + HEARTBEAT_INTERVAL_US, self.pulse)
+        self.port.at(self.port.now + HEARTBEAT_INTERVAL_US, self.send_heartbeat)
 
     def change(self, key: str, value: Any) -> None:
         sequence = self.table.highest_version[1] + 1 if self.table.highest_version[0] == self.view else 1
