--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -241,7 +241,7 @@
 def whole(stations: list[Station]) -> bool:
     lives = {s.name: s.process.works.sluice.life for s in stations if s.up and s.process is not None}
     return len(lives) == len(stations) and all(
-        {n: m.life for n, m in s.process.works.sluice.router.picture.members.items()} == lives  # type: ignore[union-attr]
+        {n: m.incarnation for n, m in s.process.works.sluice.router.picture.members.items()} == lives  # type: ignore[union-attr]
         for s in stations
     )
 
