--- a/tests/test_counter_wire.py
+++ b/tests/test_counter_wire.py
@@ -8,7 +8,7 @@
 from oakvale import interface as i
 from oakvale.interface import Ending
 from oakvale.wire.counter import Call, answer
-from tests.node import MS, Node, StandIn
+from tests.node import MS, Node, StubConnection
 
 TIMEOUT = 80 * MS
 
@@ -19,7 +19,7 @@
     node.turns()
 
 
-def one(node: Node, name: str = "q:a:1", amount: float = 2.0) -> StandIn:
+def one(node: Node, name: str = "q:a:1", amount: float = 2.0) -> StubConnection:
     """Makes a call and gives the counter's side of the connection."""
     call(node, i.Charge(name, amount, 4_000_000))
     counter = node.taken(node.counter)
@@ -325,7 +325,7 @@
     node.clock.now += node.host.limits.counter_idle
     counter.close()
     node.script.answers[i.Timer] = lambda _: [i.Charge("n2", 1.0, 1_000_000)]
-    node.host.loop.at(node.clock.now, lambda _: node.host.give(i.Timer(1)))
+    node.host.loop.at(node.clock.now, lambda _: node.host.dispatch(i.Timer(1)))
     # the loop's events of this turn: the call is made before or after the end was seen, never on the old one
     again = node.taken(node.counter)
     assert b"n2" in node.reads(again, b"\r\n")
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -302,7 +302,7 @@
     n = Node(script=False)
     for _ in range(40):
         n.pass_time(250 * MS)
-    assert n.host.gateway.desk.gap == 0 and n.host.gateway.desk.now == n.clock.now
+    assert n.host.gateway.context.resumed_at == 0 and n.host.gateway.context.now == n.clock.now
     n.close()
 
 
@@ -323,6 +323,6 @@
 
 
 def test_the_module_hears_of_one_turn_at_one_time(node: Node) -> None:
-    node.host.give(i.Timer(5))
-    node.host.give(i.Timer(6))
+    node.host.dispatch(i.Timer(5))
+    node.host.dispatch(i.Timer(6))
     assert node.script.times[-1] == node.script.times[-2] == node.loop.now
