--- a/oakvale/dissemination/feed.py
+++ b/oakvale/dissemination/feed.py
@@ -1,8 +1,9 @@
-"""The feed: takes news from above and hands them to those below.
+"""The feed: receives state updates from a source further up the tree and relays them to subscribers.
 
-Every frame of news bears the pulse of the primary that it comes from: its view and a count. Pulses come several
-times a second with or without news, so that a gateway knows how fresh its table is, however many relays are
-between: with no new pulse for `STALE` it turns to the next source. It never goes back, and takes from anybody.
+Every update message carries a heartbeat of its primary: the view number and a counter. The primary sends heartbeats
+several times a second, with or without updates, so a gateway knows how fresh its table is however many relays lie in
+between. Without a new heartbeat for `STALE_AFTER_US` it tries the next source. It accepts updates from any sender;
+table entries and heartbeats never go back to an older version.
 """
 
 from __future__ import annotations
@@ -14,276 +15,308 @@
 
 from oakvale.base.address import Address, parse_address
 from oakvale.base.loop import Loop
-from oakvale.dissemination.table import FLOOR, NOTHING, Entry, Table, Version, pack, public, unpack
+from oakvale.dissemination.table import HORIZON_KEY, NO_VERSION, Entry, Table, Version, gateway_entries, pack, unpack
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.transport.links import Answer, Connection, Transport
 
-PULSE = 250_000  # microseconds between two of the primary's pulses
-STALE = 800_000  # without a new one, another source is tried
-TRY = 200_000  # for a source to agree; a dark one holds up what it gives for this beside STALE
-UNHEARD = 150_000  # one that is silent for so long while there are no news need not be the only one that is asked
-HOPS = 6  # as far is told that something long is on its way: two that told each other would never end
-AGAIN = 60_000  # before another is asked, after one that could not help
-REPAIR = 5_000_000  # between two comparisons of digests
-LARGE = 4 * 1024  # bytes of a message that is waited for
-TAKES = 2_000_000  # without a word that it came
-FORGIVEN = 20 * STALE  # a source that failed is asked like the others again
+HEARTBEAT_INTERVAL_US = 250_000  # between heartbeats of the primary
+STALE_AFTER_US = 800_000  # without a new heartbeat, the next source is tried
+SUBSCRIBE_TIMEOUT_US = 200_000  # an unreachable source delays updates by this, on top of STALE_AFTER_US
+FIRST_UPDATE_TIMEOUT_US = 150_000  # a stale feed whose new source has sent nothing by then asks another one too
+MAX_NOTICE_HOPS = 6  # limits the relaying of long-message notices, which could otherwise circulate for ever
+RETRY_DELAY_US = 60_000  # between a rejected subscription and the next source
+REPAIR_INTERVAL_US = 5_000_000  # between comparisons of table digests
+LARGE_MESSAGE_BYTES = 4 * 1024  # larger messages are acknowledged before more is sent
+LARGE_MESSAGE_ACK_TIMEOUT_US = 2_000_000
+FAILED_SOURCE_RETRY_US = 20 * STALE_AFTER_US  # then a failure no longer counts against a source
 
 log_event = EventLogger(__name__)
 
 
 class Publisher:
-    """Those below, each with its connection. One that has not said that a large message came, or whose connection is
-    full, is sent no more until then, and then what the table holds: of a key that changed several times meanwhile, the
-    newest alone. Without the word, what is old would wait in the buffers of the connection."""
+    """Sends state updates to subscribers.
+
+    A subscriber whose connection is congested, or that has not acknowledged a large message, gets nothing more until it
+    has caught up. It then gets the current table entries, so of a key that changed several times only the newest value.
+    The acknowledgement keeps outdated entries from queueing in the connection's buffers.
+    """
 
     def __init__(self, table: Table) -> None:
         self._table = table
-        self._below: dict[Connection, Version | None] = {}  # None: all was sent; else what is newer was not
-        self._takes: set[Connection] = set()  # a large message is on its way there
-        self._pulse = NOTHING
+        self._subscribers: dict[
+            Connection, Version | None
+        ] = {}  # None if all was sent, else entries newer than this are deferred
+        self._unacknowledged: set[Connection] = set()  # with a large message in flight
+        self._heartbeat = NO_VERSION
 
     def __len__(self) -> int:
-        return len(self._below)
-
-    def subscribe(self, conn: Connection, high: Version, pulse: Version) -> None:
-        if conn not in self._below:
-            self._below[conn] = None
-            conn.on_close.append(self._gone)
-        elif conn.busy():
-            return  # all of it is on its way there
-        self._send_since(conn, high, pulse)
-
-    def _send_since(self, conn: Connection, high: Version, pulse: Version) -> None:
-        self._below[conn] = None
-        if high < self._table.floor or high == NOTHING:
-            body: list[Any] = [list(pulse), pack(public(self._table.since(NOTHING))), list(self._table.floor)]
+        return len(self._subscribers)
+
+    def subscribe(self, conn: Connection, highest_version: Version, heartbeat: Version) -> None:
+        """Adds a subscriber whose table reaches `highest_version` and sends it all newer entries."""
+        if conn not in self._subscribers:
+            self._subscribers[conn] = None
+            conn.on_close.append(self._forget)
+        elif conn.sending_long_frame():
+            return  # the complete table is already being sent
+        self._send_since(conn, highest_version, heartbeat)
+
+    def _send_since(self, conn: Connection, highest_version: Version, heartbeat: Version) -> None:
+        self._subscribers[conn] = None
+        if highest_version < self._table.horizon or highest_version == NO_VERSION:
+            body: list[Any] = [
+                list(heartbeat),
+                pack(gateway_entries(self._table.since(NO_VERSION))),
+                list(self._table.horizon),
+            ]
         else:
-            body = [list(pulse), pack(public(self._table.since(high))), None]
+            body = [list(heartbeat), pack(gateway_entries(self._table.since(highest_version))), None]
         self._send(conn, body, len(cbor2.dumps(body)))
 
     def _send(self, conn: Connection, body: list[Any], size: int) -> None:
-        if size <= LARGE:
+        if size <= LARGE_MESSAGE_BYTES:
             return conn.send("news", 0, body)
-        self._takes.add(conn)
-        conn.ask("news", body, TAKES, lambda _: self._came(conn))
-
-    def _came(self, conn: Connection) -> None:
-        self._takes.discard(conn)
-        self._room(conn)
-
-    def _gone(self, conn: Connection) -> None:
-        self._below.pop(conn, None)
-
-    def leave(self, conn: Connection) -> None:
-        if conn in self._below:
-            del self._below[conn]
-            conn.on_close.remove(self._gone)
-
-    def publish(self, pulse: Version, entries: list[Entry]) -> None:
-        """The table holds these entries already."""
-        self._pulse = pulse
-        body = [list(pulse), pack(public(entries)), None]
+        self._unacknowledged.add(conn)
+        conn.ask("news", body, LARGE_MESSAGE_ACK_TIMEOUT_US, lambda _: self._acknowledged(conn))
+
+    def _acknowledged(self, conn: Connection) -> None:
+        self._unacknowledged.discard(conn)
+        self._send_deferred(conn)
+
+    def _forget(self, conn: Connection) -> None:
+        self._subscribers.pop(conn, None)
+
+    def unsubscribe(self, conn: Connection) -> None:
+        """Removes a subscriber; its connection stays open."""
+        if conn in self._subscribers:
+            del self._subscribers[conn]
+            conn.on_close.remove(self._forget)
+
+    def publish(self, heartbeat: Version, entries: list[Entry]) -> None:
+        """Sends entries that the table already holds, with a heartbeat, to all subscribers."""
+        self._heartbeat = heartbeat
+        body = [list(heartbeat), pack(gateway_entries(entries)), None]
         size = len(cbor2.dumps(body)) if entries else 0
-        for conn in list(self._below):
-            all_sent = self._below[conn] is None
-            if conn.full() or conn in self._takes and (entries or not all_sent):
-                self._keep_back(conn, entries)
+        for conn in list(self._subscribers):
+            all_sent = self._subscribers[conn] is None
+            if conn.is_congested() or conn in self._unacknowledged and (entries or not all_sent):
+                self._defer(conn, entries)
             elif all_sent:
                 self._send(conn, body, size)
             else:
-                self._room(conn)
-
-    def _keep_back(self, conn: Connection, entries: list[Entry]) -> None:
-        """A pulse alone is not missed: there will be another."""
-        behind = [(view, place - 1) for _, (view, place), _ in entries]
-        before = self._below[conn]
-        self._below[conn] = min([*behind, before] if before is not None else behind, default=None)
-        conn.on_room = self._room
-
-    def _room(self, conn: Connection) -> None:
-        since = self._below.get(conn)
-        if since is not None and conn not in self._takes:
-            self._send_since(conn, since, self._pulse)
-
-    def mend(self, conn: Connection, digests: list[bytes], answer: Answer) -> None:
-        found = self._table.differing(digests)
-        floor = (FLOOR, self._table.version(FLOOR), self._table.get(FLOOR))
-        answer(pack([*found, floor] if found and floor[2] is not None else found))
-
-    def remind(self, hops: int) -> None:
-        for conn in list(self._below):
-            conn.remind(hops)
-
-    def drop(self) -> None:
-        for conn in list(self._below):
+                self._send_deferred(conn)
+
+    def _defer(self, conn: Connection, entries: list[Entry]) -> None:
+        """Records which entries the subscriber still needs. A skipped heartbeat needs none: another follows."""
+        versions_before = [(view, sequence - 1) for _, (view, sequence), _ in entries]
+        deferred = self._subscribers[conn]
+        self._subscribers[conn] = min(
+            [*versions_before, deferred] if deferred is not None else versions_before, default=None
+        )
+        conn.on_writable = self._send_deferred
+
+    def _send_deferred(self, conn: Connection) -> None:
+        since = self._subscribers.get(conn)
+        if since is not None and conn not in self._unacknowledged:
+            self._send_since(conn, since, self._heartbeat)
+
+    def send_repair(self, conn: Connection, digests: list[bytes], answer: Answer) -> None:
+        """Answers with the entries of all key ranges whose digest differs, and the compaction horizon."""
+        found = self._table.differing_entries(digests)
+        horizon = (HORIZON_KEY, self._table.version(HORIZON_KEY), self._table.get(HORIZON_KEY))
+        answer(pack([*found, horizon] if found and horizon[2] is not None else found))
+
+    def forward_long_notice(self, hops: int) -> None:
+        """Tells subscribers that a long message is on its way, so that they do not request it elsewhere."""
+        for conn in list(self._subscribers):
+            conn.send_long_notice(hops)
+
+    def close_all(self) -> None:
+        """Ends the connections of all subscribers."""
+        for conn in list(self._subscribers):
             conn.end()
 
 
 class Feed:
-    """A gateway's side: the source that it takes news from now, and the relay to those below."""
+    """The gateway's side: subscribes to one source at a time and relays its updates to subscribers."""
 
     def __init__(
         self,
         loop: Loop,
         transport: Transport,
         table: Table,
-        own: Callable[[], dict[str, Any]],
-        sources: Callable[[dict[str, int]], list[str]],
-        changed: Callable[[list[str]], None],
+        identity: Callable[[], dict[str, Any]],
+        candidate_sources: Callable[[dict[str, int]], list[str]],
+        on_changed: Callable[[list[str]], None],
     ) -> None:
         self.loop, self.transport, self.table = loop, transport, table
-        self._own, self._sources, self._changed = own, sources, changed
-        self.outlet = Publisher(table)
-        self.pulse: Version = NOTHING
-        self.fresh_at = 0  # when the latest new pulse came
+        self._identity, self._candidate_sources, self._on_changed = identity, candidate_sources, on_changed
+        self.publisher = Publisher(table)
+        self.heartbeat: Version = NO_VERSION
+        self.last_fresh_at = 0  # when the latest new heartbeat arrived
         self._source: Address | None = None
-        self._former: Address | None = None  # still gives news until the new one has agreed to
-        self._asked_at = 0
-        self._failed: dict[str, int] = {}
-        self._noted = 0  # the last pulse of the spell without news that was noted
-        self._settled = False
-        transport.handlers["news"] = self._news
-        transport.handlers["subscribe"] = self._subscribe
-        transport.handlers["serves"] = self._served
-        transport.handlers["leave"] = lambda conn, body, answer: self.outlet.leave(conn)
-        transport.handlers["digests"] = lambda conn, body, answer: self.outlet.mend(conn, body, answer)
+        self._previous_source: Address | None = None  # sends updates until the new source accepts the subscription
+        self._requested_at = 0
+        self._failed_at: dict[str, int] = {}
+        self._reported_fresh_at = 0  # `last_fresh_at` of the latest stale period that was logged
+        self._best_source_checked = False
+        transport.handlers["news"] = self._receive_updates
+        transport.handlers["subscribe"] = self._serve_subscriber
+        transport.handlers["serves"] = self._on_primary_serving
+        transport.handlers["leave"] = lambda conn, body, answer: self.publisher.unsubscribe(conn)
+        transport.handlers["digests"] = lambda conn, body, answer: self.publisher.send_repair(conn, body, answer)
         loop.at(loop.now, self._tick)
-        loop.at(loop.now + REPAIR, self._repair)
+        loop.at(loop.now + REPAIR_INTERVAL_US, self._request_repair)
 
-    def fresh(self, within: int = STALE) -> bool:
-        return bool(self.fresh_at) and self.loop.now - self.fresh_at < within
+    def is_fresh(self, within: int = STALE_AFTER_US) -> bool:
+        """Whether a new heartbeat arrived less than `within` microseconds ago."""
+        return bool(self.last_fresh_at) and self.loop.now - self.last_fresh_at < within
 
-    def _coming(self) -> bool:
-        """Something long is on its way here: to ask another for it would only make it longer."""
-        return self.loop.now - self.transport.long_at < STALE
+    def _long_message_incoming(self) -> bool:
+        """Whether a long message is on its way here; requesting it from another source would only delay it."""
+        return self.loop.now - self.transport.long_notice_at < STALE_AFTER_US
 
     def source(self) -> Address | None:
+        """The source of the latest subscription request."""
         return self._source
 
-    def turn(self, address: str) -> None:
-        """Somebody knows better: a new primary, say. Its news are asked for at once."""
+    def switch_to(self, address: str) -> None:
+        """Subscribes to a better source, such as a new primary, at once."""
         parsed = parse_address(address)
         if parsed is not None:
-            self._ask(parsed)
+            self._request_updates(parsed)
 
-    def reconsider(self) -> None:
-        """The list of gateways changed: the place in the tree may have too."""
-        self._settled = False
+    def reselect_source(self) -> None:
+        """Checks for the best source again: a changed gateway list may have moved this gateway in the tree."""
+        self._best_source_checked = False
 
-    # ---- from above
+    # ---- updates from the source
 
-    def _served(self, conn: Connection, body: Any, _: Answer) -> None:
-        """A primary has begun: who finds it first need not search on."""
+    def _on_primary_serving(self, conn: Connection, body: Any, _: Answer) -> None:
+        """A new primary announces itself; a stale gateway subscribes to it without searching further."""
         address = parse_address(str(body))
-        if address is not None and not self.fresh():
-            self.transport.afresh(address)
-            self._ask(address)
+        if address is not None and not self.is_fresh():
+            self.transport.retry_connect(address)
+            self._request_updates(address)
 
     def _tick(self, _: Any) -> None:
         now = self.loop.now
-        failed = {a: t for a, t in self._failed.items() if now - t < FORGIVEN}
-        if len(failed) < len(self._failed):
-            self._failed, self._settled = failed, False
-        coming = self._coming()
-        if coming and self.transport.long_hops < HOPS:
-            self.outlet.remind(self.transport.long_hops + 1)
-        if not self.fresh():
-            if now - self._asked_at >= TRY and not coming:
-                self._next(now)
-        elif not self._settled and now - self._asked_at > STALE:
-            self._settled = True
-            best = self._sources(self._failed)
+        failed = {a: t for a, t in self._failed_at.items() if now - t < FAILED_SOURCE_RETRY_US}
+        if len(failed) < len(self._failed_at):
+            self._failed_at, self._best_source_checked = failed, False
+        long_message_incoming = self._long_message_incoming()
+        if long_message_incoming and self.transport.long_notice_hops < MAX_NOTICE_HOPS:
+            self.publisher.forward_long_notice(self.transport.long_notice_hops + 1)
+        if not self.is_fresh():
+            if now - self._requested_at >= SUBSCRIBE_TIMEOUT_US and not long_message_incoming:
+                self._try_next_source(now)
+        elif not self._best_source_checked and now - self._requested_at > STALE_AFTER_US:
+            self._best_source_checked = True
+            best = self._candidate_sources(self._failed_at)
             if best and parse_address(best[0]) != self._source:
-                self.turn(best[0])
-        self.loop.at(now + PULSE // 2, self._tick)
+                self.switch_to(best[0])
+        self.loop.at(now + HEARTBEAT_INTERVAL_US // 2, self._tick)
 
-    def _next(self, now: int) -> None:
+    def _try_next_source(self, now: int) -> None:
         if self._source is not None:
-            self._failed[f"{self._source[0]}:{self._source[1]}"] = now
-            if self.fresh_at != self._noted:  # once a spell: the others asked in it have not fallen silent
-                self._noted = self.fresh_at
-                log_event("news are stale", source=self._source[0], for_ms=(now - self.fresh_at) // 1000)
-        ways = self._sources(self._failed)
-        if ways:
-            address = parse_address(ways[0])
+            self._failed_at[f"{self._source[0]}:{self._source[1]}"] = now
+            if self.last_fresh_at != self._reported_fresh_at:  # once per stale period: only its first source went stale
+                self._reported_fresh_at = self.last_fresh_at
+                log_event("news are stale", source=self._source[0], for_ms=(now - self.last_fresh_at) // 1000)
+        candidates = self._candidate_sources(self._failed_at)
+        if candidates:
+            address = parse_address(candidates[0])
             if address is not None:
-                self._ask(address)
+                self._request_updates(address)
 
-    def _ask(self, address: Address) -> None:
+    def _request_updates(self, address: Address) -> None:
         now = self.loop.now
         if self._source is not None and self._source != address:
-            if self._former is None and self.fresh():
-                self._former = self._source
-            elif self._source != self._former:
+            if self._previous_source is None and self.is_fresh():
+                self._previous_source = self._source
+            elif self._source != self._previous_source:
                 self.transport.tell(self._source, "leave", None)
-        self._source, self._asked_at = address, now
-        body = self._own() | {"high": list(self.table.high)}
-        self.transport.ask(address, "subscribe", body, TRY, lambda answer: self._subscribed(address, answer))
-        self.loop.at(now + UNHEARD, lambda _: self._unheard(address, now))
-
-    def _unheard(self, address: Address, asked_at: int) -> None:
-        """A machine that is dark, or just starting, lets the first packet of a connection fall."""
-        if self._source == address and self._asked_at == asked_at and not self.fresh() and not self._coming():
-            self._next(self.loop.now)
-
-    def _subscribed(self, address: Address, answer: Any) -> None:
-        """A core machine that is not primary names the one that is; who can't help is not waited for."""
+        self._source, self._requested_at = address, now
+        body = self._identity() | {"high": list(self.table.highest_version)}
+        self.transport.ask(
+            address,
+            "subscribe",
+            body,
+            SUBSCRIBE_TIMEOUT_US,
+            lambda answer: self._on_subscribe_response(address, answer),
+        )
+        self.loop.at(now + FIRST_UPDATE_TIMEOUT_US, lambda _: self._check_first_update(address, now))
+
+    def _check_first_update(self, address: Address, requested_at: int) -> None:
+        """Tries the next source early: a machine that is down or starting drops the first packet of a connection."""
+        if (
+            self._source == address
+            and self._requested_at == requested_at
+            and not self.is_fresh()
+            and not self._long_message_incoming()
+        ):
+            self._try_next_source(self.loop.now)
+
+    def _on_subscribe_response(self, address: Address, answer: Any) -> None:
+        """Follows a core machine's pointer to the primary, and moves on from a source that cannot serve updates."""
         if self._source != address:
             return
-        former, named = self._former, answer.get("primary") if isinstance(answer, dict) else None
-        other = parse_address(named) if named else None
-        if other is not None and other != address:
-            return self._ask(other)
-        if answer == {} or not self.fresh():
-            self._former = None
-            if former is not None and former != address:
-                self.transport.tell(former, "leave", None)
-        elif former is not None:
-            self._failed[f"{address[0]}:{address[1]}"] = self.loop.now
-            self._source, self._former = former, None
-        if answer != {} and not self.fresh():
-            self.loop.at(self.loop.now + AGAIN, lambda _: self._next(self.loop.now) if not self.fresh() else None)
-
-    def _news(self, conn: Connection, body: Any, answer: Answer) -> None:
+        previous_source, primary = self._previous_source, answer.get("primary") if isinstance(answer, dict) else None
+        primary_address = parse_address(primary) if primary else None
+        if primary_address is not None and primary_address != address:
+            return self._request_updates(primary_address)
+        if answer == {} or not self.is_fresh():
+            self._previous_source = None
+            if previous_source is not None and previous_source != address:
+                self.transport.tell(previous_source, "leave", None)
+        elif previous_source is not None:
+            self._failed_at[f"{address[0]}:{address[1]}"] = self.loop.now
+            self._source, self._previous_source = previous_source, None
+        if answer != {} and not self.is_fresh():
+            self.loop.at(
+                self.loop.now + RETRY_DELAY_US,
+                lambda _: self._try_next_source(self.loop.now) if not self.is_fresh() else None,
+            )
+
+    def _receive_updates(self, conn: Connection, body: Any, answer: Answer) -> None:
         answer(None)
-        pulse, entries, floor = (int(body[0][0]), int(body[0][1])), unpack(body[1]), body[2]
-        if pulse < self.pulse and pulse[0] < self.pulse[0]:
-            return  # of a primary that was replaced
-        if floor is not None:
-            changed = self.table.whole(entries, (int(floor[0]), int(floor[1])))
+        heartbeat, entries, horizon = (int(body[0][0]), int(body[0][1])), unpack(body[1]), body[2]
+        if heartbeat < self.heartbeat and heartbeat[0] < self.heartbeat[0]:
+            return  # from a replaced primary
+        if horizon is not None:
+            changed = self.table.replace_all(entries, (int(horizon[0]), int(horizon[1])))
         else:
             changed = self.table.put(entries)
-        fresh = pulse > self.pulse
+        fresh = heartbeat > self.heartbeat
         if fresh:
-            self.pulse, self.fresh_at = pulse, self.loop.now
+            self.heartbeat, self.last_fresh_at = heartbeat, self.loop.now
         if changed:
-            self._changed(changed)
+            self._on_changed(changed)
         if fresh or changed:
             keys = set(changed)
-            self.outlet.publish(self.pulse, [entry for entry in entries if entry[0] in keys])
+            self.publisher.publish(self.heartbeat, [entry for entry in entries if entry[0] in keys])
 
-    def _repair(self, _: Any) -> None:
-        self.loop.at(self.loop.now + REPAIR, self._repair)
-        if self._source is not None and self.fresh():
-            self.transport.ask(self._source, "digests", self.table.digests(), STALE, self._mended)
+    def _request_repair(self, _: Any) -> None:
+        self.loop.at(self.loop.now + REPAIR_INTERVAL_US, self._request_repair)
+        if self._source is not None and self.is_fresh():
+            self.transport.ask(self._source, "digests", self.table.digests(), STALE_AFTER_US, self._apply_repair)
 
-    def _mended(self, answer: Any) -> None:
+    def _apply_repair(self, answer: Any) -> None:
         if answer:
             entries = unpack(answer)
-            floor = next((value for key, _, value in entries if key == FLOOR), list(NOTHING))
-            if (int(floor[0]), int(floor[1])) < self.table.floor:
-                return  # behind this one: it may still hold what was forgotten here
+            horizon = next((value for key, _, value in entries if key == HORIZON_KEY), list(NO_VERSION))
+            if (int(horizon[0]), int(horizon[1])) < self.table.horizon:
+                return  # the source may still hold entries that were deleted and compacted here
             changed = self.table.put(entries)
             if changed:
                 log_event("table mended", "warning", entries=len(changed))
-                self._changed(changed)
-                self.outlet.publish(self.pulse, [entry for entry in entries if entry[0] in set(changed)])
+                self._on_changed(changed)
+                self.publisher.publish(self.heartbeat, [entry for entry in entries if entry[0] in set(changed)])
 
-    # ---- from below
+    # ---- subscribers
 
-    def _subscribe(self, conn: Connection, body: Any, answer: Answer) -> None:
-        if not self.fresh():
+    def _serve_subscriber(self, conn: Connection, body: Any, answer: Answer) -> None:
+        if not self.is_fresh():
             return answer({"stale": True})
         answer({})
-        self.outlet.subscribe(conn, (int(body["high"][0]), int(body["high"][1])), self.pulse)
+        self.publisher.subscribe(conn, (int(body["high"][0]), int(body["high"][1])), self.heartbeat)
--- a/oakvale/ratelimit/service.py
+++ b/oakvale/ratelimit/service.py
@@ -11,7 +11,7 @@
 
 from oakvale.base.address import Address, parse_address, spelled
 from oakvale.base.loop import Loop
-from oakvale.dissemination.tree import Member, Members, next_on_ring, place
+from oakvale.dissemination.tree import Member, Members, next_on_ring, ring_position
 from oakvale.election.voting import (
     HOLDER_SILENCE_US,
     LEASE_SAFETY_MARGIN_US,
@@ -51,7 +51,7 @@
 
 
 def duty_of(tenant: str) -> str:
-    return f"gauge/{place(tenant) % DUTY_COUNT}"
+    return f"gauge/{ring_position(tenant) % DUTY_COUNT}"
 
 
 class RateLimiter:
@@ -225,7 +225,7 @@
     def _on_unanswered(self, duty: str, holder: Address) -> None:
         if self._holders.get(duty) == holder:
             self._unanswered_at[duty] = self.loop.now
-            if self.transport.ended(holder):
+            if self.transport.recently_refused(holder):
                 del self._holders[duty]
         self._find_holder(duty, suspects=True)
 
@@ -242,7 +242,10 @@
     def unreachable_gateways(self, gateways: frozenset[str]) -> float:
         """How many of these gateways are neither present nor known to have ended: each may be using its isolated share.
         Those absent for long count in part."""
-        now, incarnations = self.loop.now, {node: member.life for node, member in self._presence.recent_members.items()}
+        now, incarnations = (
+            self.loop.now,
+            {node: member.incarnation for node, member in self._presence.recent_members.items()},
+        )
         return sum(
             ISOLATED_SHARE if now - self._presence.last_stamps.get(node, self._counts_since) >= LONG_ABSENT_US else 1.0
             for node in gateways
@@ -291,13 +294,13 @@
         return reports > len(self._voters()) // 2
 
     def _on_gateway_report(self, duty: str, address: Address, answer: Any) -> None:
-        if isinstance(answer, list) or self.transport.ended(address):
+        if isinstance(answer, list) or self.transport.recently_refused(address):
             self._presence.record_contact(address)
         self._learn_holder(duty, answer[0] if isinstance(answer, list) else None)
 
     def _learn_holder(self, duty: str, answer: Any) -> None:
         address = parse_address(answer) if answer else None
-        if address is None or answer == self._self_address or self.transport.ended(address):
+        if address is None or answer == self._self_address or self.transport.recently_refused(address):
             return
         if self._holders.get(duty) != address:
             self._holders[duty] = address
