--- a/oakvale/controlplane/compaction.py
+++ b/oakvale/controlplane/compaction.py
@@ -46,6 +46,6 @@
         floor = min(table.next_floor(), last)
         if floor > table.floor:
             changes[FLOOR] = list(floor)
-        if changes and not self._core.replicated_state.waits():
+        if changes and not self._core.replicated_state.has_pending():
             log_event("forgets", left=len(old), up_to="/".join(map(str, floor)))
             self._core.change(changes, lambda done: None)
--- a/oakvale/controlplane/core.py
+++ b/oakvale/controlplane/core.py
@@ -12,12 +12,20 @@
 from oakvale.base.loop import Loop
 from oakvale.config.settings import Settings
 from oakvale.controlplane import replication
-from oakvale.controlplane.failure_domains import Domains
+from oakvale.controlplane.failure_domains import FailureDomains
 from oakvale.controlplane.leases import Leases, Waiting
-from oakvale.controlplane.peers import Peers
-from oakvale.controlplane.replicated_state import ReplicatedState, Then
+from oakvale.controlplane.peers import PeerAddresses
+from oakvale.controlplane.replicated_state import Callback, ReplicatedState
 from oakvale.controlplane.replication import Replicator
-from oakvale.controlplane.view_change import Out, Seat, View, ViewManager, founding, seat, unpack
+from oakvale.controlplane.view_change import (
+    Replica,
+    View,
+    ViewManager,
+    ViewOutput,
+    bootstrap_view,
+    unpack_replica,
+    unpack_view,
+)
 from oakvale.dissemination.feed import PULSE, Publisher
 from oakvale.dissemination.table import Version
 from oakvale.lifecycle.eventlog import EventLogger
@@ -38,7 +46,7 @@
 log_event = EventLogger(__name__)
 
 
-def address_of(peer: Seat) -> Address:
+def address_of(peer: Replica) -> Address:
     address = parse_address(peer[0])
     assert address is not None
     return address
@@ -51,28 +59,28 @@
         self._tick_number = 0
         seeds = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]
         copies = 1 + max(1, settings.tolerate, settings.tolerate_zones, settings.tolerate_regions)
-        domains = Domains(settings.zones, settings.tolerate_zones > 0, settings.tolerate_regions > 0)
+        domains = FailureDomains(settings.zones, settings.tolerate_zones > 0, settings.tolerate_regions > 0)
         founds = settings.bootstrap and storage.first and spelled(transport.own) in seeds
-        start = replication.start(
+        start = replication.load_start_state(
             spelled(transport.own),
             storage.fact("self"),
             storage.fact("state"),
-            founding(seeds, copies) if founds else None,
+            bootstrap_view(seeds, copies) if founds else None,
             lambda: loop.net.token(4),
         )
         patience = settings.bounds.sync_time + settings.bounds.contact
         self.replicator = Replicator(
             start, storage.rows(), copies, SILENCE, patience, storage.pieces(), settings.zone, domains
         )
-        self.own: Seat = start.own
+        self.own: Replica = start.self_id
         served = storage.fact("served")
-        self._leases = Leases(start.own, SILENCE, loop.clock(), start.durable.view, int(served) if served else 0)
+        self._leases = Leases(start.self_id, SILENCE, loop.clock(), start.durable.view, int(served) if served else 0)
         self._waiting = Waiting(WAIT)
         self._served: int | None = None  # when it was last seen to serve in this view
         self._looks = False  # a look at those who wait is due
-        self._lives: dict[Seat, int] = {}  # the latest start of each peer that was heard
+        self._lives: dict[Replica, int] = {}  # the latest start of each peer that was heard
         self.outlet = Publisher(self.replicated_state.table)
-        self.peers = Peers(seeds)
+        self.peers = PeerAddresses(seeds)
         for kind in ("prepare", "promise", "accept", "accepted", "decided", "refused", "void", "voided"):
             transport.handlers[kind] = self._council(kind)
         transport.handlers["core"] = self._heard
@@ -112,7 +120,7 @@
         view = self.view()
         return view is not None and self.own in view.witnesses
 
-    def primary(self) -> Seat | None:
+    def primary(self) -> Replica | None:
         """Who serves, as far as known here and lately heard of."""
         view = self.view()
         if view is None or not self.view_manager.alive(view.primary, self.loop.now):
@@ -129,7 +137,7 @@
             and self._leases.holds(view, self.loop.clock())
         )
 
-    def confirm(self, then: Then, behind: bool = False) -> None:
+    def confirm(self, then: Callback, behind: bool = False) -> None:
         """Calls with True once all backups of the view have said that they are still in it; `behind`: and all that was
         asked for before is in force."""
         self.change({}, then, behind)
@@ -141,7 +149,7 @@
     def leave(self, then: Callable[[], None]) -> None:
         """This machine is told to end: it says so, serves on while it is missed, and calls `then` as soon as it is not,
         or when `grace` is nearly over."""
-        if self.view_manager.leaves:
+        if self.view_manager.self_leaving:
             return
         self.replicator.leave()
         self._say()
@@ -150,7 +158,7 @@
         self.loop.at(earliest, self._look_whether_missed, (latest, then))
 
     def _look_whether_missed(self, leaving: tuple[int, Callable[[], None]]) -> None:
-        now, may = self.loop.now, self.replicator.may_go(self.loop.now)
+        now, may = self.loop.now, self.replicator.may_leave(self.loop.now)
         if not may and now < leaving[0]:
             self.loop.at(now + LOOK, self._look_whether_missed, leaving)
             return
@@ -158,24 +166,24 @@
         log_event("goes" if may else "goes while it is missed", "info" if may else "warning", view=number)
         self._leases.give_up()
         for address in self._others():
-            self.transport.tell(address, "gone", [*self.own, self.replicator.life])
+            self.transport.tell(address, "gone", [*self.own, self.replicator.start_number])
         leaving[1]()
 
-    def change(self, changes: dict[str, Any], then: Then, behind: bool = False) -> None:
+    def change(self, changes: dict[str, Any], then: Callback, behind: bool = False) -> None:
         """Makes a change; `then` hears True once it is in force and the news of it are on their way, or False as soon
         as the lease is lost, or after `WAIT`: it may still come into force, but nobody hears a yes of it."""
         told = self._waiting.add(then, self.loop.clock())
         self._do(self.replicator.change(changes or {"confirmed": None}, told, behind))
         self._look_later()
 
-    def when_settled(self, then: Then) -> None:
+    def when_settled(self, then: Callback) -> None:
         """Calls with True once everything that waits now is in force, else as `change`."""
         self.replicated_state.when_settled(self._waiting.add(then, self.loop.clock()))
         self._look_later()
 
     # ---- what is decided, done
 
-    def _do(self, items: list[replication.Do]) -> None:
+    def _do(self, items: list[replication.Action]) -> None:
         for item in items:
             match item:
                 case replication.Write(number, what):
@@ -185,7 +193,7 @@
                             self.replicator.written(number)
                         ),
                     )
-                case replication.Ask(number, to, kind, body, timeout):
+                case replication.SendRequest(number, to, kind, body, timeout):
                     self.transport.ask(
                         address_of(to),
                         kind,
@@ -195,22 +203,22 @@
                             self.replicator.answered(number, answer)
                         ),
                     )
-                case replication.Tell(to, kind, body):
+                case replication.SendMessage(to, kind, body):
                     self.transport.tell(address_of(to), kind, [list(self.own), body])
                 case replication.Reply(answer, said):
                     answer(said)
-                case replication.Again(backup, view):
+                case replication.RetryLater(backup, view):
                     self.loop.at(
                         self.loop.now + AGAIN,
                         lambda _, backup=backup, view=view: self._do(  # type: ignore[misc]
-                            self.replicator.again(backup, view)
+                            self.replicator.retry_sync(backup, view)
                         ),
                     )
-                case replication.Told(then, done):
+                case replication.ChangeResult(then, done):
                     then(done)
-                case replication.News(entries):
+                case replication.StateUpdates(entries):
                     self.outlet.publish(self._next_pulse(), entries)
-                case replication.Entered(view):
+                case replication.ViewInstalled(view):
                     self._served = None
                     self._say()  # a primary asks for its lease, one that was replaced tells the other so
                     log_event(
@@ -221,11 +229,11 @@
                         witnesses=_names(view.witnesses),
                         own=self.own[0],
                     )
-                case replication.Turned(serves):
+                case replication.ServingChanged(serves):
                     self._turned(serves)
-                case replication.Resigned():
+                case replication.SteppedDown():
                     self.outlet.drop()
-                case replication.Replaced():
+                case replication.StateReplaced():
                     self.outlet = Publisher(self.replicated_state.table)
                     current = self.view()
                     if current is not None:  # its primary may have granted a lease just before
@@ -239,7 +247,7 @@
 
     # ---- the lease
 
-    def _ask_for_lease(self, backup: Seat, kind: str, body: list[Any]) -> None:
+    def _ask_for_lease(self, backup: Replica, kind: str, body: list[Any]) -> None:
         sent = self.loop.clock()
 
         def answered(answer: Any) -> None:
@@ -281,12 +289,12 @@
 
     def _council(self, kind: str) -> Callable[[Connection, Any, Answer], None]:
         def take(conn: Connection, body: Any, _: Answer) -> None:
-            self._carry(self.view_manager.message(self.loop.now, seat(body[0]), kind, body[1]))
+            self._carry(self.view_manager.message(self.loop.now, unpack_replica(body[0]), kind, body[1]))
 
         return take
 
-    def _carry(self, out: list[Out]) -> None:
-        self._do(self.replicator.carry(out))
+    def _carry(self, out: list[ViewOutput]) -> None:
+        self._do(self.replicator.apply_view_outputs(out))
 
     # ---- heartbeats, pulses, those who want news
 
@@ -307,10 +315,10 @@
             list(self.own),
             self.settings.zone,
             view.pack() if view else None,
-            self.peers.lively(self.loop.now),
-            self.replicator.life,
+            self.peers.advertised(self.loop.now),
+            self.replicator.start_number,
         ]
-        kind = "leaving" if self.view_manager.leaves else "core"
+        kind = "leaving" if self.view_manager.self_leaving else "core"
         backups = {address_of(peer): peer for peer in view.backups} if view and view.primary == self.own else {}
         for address in self._others():
             if address in backups:
@@ -322,39 +330,39 @@
         """Whom it speaks to."""
         now, view = self.loop.now, self.view()
         members = {peer[0] for peer in view.witnesses} if view else set()
-        known = self.peers.called(now, members, self.view_manager.in_touch(now)) - {self.own[0]}
+        known = self.peers.contact_list(now, members, self.view_manager.majority_reachable(now)) - {self.own[0]}
         return [address for address in map(parse_address, sorted(known)) if address is not None]
 
     def _heard(self, conn: Connection, body: Any, answer: Answer, leaves: bool = False) -> None:
-        peer, zone, now = seat(body[0]), str(body[1]), self.loop.clock()
+        peer, zone, now = unpack_replica(body[0]), str(body[1]), self.loop.clock()
         if int(body[4]) < self._lives.get(peer, 0):
             return  # of an earlier life, that was long on its way
         if peer not in self._lives and len(self._lives) >= MOST_LIVES:
             self._lives.clear()  # of seats that are gone, mostly
         self._lives[peer] = int(body[4])
-        self.peers.heard(now, peer[0], map(str, body[3]))
-        view = unpack(body[2]) if body[2] is not None else None
+        self.peers.heartbeat_received(now, peer[0], map(str, body[3]))
+        view = unpack_view(body[2]) if body[2] is not None else None
         self._leases.speaks(peer, view.number if view is not None else 0)
-        self._carry(self.view_manager.heard(now, peer, zone, view, leaves))
+        self._carry(self.view_manager.heartbeat_received(now, peer, zone, view, leaves))
         answer(self._leases.grant(self.view(), peer, now))
         if leaves:
-            self._do(self.replicator.leaving(now, peer))
+            self._do(self.replicator.peer_leaving(now, peer))
 
     def _leaving(self, conn: Connection, body: Any, answer: Answer) -> None:
         self._heard(conn, body, answer, leaves=True)
 
     def _gone(self, conn: Connection, body: Any, _: Answer) -> None:
-        peer = seat(body[:2])
+        peer = unpack_replica(body[:2])
         if int(body[2]) >= self._lives.get(peer, 0):  # else it was long on its way, and has begun anew since
-            self.peers.gone(peer[0])
-            self.view_manager.gone(peer)
+            self.peers.remove(peer[0])
+            self.view_manager.peer_stopped(peer)
             self._leases.ended(peer)
 
     def _next_pulse(self) -> Version:
         """Above those of earlier lives: a primary that starts again in its view would give stale ones for hours."""
         view = self.view()
         self._tick_number += 1
-        return (view.number if view else 0, (self.replicator.life << 32) + self._tick_number)
+        return (view.number if view else 0, (self.replicator.start_number << 32) + self._tick_number)
 
     def _pulse(self, _: Any) -> None:
         self._watch()
@@ -379,5 +387,5 @@
         answer({"primary": primary[0] if primary and primary != self.own else None})
 
 
-def _names(seats: tuple[Seat, ...]) -> str:
+def _names(seats: tuple[Replica, ...]) -> str:
     return ",".join(peer[0] for peer in seats)
--- a/oakvale/controlplane/failover_planning.py
+++ b/oakvale/controlplane/failover_planning.py
@@ -70,7 +70,7 @@
     def _look(self, _: Any) -> None:
         now = self._loop.now
         self._loop.at(now + ROUND, self._look)
-        if not self._core.serving() or self._core.replicated_state.waits():
+        if not self._core.serving() or self._core.replicated_state.has_pending():
             return
         assert self._given is not None
         listed = dict(self._core.replicated_state.table.items("backend/"))
--- a/oakvale/controlplane/failure_domains.py
+++ b/oakvale/controlplane/failure_domains.py
@@ -11,12 +11,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Domains:
+class FailureDomains:
     regions: Mapping[str, str] = field(default_factory=dict)  # of each zone
     by_zone: bool = False  # a zone may be lost at once
     by_region: bool = False
 
-    def crowding(self, zones: Iterable[str | None]) -> tuple[int, int]:
+    def colocation_cost(self, zones: Iterable[str | None]) -> tuple[int, int]:
         """Sums of the squares of how many share a region, and a zone; less is more even. 0 for what need not be borne:
         seats are moved only where it matters."""
         zones = list(zones)
--- a/oakvale/controlplane/leases.py
+++ b/oakvale/controlplane/leases.py
@@ -13,8 +13,8 @@
 
 from collections import deque
 
-from oakvale.controlplane.replicated_state import Then
-from oakvale.controlplane.view_change import Seat, View
+from oakvale.controlplane.replicated_state import Callback
+from oakvale.controlplane.view_change import Replica, View
 
 MARGIN = 50_000  # microseconds, for what clocks differ by and for what is sent just after a look at the lease
 NEVER = 1 << 62
@@ -23,12 +23,12 @@
 class Leases:
     """What one seat holds as primary, and what it has granted as backup; from one start to its end."""
 
-    def __init__(self, own: Seat, silence: int, now: int, view: View | None, served: int) -> None:
+    def __init__(self, own: Replica, silence: int, now: int, view: View | None, served: int) -> None:
         """`view` is the one on disk, `served` the newest in which this seat is known there to have served. What it
         granted before its start it no longer knows: it may have been just now, unless it leads the first view, or has
         served in this one."""
         self._own, self._silence, self._lasts = own, silence, silence - MARGIN
-        self._heard: dict[Seat, tuple[int, int]] = {}  # backup -> the view that it was in, when it was asked that
+        self._heard: dict[Replica, tuple[int, int]] = {}  # backup -> the view that it was in, when it was asked that
         self._given_up = False
         knows = view is None or view.primary == own and view.number in (1, served)
         # to whom, and when last; under its own name what it may have granted to whoever was primary before it
@@ -36,7 +36,7 @@
 
     # ---- as primary
 
-    def answered(self, backup: Seat, view: int, sent: int) -> None:
+    def answered(self, backup: Replica, view: int, sent: int) -> None:
         """A backup says which view it was in, to a question that was sent then."""
         self._heard[backup] = max(self._heard.get(backup, (0, 0)), (view, sent))
 
@@ -61,7 +61,7 @@
 
     # ---- as backup
 
-    def grant(self, view: View | None, to: Seat, now: int) -> int:
+    def grant(self, view: View | None, to: Replica, now: int) -> int:
         """What to answer a primary that asks: the number of the view that this seat backs it in, or 0."""
         if view is None or view.primary != to or self._own not in view.backups:
             return 0
@@ -69,12 +69,12 @@
         self._granted[to] = view.number, now
         return view.number
 
-    def ended(self, peer: Seat) -> None:
+    def ended(self, peer: Replica) -> None:
         """This seat has ended, or given its lease up."""
         if peer != self._own:
             self._granted.pop(peer, None)
 
-    def speaks(self, peer: Seat, view: int) -> None:
+    def speaks(self, peer: Replica, view: int) -> None:
         """It knows this view, so it serves in none before; a former seat of its address has ended."""
         for other, (number, _) in [*self._granted.items()]:
             if other == peer and view > number or other != peer and other[0] == peer[0]:
@@ -93,7 +93,7 @@
             self._since.popleft()
         return bool(self._since)
 
-    def add(self, then: Then, now: int) -> Then:
+    def add(self, then: Callback, now: int) -> Callback:
         """What is to be called instead."""
         once = _Once(then)
         self._since.append((now, once))
@@ -103,9 +103,9 @@
         """When the first has waited long enough."""
         return self._since[0][0] + self._longest if self else NEVER
 
-    def over(self, now: int, all_: bool) -> list[Then]:
+    def over(self, now: int, all_: bool) -> list[Callback]:
         """Those that are to hear now that it is not known; what they wait for may still come into force."""
-        found: list[Then] = []
+        found: list[Callback] = []
         while self and (all_ or self.due() <= now):
             found.append(self._since.popleft()[1])
         return found
@@ -114,7 +114,7 @@
 class _Once:
     __slots__ = ("then", "told")
 
-    def __init__(self, then: Then) -> None:
+    def __init__(self, then: Callback) -> None:
         self.then, self.told = then, False
 
     def __call__(self, done: bool) -> None:
--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -245,7 +245,7 @@
         if held is not None and all(held[field] == value for field, value in said.items()):
             return (
                 give(yes)
-                if not self._core.replicated_state.waits()
+                if not self._core.replicated_state.has_pending()
                 else self._core.when_settled(lambda done: give(yes if done else UNSURE))
             )
         changes: dict[str, Any] = {key: said | {"calls": calls, "warm": warm}}
@@ -344,7 +344,7 @@
             if any(held[field] != value for field, value in given.items()):
                 return give(problem(409, "another order has this name"))
             return self._core.confirm(lambda done: give(Reply(200) if done else UNSURE))
-        if keep and any(key.startswith("drain/") for key in self._core.replicated_state.waiting()):
+        if keep and any(key.startswith("drain/") for key in self._core.replicated_state.pending_keys()):
             return give(UNSURE)  # another order is being kept: this one's plan has to know it
         entry, plan = self._drains.entry(given, now)
         told = report.of_plan(plan)
--- a/oakvale/controlplane/status.py
+++ b/oakvale/controlplane/status.py
@@ -35,7 +35,7 @@
             "complete": core.view_manager.state.complete,
             "gen": held["gen"] if held else -1,
             "news": "/".join(map(str, table.high)),
-            "waits": core.replicated_state.waits(),
+            "waits": core.replicated_state.has_pending(),
             "disk_waits_ms": 0 if since is None else (now - since) // MS,
             "relays": len(core.outlet),
             "gateways": ",".join(sorted(node for node, _ in table.items("gate/"))),
--- a/oakvale/controlplane/view_change.py
+++ b/oakvale/controlplane/view_change.py
@@ -29,26 +29,28 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from oakvale.controlplane.failure_domains import Domains
+from oakvale.controlplane.failure_domains import FailureDomains
 
-Seat = tuple[str, str]  # where it is spoken to ("10.1.0.33:7340"), and its incarnation
-Ballot = tuple[int, Seat]
+Replica = tuple[str, str]  # where it is spoken to ("10.1.0.33:7340"), and its incarnation
+Ballot = tuple[int, Replica]
 
-FOUNDER = "founder"  # the incarnation of the seats that a new system starts with
-NONE: Ballot = (0, ("", ""))
-LASTS = 4  # times the silence, for one attempt at a successor
-BRIEF = 2  # times the silence, until a witness gives its seat to a spare that came when it fell silent
+BOOTSTRAP_INCARNATION = "founder"  # the incarnation of the seats that a new system starts with
+NO_BALLOT: Ballot = (0, ("", ""))
+CAMPAIGN_TIMEOUT_SILENCES = 4  # times the silence, for one attempt at a successor
+SUCCESSOR_WAIT_SILENCES = (
+    2  # times the silence, until a witness gives its seat to a spare that came when it fell silent
+)
 
 
 @dataclass(slots=True, frozen=True)
 class View:
     number: int
-    primary: Seat
-    backups: tuple[Seat, ...]
-    witnesses: tuple[Seat, ...]
+    primary: Replica
+    backups: tuple[Replica, ...]
+    witnesses: tuple[Replica, ...]
 
     @property
-    def copies(self) -> tuple[Seat, ...]:
+    def copies(self) -> tuple[Replica, ...]:
         return (self.primary, *self.backups)
 
     @property
@@ -59,33 +61,35 @@
         return [self.number, list(self.primary), [list(s) for s in self.backups], [list(s) for s in self.witnesses]]
 
 
-def unpack(data: Any) -> View:
+def unpack_view(data: Any) -> View:
     number, primary, backups, witnesses = data
-    return View(int(number), seat(primary), tuple(map(seat, backups)), tuple(map(seat, witnesses)))
+    return View(
+        int(number), unpack_replica(primary), tuple(map(unpack_replica, backups)), tuple(map(unpack_replica, witnesses))
+    )
 
 
-def seat(data: Any) -> Seat:
+def unpack_replica(data: Any) -> Replica:
     address, incarnation = data
     return str(address), str(incarnation)
 
 
-def founding(seeds: Iterable[str], copies: int) -> View:
+def bootstrap_view(seeds: Iterable[str], copies: int) -> View:
     """The first view, which all seats work out alike from the seeds of the first start."""
-    seats = tuple((address, FOUNDER) for address in sorted(set(seeds)))
+    seats = tuple((address, BOOTSTRAP_INCARNATION) for address in sorted(set(seeds)))
     return View(1, seats[0], seats[1:copies], seats)
 
 
-def founded(view: View, own: Seat) -> Durable:
+def bootstrap_state(view: View, own: Replica) -> DurableState:
     """What a founder begins with, and again as long as it has kept nothing newer: its copies lack nothing."""
-    return Durable(view, complete=view.number if own in view.copies else 0)
+    return DurableState(view, complete=view.number if own in view.copies else 0)
 
 
 @dataclass(slots=True, frozen=True)
-class Durable:
+class DurableState:
     """What a seat keeps on disk, synced before it speaks of it."""
 
     view: View | None = None
-    promised: Ballot = NONE  # for the successor of `view`
+    promised: Ballot = NO_BALLOT  # for the successor of `view`
     accepted: tuple[Ballot, View] | None = None
     complete: int = 0  # the newest view in which this seat holds all that was acknowledged
     void: int = 0  # the newest view that it refuses to become complete in
@@ -101,11 +105,11 @@
         ]
 
 
-def unpack_durable(data: Any) -> Durable:
+def unpack_durable_state(data: Any) -> DurableState:
     view, promised, accepted, complete, void = data
-    return Durable(
-        unpack(view) if view else None,
-        (int(promised[0]), seat(promised[1])),
+    return DurableState(
+        unpack_view(view) if view else None,
+        (int(promised[0]), unpack_replica(promised[1])),
         _unpacked(accepted),
         int(complete),
         int(void),
@@ -117,35 +121,35 @@
 
 
 def _unpacked(data: Any) -> tuple[Ballot, View] | None:
-    return ((int(data[0][0]), seat(data[0][1])), unpack(data[1])) if data else None
+    return ((int(data[0][0]), unpack_replica(data[0][1])), unpack_view(data[1])) if data else None
 
 
 # ---- what comes out
 
 
 @dataclass(slots=True, frozen=True)
-class Keep:
+class PersistState:
     """Sync this, then call `kept(number)`."""
 
     number: int
-    state: Durable
+    state: DurableState
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
-    to: Seat
+class ElectionMessage:
+    to: Replica
     kind: str
     body: list[Any]
 
 
 @dataclass(slots=True, frozen=True)
-class Moved:
+class ViewAdopted:
     """Another view is in force here."""
 
     view: View
 
 
-Out = Keep | Say | Moved
+ViewOutput = PersistState | ElectionMessage | ViewAdopted
 
 
 @dataclass(slots=True)
@@ -154,10 +158,10 @@
 
     value: View
     ballot: Ballot
-    began: int
-    said: int  # when it was put to the witnesses last
-    promises: dict[Seat, tuple[Ballot, View] | None] = field(default_factory=dict)
-    accepts: set[Seat] = field(default_factory=set)
+    started_at: int
+    last_sent_at: int  # when it was put to the witnesses last
+    promises: dict[Replica, tuple[Ballot, View] | None] = field(default_factory=dict)
+    accepts: set[Replica] = field(default_factory=set)
     chosen: View | None = None  # the value put to the vote, once a majority has promised
 
 
@@ -166,65 +170,67 @@
 
     def __init__(
         self,
-        own: Seat,
-        state: Durable,
+        own: Replica,
+        state: DurableState,
         copies: int,
         silence: int,
         patience: int,
         zone: str = "",
-        domains: Domains | None = None,
+        domains: FailureDomains | None = None,
     ) -> None:
-        self.own, self.state = own, state
-        self._domains = domains or Domains()
+        self.self_id, self.state = own, state
+        self._domains = domains or FailureDomains()
         self._copies, self._silence, self._patience = copies, silence, patience
-        self._heard: dict[Seat, int] = {}
-        self._zones: dict[Seat, str] = {own: zone} if zone else {}
-        self._spares: dict[Seat, int] = {}  # seats that ask to be let in, and since when they are heard
-        self._leaving: set[Seat] = set()  # those that said that they end, until they are heard of as before
-        self._let_go: set[Seat] = set()  # of those, whom this primary has let go: they hold no copy any more
-        self.leaves = False  # this seat is told to end
+        self._last_heartbeat: dict[Replica, int] = {}
+        self._zones: dict[Replica, str] = {own: zone} if zone else {}
+        self._spares: dict[Replica, int] = {}  # seats that ask to be let in, and since when they are heard
+        self._leaving: set[Replica] = set()  # those that said that they end, until they are heard of as before
+        self._released: set[Replica] = set()  # of those, whom this primary has let go: they hold no copy any more
+        self.self_leaving = False  # this seat is told to end
         self._campaign: Campaign | None = None
         self._round = 0
-        self._next_try = 0
-        self._wanted_since = 0
-        self._numbers = 0
-        self._after: dict[int, list[Out]] = {}  # said once the numbered state is synced
-        self._out: list[Out] = []
-        self._born: int | None = None
-        self._stored = state.view.number if state.view else 0  # the newest view that is on disk
-        self._refused_in = 0  # a view of its own that a backup has voided
+        self._next_attempt_at = 0
+        self._proposing_since = 0
+        self._last_number = 0
+        self._after_persisted: dict[int, list[ViewOutput]] = {}  # said once the numbered state is synced
+        self._out: list[ViewOutput] = []
+        self._started_at: int | None = None
+        self._persisted_view = state.view.number if state.view else 0  # the newest view that is on disk
+        self._voided_view = 0  # a view of its own that a backup has voided
 
     # ---- what it is told
 
-    def tick(self, now: int, healthy: bool = True, whole: bool = True) -> list[Out]:
+    def tick(self, now: int, healthy: bool = True, whole: bool = True) -> list[ViewOutput]:
         """Several times a second. `healthy` is false while this seat's own disk does not answer, `whole` while it leads
         and not all of its backups hold the state."""
-        self._born = now if self._born is None else self._born
+        self._started_at = now if self._started_at is None else self._started_at
         view = self.state.view
         self._forget(now, view)
-        if view is not None and healthy and (now - self._born > self._silence or self._copy_lost(now, view)):
-            self._consider(now, view, whole)
+        if view is not None and healthy and (now - self._started_at > self._silence or self._copy_lost(now, view)):
+            self._propose_if_needed(now, view, whole)
         return self._flush()
 
     def _forget(self, now: int, view: View | None) -> None:
         """Seats that are gone, but for those of the view."""
         seats = (*view.copies, *view.witnesses) if view is not None else ()
-        for peer in [p for p, at in self._heard.items() if p not in seats and now - at > self._patience]:
-            del self._heard[peer]
+        for peer in [p for p, at in self._last_heartbeat.items() if p not in seats and now - at > self._patience]:
+            del self._last_heartbeat[peer]
             self._zones.pop(peer, None)
-        self._spares = {peer: since for peer, since in self._spares.items() if peer in self._heard}
-        self._leaving &= {*self._heard, *seats}
-        self._let_go &= {*self._heard, *seats}
+        self._spares = {peer: since for peer, since in self._spares.items() if peer in self._last_heartbeat}
+        self._leaving &= {*self._last_heartbeat, *seats}
+        self._released &= {*self._last_heartbeat, *seats}
 
-    def heard(self, now: int, peer: Seat, zone: str, view: View | None, leaves: bool = False) -> list[Out]:
+    def heartbeat_received(
+        self, now: int, peer: Replica, zone: str, view: View | None, leaves: bool = False
+    ) -> list[ViewOutput]:
         """A peer's heartbeat, which names its seat and the view that it knows, and whether it is told to end."""
-        self._heard[peer] = now
+        self._last_heartbeat[peer] = now
         self._zones[peer] = zone
         if leaves:
-            self.leaving(peer)
+            self.mark_leaving(peer)
         else:
             self._leaving.discard(peer)
-            self._let_go.discard(peer)
+            self._released.discard(peer)
         if view is not None:
             self._learn(view)
         known = self.state.view
@@ -232,7 +238,7 @@
             self._spares.setdefault(peer, now)
         return self._flush()
 
-    def message(self, now: int, sender: Seat, kind: str, body: list[Any]) -> list[Out]:
+    def message(self, now: int, sender: Replica, kind: str, body: list[Any]) -> list[ViewOutput]:
         {
             "prepare": self._prepare,
             "promise": self._promise,
@@ -245,20 +251,22 @@
         }[kind](now, sender, body)
         return self._flush()
 
-    def learn(self, view: View) -> list[Out]:
+    def learn(self, view: View) -> list[ViewOutput]:
         """A decided view, from whoever acts in it."""
         self._learn(view)
         return self._flush()
 
-    def kept(self, number: int) -> list[Out]:
+    def persisted(self, number: int) -> list[ViewOutput]:
         """The state of this number, hence all before it, is on disk."""
-        for known in sorted(n for n in self._after if n <= number):
-            after = self._after.pop(known)
-            self._stored = max([self._stored, *(item.view.number for item in after if isinstance(item, Moved))])
+        for known in sorted(n for n in self._after_persisted if n <= number):
+            after = self._after_persisted.pop(known)
+            self._persisted_view = max(
+                [self._persisted_view, *(item.view.number for item in after if isinstance(item, ViewAdopted))]
+            )
             self._out += after
         return self._flush()
 
-    def synced(self, view: int) -> list[Out]:
+    def synced(self, view: int) -> list[ViewOutput]:
         """All that the primary of this view sent is on disk here."""
         number = self.state.view.number if self.state.view else 0
         if number == view and self.state.complete < view and self.state.void != view:
@@ -267,49 +275,49 @@
 
     def voided_by_backup(self, view: int) -> None:
         """A backup will never be complete in this seat's view: it needs another."""
-        self._refused_in = max(self._refused_in, view)
+        self._voided_view = max(self._voided_view, view)
 
     # ---- what it knows
 
     def is_primary(self) -> bool:
         view = self.state.view
-        return view is not None and view.primary == self.own and self.state.complete == view.number
+        return view is not None and view.primary == self.self_id and self.state.complete == view.number
 
-    def alive(self, peer: Seat, now: int) -> bool:
-        return peer == self.own or now - self._heard.get(peer, -self._silence) < self._silence
+    def alive(self, peer: Replica, now: int) -> bool:
+        return peer == self.self_id or now - self._last_heartbeat.get(peer, -self._silence) < self._silence
 
-    def stays(self, peer: Seat, now: int) -> bool:
+    def is_available(self, peer: Replica, now: int) -> bool:
         """Up, and not told to end."""
         return self.alive(peer, now) and peer not in self._leaving
 
-    def leaving(self, peer: Seat) -> None:
+    def mark_leaving(self, peer: Replica) -> None:
         """It is told to end. It serves on until others have taken over."""
         self._leaving.add(peer)
 
-    def let_go(self, peer: Seat) -> None:
-        self._let_go.add(peer)
+    def release(self, peer: Replica) -> None:
+        self._released.add(peer)
 
-    def said_to_leave(self, peer: Seat) -> bool:
+    def is_leaving(self, peer: Replica) -> bool:
         return peer in self._leaving
 
-    def gone(self, peer: Seat) -> None:
+    def peer_stopped(self, peer: Replica) -> None:
         """It ends now; until it is heard again it counts as silent."""
-        self._heard.pop(peer, None)
+        self._last_heartbeat.pop(peer, None)
         self._spares.pop(peer, None)
         self._leaving.add(peer)
 
-    def on_disk(self, view: View) -> bool:
-        return self._stored == view.number
+    def is_persisted(self, view: View) -> bool:
+        return self._persisted_view == view.number
 
-    def in_touch(self, now: int) -> bool:
+    def majority_reachable(self, now: int) -> bool:
         """Most witnesses of the view that is known here are heard."""
         view = self.state.view
         return view is not None and sum(self.alive(peer, now) for peer in view.witnesses) >= view.majority
 
-    def too_few_stay(self, now: int, leaver: Seat, view: View) -> bool:
+    def too_few_remain(self, now: int, leaver: Replica, view: View) -> bool:
         """Without this one there are fewer machines than copies, up or down: nobody can take its place."""
-        left = {leaver, *self._leaving} | ({self.own} if self.leaves else set())
-        spares = {peer for peer in self._spares if self.stays(peer, now)}
+        left = {leaver, *self._leaving} | ({self.self_id} if self.self_leaving else set())
+        spares = {peer for peer in self._spares if self.is_available(peer, now)}
         return len({*view.witnesses, *spares} - left) < self._copies
 
     def _copy_lost(self, now: int, view: View) -> bool:
@@ -322,31 +330,31 @@
 
     # ---- proposing
 
-    def _consider(self, now: int, view: View, whole: bool) -> None:
+    def _propose_if_needed(self, now: int, view: View, whole: bool) -> None:
         campaign = self._campaign
-        if campaign is not None and now - campaign.began < LASTS * self._silence:
-            return self._say_again(now, view, campaign)
+        if campaign is not None and now - campaign.started_at < CAMPAIGN_TIMEOUT_SILENCES * self._silence:
+            return self._resend(now, view, campaign)
         self._campaign = None
-        if now < self._next_try or self._stored != view.number:
+        if now < self._next_attempt_at or self._persisted_view != view.number:
             return  # not on disk: after a crash it'd be back in the view before, and not complete in one it won here
         if self.state.complete == view.number - 1 and not self.alive(view.primary, now):
-            self._next_try = now + self._silence // 2
-            self._out += [Say(backup, "void", [view.pack()]) for backup in view.backups]
+            self._next_attempt_at = now + self._silence // 2
+            self._out += [ElectionMessage(backup, "void", [view.pack()]) for backup in view.backups]
         if self.state.complete != view.number:
             return
-        wanted = self.wanted(now, view, whole)
+        wanted = self.proposed_view(now, view, whole)
         if wanted is None:
-            self._wanted_since = 0
+            self._proposing_since = 0
             return
         # copies of a rank wait for those before them that are up: two proposers at once only delay each other
-        before = view.copies[: view.copies.index(self.own)] if self.own in view.copies else view.copies
-        rank = sum(self.stays(peer, now) for peer in before)
-        self._wanted_since = self._wanted_since or now
-        if now - self._wanted_since < rank * self._silence // 4:
+        before = view.copies[: view.copies.index(self.self_id)] if self.self_id in view.copies else view.copies
+        rank = sum(self.is_available(peer, now) for peer in before)
+        self._proposing_since = self._proposing_since or now
+        if now - self._proposing_since < rank * self._silence // 4:
             return
         self._round += 1
-        self._next_try = now + self._silence // 2 * (1 + rank)
-        ballot = (max(self._round, self.state.promised[0] + 1), self.own)
+        self._next_attempt_at = now + self._silence // 2 * (1 + rank)
+        ballot = (max(self._round, self.state.promised[0] + 1), self.self_id)
         self._round = ballot[0]
         self._campaign = Campaign(wanted, ballot, now, now)
         # its own promise comes to disk first: after a crash the same ballot must not go out with another value
@@ -354,69 +362,78 @@
         self._keep(
             replace(self.state, promised=ballot),
             [
-                *(Say(witness, "prepare", [view.pack(), packed]) for witness in view.witnesses if witness != self.own),
-                Say(self.own, "promise", [view.number, packed, _packed(self.state.accepted)]),
+                *(
+                    ElectionMessage(witness, "prepare", [view.pack(), packed])
+                    for witness in view.witnesses
+                    if witness != self.self_id
+                ),
+                ElectionMessage(self.self_id, "promise", [view.number, packed, _packed(self.state.accepted)]),
             ],
         )
 
-    def _say_again(self, now: int, view: View, campaign: Campaign) -> None:
+    def _resend(self, now: int, view: View, campaign: Campaign) -> None:
         """Words get lost, and disks may be slow: a new ballot each time would overtake its own answers."""
-        if now - campaign.said < self._silence or self.own not in campaign.promises:
+        if now - campaign.last_sent_at < self._silence or self.self_id not in campaign.promises:
             return
-        campaign.said = now
+        campaign.last_sent_at = now
         packed = [campaign.ballot[0], list(campaign.ballot[1])]
         for witness in view.witnesses:
             if campaign.chosen is not None and witness not in campaign.accepts:
-                self._out.append(Say(witness, "accept", [view.pack(), packed, campaign.chosen.pack()]))
+                self._out.append(ElectionMessage(witness, "accept", [view.pack(), packed, campaign.chosen.pack()]))
             elif campaign.chosen is None and witness not in campaign.promises:
-                self._out.append(Say(witness, "prepare", [view.pack(), packed]))
+                self._out.append(ElectionMessage(witness, "prepare", [view.pack(), packed]))
 
-    def wanted(self, now: int, view: View, whole: bool) -> View | None:
+    def proposed_view(self, now: int, view: View, whole: bool) -> View | None:
         """The successor that this seat would have; None where the view in force serves, or has to be whole first."""
-        void = self._refused_in == view.number or self.own not in view.copies  # complete, no copy: it was voided
-        leads = self.own == view.primary
-        if not void and not leads and (self.alive if self.leaves else self.stays)(view.primary, now):
+        void = self._voided_view == view.number or self.self_id not in view.copies  # complete, no copy: it was voided
+        leads = self.self_id == view.primary
+        if not void and not leads and (self.alive if self.self_leaving else self.is_available)(view.primary, now):
             return None
-        if not void and leads and not (whole and not self.leaves) and all(self.stays(b, now) for b in view.backups):
+        if (
+            not void
+            and leads
+            and not (whole and not self.self_leaving)
+            and all(self.is_available(b, now) for b in view.backups)
+        ):
             return None  # a copy is on its way, or takes over from this seat
-        witnesses = self._come_back(now, view)
+        witnesses = self._with_replaced_disks(now, view)
         backups = self._backups(now, view, witnesses)
-        if backups is None or self.own not in witnesses:
+        if backups is None or self.self_id not in witnesses:
             return None  # too few for two copies: nothing may be acknowledged, so nothing changes
         if not leads and view.primary in backups:
             return None  # it leaves, but there is nobody else
         if leads and whole and not void and witnesses == view.witnesses and set(backups) == set(view.backups):
-            backups = self._spread(now, view, backups)
-            witnesses = self._exchanged(now, view) if set(backups) == set(view.backups) else witnesses
-        found = View(view.number + 1, self.own, backups, witnesses)
+            backups = self._spread_backups(now, view, backups)
+            witnesses = self._next_witnesses(now, view) if set(backups) == set(view.backups) else witnesses
+        found = View(view.number + 1, self.self_id, backups, witnesses)
         same = leads and (set(backups), set(witnesses)) == (set(view.backups), set(view.witnesses))
         return None if same and not void else found
 
-    def _come_back(self, now: int, view: View) -> tuple[Seat, ...]:
+    def _with_replaced_disks(self, now: int, view: View) -> tuple[Replica, ...]:
         """The witnesses, with one whose disk was lost as the seat that its address has now: it will never speak as the
         old one again."""
         for spare in sorted(self._spares):
             for peer in view.witnesses:
-                if peer[0] == spare[0] and peer != spare and self.stays(spare, now):
+                if peer[0] == spare[0] and peer != spare and self.is_available(spare, now):
                     return tuple(spare if w == peer else w for w in view.witnesses)
         return view.witnesses
 
-    def _backups(self, now: int, view: View, witnesses: tuple[Seat, ...]) -> tuple[Seat, ...] | None:
+    def _backups(self, now: int, view: View, witnesses: tuple[Replica, ...]) -> tuple[Replica, ...] | None:
         """Who would hold copies beside this seat: those that do, then others, best in other zones. One that leaves
         only if there is nobody else."""
-        up = [w for w in witnesses if w != self.own and self.alive(w, now) and w not in self._let_go]
-        taken = [b for b in view.backups if b in up and self.stays(b, now)]
+        up = [w for w in witnesses if w != self.self_id and self.alive(w, now) and w not in self._released]
+        taken = [b for b in view.backups if b in up and self.is_available(b, now)]
         need = min(self._copies, len(witnesses)) - 1
         if len(up) < need:
             return None
         while len(taken) < need:
-            zones = {self._zones.get(b) for b in (self.own, *taken)}
+            zones = {self._zones.get(b) for b in (self.self_id, *taken)}
             taken.append(
                 min(
                     (w for w in up if w not in taken),
                     key=lambda w: (
-                        not self.stays(w, now),
-                        self._crowding((self.own, *taken, w)),
+                        not self.is_available(w, now),
+                        self._colocation_cost((self.self_id, *taken, w)),
                         self._zones.get(w) in zones,
                         w,
                     ),
@@ -424,40 +441,42 @@
             )
         return tuple(taken[:need])
 
-    def _crowding(self, seats: Iterable[Seat]) -> tuple[int, int]:
-        return self._domains.crowding(self._zones.get(one) for one in seats)
+    def _colocation_cost(self, seats: Iterable[Replica]) -> tuple[int, int]:
+        return self._domains.colocation_cost(self._zones.get(one) for one in seats)
 
-    def _spread(self, now: int, view: View, backups: tuple[Seat, ...]) -> tuple[Seat, ...]:
+    def _spread_backups(self, now: int, view: View, backups: tuple[Replica, ...]) -> tuple[Replica, ...]:
         """The backups, with a witness in the place of one that shares its zone, or region, with another copy, where
         such a place may be lost at once."""
-        free = [w for w in view.witnesses if w not in view.copies and self.stays(w, now)]
+        free = [w for w in view.witnesses if w not in view.copies and self.is_available(w, now)]
         others = [tuple(w if b == backup else b for b in backups) for w in sorted(free) for backup in backups]
-        return self._more_even(backups, others, (self.own,))
+        return self._less_colocated(backups, others, (self.self_id,))
 
-    def _more_even(
-        self, seats: tuple[Seat, ...], others: Iterable[tuple[Seat, ...]], beside: tuple[Seat, ...] = ()
-    ) -> tuple[Seat, ...]:
+    def _less_colocated(
+        self, seats: tuple[Replica, ...], others: Iterable[tuple[Replica, ...]], beside: tuple[Replica, ...] = ()
+    ) -> tuple[Replica, ...]:
         """The most even of the others if it is more even than `seats`. Who was never heard may stand anywhere."""
         known = [one for one in others if all(peer in self._zones for peer in (*one, *beside))]
-        best = min(known, key=lambda one: self._crowding((*one, *beside)), default=seats)
+        best = min(known, key=lambda one: self._colocation_cost((*one, *beside)), default=seats)
         even = all(peer in self._zones for peer in seats) and (
-            self._crowding((*best, *beside)) < self._crowding((*seats, *beside))
+            self._colocation_cost((*best, *beside)) < self._colocation_cost((*seats, *beside))
         )
         return best if even else seats
 
-    def _exchanged(self, now: int, view: View) -> tuple[Seat, ...]:
+    def _next_witnesses(self, now: int, view: View) -> tuple[Replica, ...]:
         """The witnesses, with one more where seeds were fewer than it takes to lose all copies but one, or with a spare
         in the place of one that is gone, or of one that holds no copy and stands where others do."""
-        staying = [w for w in view.witnesses if self.stays(w, now)]
+        staying = [w for w in view.witnesses if self.is_available(w, now)]
         zones = {self._zones.get(w) for w in staying}
-        spares = [spare for spare in self._spares if self.stays(spare, now) and spare not in view.witnesses]
-        for spare in sorted(spares, key=lambda s: (self._crowding((*staying, s)), self._zones.get(s) in zones, s)):
-            gone = next((w for w in view.witnesses if self._gives_way(now, w, spare)), None)
+        spares = [spare for spare in self._spares if self.is_available(spare, now) and spare not in view.witnesses]
+        for spare in sorted(
+            spares, key=lambda s: (self._colocation_cost((*staying, s)), self._zones.get(s) in zones, s)
+        ):
+            gone = next((w for w in view.witnesses if self._may_be_replaced(now, w, spare)), None)
             if gone is not None:
                 return tuple(spare if w == gone else w for w in view.witnesses)
             if len(view.witnesses) < 2 * self._copies - 1:
                 return (*view.witnesses, spare)
-        return self._more_even(
+        return self._less_colocated(
             view.witnesses,
             [
                 tuple(spare if w == moved else w for w in view.witnesses)
@@ -467,18 +486,20 @@
             ],
         )
 
-    def _gives_way(self, now: int, witness: Seat, spare: Seat) -> bool:
+    def _may_be_replaced(self, now: int, witness: Replica, spare: Replica) -> bool:
         """It said that it ends, or is silent: for long, or for a short while if the spare came at about that time,
         which was brought as its successor then. One that was there all along waits for it to come back."""
-        if witness == self.own or self.stays(witness, now):
+        if witness == self.self_id or self.is_available(witness, now):
             return False
-        born = self._born or 0
-        last, came = max(self._heard.get(witness, 0), born), self._spares[spare]
-        successor = came > born + BRIEF * self._silence and came > last - self._patience
-        return witness in self._leaving or now - last > (BRIEF * self._silence if successor else self._patience)
+        born = self._started_at or 0
+        last, came = max(self._last_heartbeat.get(witness, 0), born), self._spares[spare]
+        successor = came > born + SUCCESSOR_WAIT_SILENCES * self._silence and came > last - self._patience
+        return witness in self._leaving or now - last > (
+            SUCCESSOR_WAIT_SILENCES * self._silence if successor else self._patience
+        )
 
-    def _promise(self, now: int, sender: Seat, body: list[Any]) -> None:
-        number, ballot, accepted = int(body[0]), (int(body[1][0]), seat(body[1][1])), body[2]
+    def _promise(self, now: int, sender: Replica, body: list[Any]) -> None:
+        number, ballot, accepted = int(body[0]), (int(body[1][0]), unpack_replica(body[1][1])), body[2]
         campaign, view = self._campaign, self.state.view
         if campaign is None or view is None or view.number != number or campaign.ballot != ballot:
             return
@@ -491,11 +512,11 @@
         campaign.chosen = max(earlier, key=lambda p: p[0])[1] if earlier else campaign.value
         for witness in view.witnesses:
             self._out.append(
-                Say(witness, "accept", [view.pack(), [ballot[0], list(ballot[1])], campaign.chosen.pack()])
+                ElectionMessage(witness, "accept", [view.pack(), [ballot[0], list(ballot[1])], campaign.chosen.pack()])
             )
 
-    def _accepted(self, now: int, sender: Seat, body: list[Any]) -> None:
-        number, ballot = int(body[0]), (int(body[1][0]), seat(body[1][1]))
+    def _accepted(self, now: int, sender: Replica, body: list[Any]) -> None:
+        number, ballot = int(body[0]), (int(body[1][0]), unpack_replica(body[1][1]))
         campaign, view = self._campaign, self.state.view
         if campaign is None or view is None or view.number != number or campaign.ballot != ballot:
             return
@@ -505,56 +526,56 @@
         if len(campaign.accepts) >= view.majority:
             chosen = campaign.chosen
             self._learn(chosen)
-            for peer in sorted({*view.witnesses, *chosen.witnesses} - {self.own}):
-                self._out.append(Say(peer, "decided", [chosen.pack()]))
+            for peer in sorted({*view.witnesses, *chosen.witnesses} - {self.self_id}):
+                self._out.append(ElectionMessage(peer, "decided", [chosen.pack()]))
 
-    def _refused(self, now: int, sender: Seat, body: list[Any]) -> None:
+    def _refused(self, now: int, sender: Replica, body: list[Any]) -> None:
         """A witness knows a newer view, or has promised a higher ballot."""
         if body[0] is not None:
-            self._learn(unpack(body[0]))
+            self._learn(unpack_view(body[0]))
         self._round = max(self._round, int(body[1]))
         if self._campaign is not None and self._campaign.ballot[0] <= int(body[1]):
             self._campaign = None
 
     # ---- witnessing
 
-    def _prepare(self, now: int, sender: Seat, body: list[Any]) -> None:
-        view, ballot = unpack(body[0]), (int(body[1][0]), seat(body[1][1]))
+    def _prepare(self, now: int, sender: Replica, body: list[Any]) -> None:
+        view, ballot = unpack_view(body[0]), (int(body[1][0]), unpack_replica(body[1][1]))
         if not self._may_vote(view, ballot, sender):
             return
         packed = _packed(self.state.accepted)
         self._keep(
             replace(self.state, promised=ballot),
-            [Say(sender, "promise", [view.number, [ballot[0], list(ballot[1])], packed])],
+            [ElectionMessage(sender, "promise", [view.number, [ballot[0], list(ballot[1])], packed])],
         )
 
-    def _accept(self, now: int, sender: Seat, body: list[Any]) -> None:
-        view, ballot, value = unpack(body[0]), (int(body[1][0]), seat(body[1][1])), unpack(body[2])
+    def _accept(self, now: int, sender: Replica, body: list[Any]) -> None:
+        view, ballot, value = unpack_view(body[0]), (int(body[1][0]), unpack_replica(body[1][1])), unpack_view(body[2])
         if not self._may_vote(view, ballot, sender):
             return
         self._keep(
             replace(self.state, promised=ballot, accepted=(ballot, value)),
-            [Say(sender, "accepted", [view.number, [ballot[0], list(ballot[1])]])],
+            [ElectionMessage(sender, "accepted", [view.number, [ballot[0], list(ballot[1])]])],
         )
 
-    def _may_vote(self, view: View, ballot: Ballot, sender: Seat) -> bool:
+    def _may_vote(self, view: View, ballot: Ballot, sender: Replica) -> bool:
         """A view that somebody proposes to succeed is decided: whoever lags adopts it first."""
         self._learn(view)
         own = self.state.view
         assert own is not None
         if own.number != view.number or ballot < self.state.promised:
-            self._out.append(Say(sender, "refused", [own.pack(), self.state.promised[0]]))
+            self._out.append(ElectionMessage(sender, "refused", [own.pack(), self.state.promised[0]]))
             return False
-        return self.own in own.witnesses
+        return self.self_id in own.witnesses
 
-    def _void(self, now: int, sender: Seat, body: list[Any]) -> None:
-        view = unpack(body[0])
+    def _void(self, now: int, sender: Replica, body: list[Any]) -> None:
+        view = unpack_view(body[0])
         self._learn(view)
         own = self.state.view
-        if own == view and self.own in view.backups and self.state.complete < view.number:
-            self._keep(replace(self.state, void=view.number), [Say(sender, "voided", [view.number])])
+        if own == view and self.self_id in view.backups and self.state.complete < view.number:
+            self._keep(replace(self.state, void=view.number), [ElectionMessage(sender, "voided", [view.number])])
 
-    def _voided(self, now: int, sender: Seat, body: list[Any]) -> None:
+    def _voided(self, now: int, sender: Replica, body: list[Any]) -> None:
         view = self.state.view
         if (
             view is not None
@@ -564,8 +585,8 @@
         ):
             self._keep(replace(self.state, complete=view.number), [])
 
-    def _decided(self, now: int, sender: Seat, body: list[Any]) -> None:
-        self._learn(unpack(body[0]))
+    def _decided(self, now: int, sender: Replica, body: list[Any]) -> None:
+        self._learn(unpack_view(body[0]))
 
     # ---- keeping
 
@@ -575,24 +596,24 @@
         if own is not None and view.number <= own.number:
             return
         complete = self.state.complete
-        if own is not None and complete == own.number and view.number == own.number + 1 and self.own in view.copies:
+        if own is not None and complete == own.number and view.number == own.number + 1 and self.self_id in view.copies:
             complete = view.number
         self._campaign = None
-        self._wanted_since = 0
+        self._proposing_since = 0
         self._spares = {s: t for s, t in self._spares.items() if s not in view.witnesses}
-        self._keep(Durable(view, NONE, None, complete, self.state.void), [Moved(view)])
+        self._keep(DurableState(view, NO_BALLOT, None, complete, self.state.void), [ViewAdopted(view)])
 
-    def _keep(self, state: Durable, after: list[Out]) -> None:
+    def _keep(self, state: DurableState, after: list[ViewOutput]) -> None:
         self.state = state
-        self._numbers += 1
-        self._after[self._numbers] = after
-        self._out.append(Keep(self._numbers, state))
+        self._last_number += 1
+        self._after_persisted[self._last_number] = after
+        self._out.append(PersistState(self._last_number, state))
 
-    def _flush(self) -> list[Out]:
+    def _flush(self) -> list[ViewOutput]:
         out, self._out = self._out, []
         said = []
         for item in out:
-            if isinstance(item, Say) and item.to == self.own:
+            if isinstance(item, ElectionMessage) and item.to == self.self_id:
                 said += self.message(0, item.to, item.kind, item.body)  # it is one of the witnesses too
             else:
                 said.append(item)
--- a/oakvale/lab/modelcheck/breakages.py
+++ b/oakvale/lab/modelcheck/breakages.py
@@ -9,19 +9,19 @@
 
 from oakvale.controlplane import chunks, replication
 from oakvale.controlplane.leases import Leases
-from oakvale.controlplane.replicated_state import ReplicatedState, Then
-from oakvale.controlplane.replication import Replicator, Start
+from oakvale.controlplane.replicated_state import Callback, ReplicatedState
+from oakvale.controlplane.replication import Replicator, StartState
 from oakvale.controlplane.view_change import (
     Ballot,
-    Moved,
-    Out,
-    Say,
-    Seat,
+    ElectionMessage,
+    Replica,
     View,
+    ViewAdopted,
     ViewManager,
-    founding,
-    seat,
-    unpack,
+    ViewOutput,
+    bootstrap_view,
+    unpack_replica,
+    unpack_view,
 )
 from oakvale.dissemination.table import Entry
 from oakvale.dissemination.table import unpack as unpack_entries
@@ -57,18 +57,18 @@
 def _owed_by_primary_alone(
     self: ReplicatedState,
     changes: dict[str, Any],
-    owed: set[Seat],
-    then: Then,
+    owed: set[Replica],
+    then: Callback,
     real: Callable[..., list[Entry]] = ReplicatedState.propose,
 ) -> list[Entry]:
     return real(self, changes, {min(owed)}, then)
 
 
 def _append_before_sync(self: Replicator, body: Any, ticket: Any) -> None:
-    view, sender, entries = unpack(body[0]), seat(body[1]), unpack_entries(body[4])
+    view, sender, entries = unpack_view(body[0]), unpack_replica(body[1]), unpack_entries(body[4])
     if not self._in_order(view, sender, body[2]) or self.view_manager.state.complete != view.number:
         return self._out.append(replication.Reply(ticket, False))
-    self.replicated_state.take(entries)
+    self.replicated_state.apply(entries)
     self._write(("rows", replication._rows(entries)), ("gone",))
     self._out.append(replication.Reply(ticket, True))
 
@@ -79,20 +79,20 @@
     state: bytes | None,
     first: View | None,
     fresh: Callable[[], str],
-    real: Callable[..., Start] = replication.start,
-) -> Start:
+    real: Callable[..., StartState] = replication.load_start_state,
+) -> StartState:
     addresses = [f"{name}:1" for name in "abc"]
-    return real(address, stored, state, founding(addresses, 2), fresh)
+    return real(address, stored, state, bootstrap_view(addresses, 2), fresh)
 
 
 def _votes_anyway(
-    self: ViewManager, view: View, ballot: Ballot, sender: Seat, real: Callable[..., bool] = ViewManager._may_vote
+    self: ViewManager, view: View, ballot: Ballot, sender: Replica, real: Callable[..., bool] = ViewManager._may_vote
 ) -> bool:
-    return real(self, view, ballot, sender) or self.own not in view.witnesses and ballot >= self.state.promised
+    return real(self, view, ballot, sender) or self.self_id not in view.witnesses and ballot >= self.state.promised
 
 
 def _as_its_address(message: Callable[..., None]) -> Callable[..., None]:
-    def take(self: ViewManager, now: int, sender: Seat, body: list[Any]) -> None:
+    def take(self: ViewManager, now: int, sender: Replica, body: list[Any]) -> None:
         view = self.state.view
         same = [w for w in view.witnesses if w[0] == sender[0]] if view else []
         message(self, now, same[0] if same else sender, body)
@@ -100,56 +100,56 @@
     return take
 
 
-def _forgets_ballots(self: ViewManager, view: View, ballot: Ballot, sender: Seat) -> bool:
+def _forgets_ballots(self: ViewManager, view: View, ballot: Ballot, sender: Replica) -> bool:
     self._learn(view)
     own = self.state.view
-    return own is not None and own.number == view.number and self.own in own.witnesses
+    return own is not None and own.number == view.number and self.self_id in own.witnesses
 
 
 def _own_value(
-    self: ViewManager, now: int, sender: Seat, body: list[Any], real: Callable[..., None] = ViewManager._promise
+    self: ViewManager, now: int, sender: Replica, body: list[Any], real: Callable[..., None] = ViewManager._promise
 ) -> None:
     real(self, now, sender, [body[0], body[1], None])
 
 
 def _promise_before_disk(
-    self: ViewManager, state: Any, after: list[Out], real: Callable[..., None] = ViewManager._keep
+    self: ViewManager, state: Any, after: list[ViewOutput], real: Callable[..., None] = ViewManager._keep
 ) -> None:
-    early = [item for item in after if isinstance(item, Say)]
-    real(self, state, [item for item in after if not isinstance(item, Say)])
+    early = [item for item in after if isinstance(item, ElectionMessage)]
+    real(self, state, [item for item in after if not isinstance(item, ElectionMessage)])
     self._out += early
 
 
 def _complete_at_once(self: ViewManager, view: View, real: Callable[..., None] = ViewManager._learn) -> None:
     own = self.state.view
     real(self, view)
-    if self.state.view is not own and self.own in view.copies:
-        self._keep(replace(self.state, complete=view.number), [Moved(view)])
+    if self.state.view is not own and self.self_id in view.copies:
+        self._keep(replace(self.state, complete=view.number), [ViewAdopted(view)])
 
 
-def _no_order(self: Replicator, view: View, sender: Seat, order: Any) -> bool:
+def _no_order(self: Replicator, view: View, sender: Replica, order: Any) -> bool:
     return self._follows(view, sender)
 
 
 def _refusal_counts(
-    self: Replicator, number: int, answer: Any, real: Callable[..., list[replication.Do]] = Replicator.answered
-) -> list[replication.Do]:
+    self: Replicator, number: int, answer: Any, real: Callable[..., list[replication.Action]] = Replicator.answered
+) -> list[replication.Action]:
     return real(self, number, True if answer is False else answer)
 
 
-def _voids_nothing(self: ViewManager, now: int, sender: Seat, body: list[Any]) -> None:
-    view = unpack(body[0])
+def _voids_nothing(self: ViewManager, now: int, sender: Replica, body: list[Any]) -> None:
+    view = unpack_view(body[0])
     self._learn(view)
-    if self.state.view == view and self.own in view.backups and self.state.complete < view.number:
-        self._out.append(Say(sender, "voided", [view.number]))
+    if self.state.view == view and self.self_id in view.backups and self.state.complete < view.number:
+        self._out.append(ElectionMessage(sender, "voided", [view.number]))
 
 
-def _some_will_do(manifest: Any, held: Any, real: Callable[..., list[bytes]] = chunks.lacking) -> list[bytes]:
+def _some_will_do(manifest: Any, held: Any, real: Callable[..., list[bytes]] = chunks.missing_digests) -> list[bytes]:
     lacks = real(manifest, held)
-    return lacks if len(lacks) == len(chunks.names(manifest)) else []
+    return lacks if len(lacks) == len(chunks.chunk_digests(manifest)) else []
 
 
-def _joined(manifest: Any, held: Any, real: Callable[..., list[Entry]] = chunks.join) -> list[Entry]:
+def _joined(manifest: Any, held: Any, real: Callable[..., list[Entry]] = chunks.join_chunks) -> list[Entry]:
     """Of what is there."""
     ranges, large, small = manifest
     there = [[row for row in large if row[3] in held], [joined for joined in small if joined in held]]
@@ -158,7 +158,7 @@
 
 def _lacks_counts(
     self: Replicator,
-    backup: Seat,
+    backup: Replica,
     view: View,
     up_to: Any,
     answer: Any,
@@ -168,28 +168,28 @@
 
 
 def _staged_counts(
-    self: Replicator, number: int, real: Callable[..., list[replication.Do]] = Replicator.written
-) -> list[replication.Do]:
+    self: Replicator, number: int, real: Callable[..., list[replication.Action]] = Replicator.written
+) -> list[replication.Action]:
     """A piece on its disk, and it calls itself complete."""
     staged, view = self._writes[number][0] == "piece", self.view()
     out = real(self, number)
-    return [*out, *self.carry(self.view_manager.synced(view.number))] if staged and view else out
+    return [*out, *self.apply_view_outputs(self.view_manager.synced(view.number))] if staged and view else out
 
 
 def _old_state_leads(self: Replicator, view: View) -> None:
     """A primary serves with what its disk holds, before its backups have answered in this life."""
     if not self.active and self.view() == view:
         self.active = True
-        self._out.append(replication.Turned(True))
+        self._out.append(replication.ServingChanged(True))
 
 
-def _releases_early(self: Replicator, now: int, peer: Seat, view: View) -> bool:
-    return view.primary == self.own and peer not in view.copies
+def _releases_early(self: Replicator, now: int, peer: Replica, view: View) -> bool:
+    return view.primary == self.self_id and peer not in view.copies
 
 
 def _by_arrival(
     self: Machine,
-    sender: Seat,
+    sender: Replica,
     number: int,
     sent: int,
     life: int,
@@ -199,7 +199,7 @@
     real(self, sender, number, self.now, life, incarnation)
 
 
-def _grants_anybody(self: Leases, view: View | None, to: Seat, now: int) -> int:
+def _grants_anybody(self: Leases, view: View | None, to: Replica, now: int) -> int:
     return 1 if view is not None else 0  # the founding view, which is asked for
 
 
@@ -209,7 +209,7 @@
 
 def _forgets_grants(
     self: Leases,
-    own: Seat,
+    own: Replica,
     silence: int,
     now: int,
     view: View | None,
@@ -220,7 +220,7 @@
 
 
 def _two_at_once(
-    self: ViewManager, now: int, view: View, whole: bool, real: Callable[..., View | None] = ViewManager.wanted
+    self: ViewManager, now: int, view: View, whole: bool, real: Callable[..., View | None] = ViewManager.proposed_view
 ) -> View | None:
     found = real(self, now, view, whole)
     spare = min((s for s in self._spares if s not in view.witnesses), default=None)
@@ -248,7 +248,7 @@
     Breakage(
         "founder-again",
         "a disk that was wiped comes back as the seat that it was",
-        ((replication, "start", _founder_again),),
+        ((replication, "load_start_state", _founder_again),),
         replace(QUIET, writes=1, wipes=1),
     ),
     Breakage(
@@ -311,7 +311,7 @@
     Breakage(
         "half-snapshot",
         "a backup takes a state of which only some pieces are there",
-        ((chunks, "lacking", _some_will_do), (chunks, "join", _joined)),
+        ((chunks, "missing_digests", _some_will_do), (chunks, "join_chunks", _joined)),
         replace(QUIET, wakes=1, retries=2),
         "laden",
     ),
@@ -338,7 +338,7 @@
     Breakage(
         "leaves-alone",
         "a machine that is told to end goes, also with the only complete copy",
-        ((Replicator, "may_go", lambda self, now: True),),
+        ((Replicator, "may_leave", lambda self, now: True),),
         replace(QUIET, wakes=1, leaves=1),
     ),
     Breakage(
@@ -350,13 +350,13 @@
     Breakage(
         "released-by-the-view-before",
         "a primary lets one go because its view before was whole",
-        ((Replicator, "_serves", lambda self, view: self.active and view.primary == self.own),),
+        ((Replicator, "_serves", lambda self, view: self.active and view.primary == self.self_id),),
         replace(QUIET, wakes=1, leaves=1),
     ),
     Breakage(
         "two-at-once",
         "a view changes its copies and gives a seat to a spare as well",
-        ((ViewManager, "wanted", _two_at_once),),
+        ((ViewManager, "proposed_view", _two_at_once),),
         replace(QUIET, wakes=1, spares=1),
     ),
     Breakage(
--- a/oakvale/lab/modelcheck/machine.py
+++ b/oakvale/lab/modelcheck/machine.py
@@ -14,10 +14,20 @@
 import cbor2
 
 from oakvale.controlplane import replication
-from oakvale.controlplane.failure_domains import Domains
+from oakvale.controlplane.failure_domains import FailureDomains
 from oakvale.controlplane.leases import Leases
-from oakvale.controlplane.replication import Again, Ask, Replaced, Replicator, Reply, Tell, Told, Turned, Write
-from oakvale.controlplane.view_change import Seat, founding, seat, unpack
+from oakvale.controlplane.replication import (
+    ChangeResult,
+    Replicator,
+    Reply,
+    RetryLater,
+    SendMessage,
+    SendRequest,
+    ServingChanged,
+    StateReplaced,
+    Write,
+)
+from oakvale.controlplane.view_change import Replica, bootstrap_view, unpack_replica, unpack_view
 from oakvale.dissemination.table import Version
 
 NAMES = "abcdefg"
@@ -60,7 +70,7 @@
         self.part: Replicator | None = None
         self.leases: Leases | None = None
         self.now = 0  # microseconds, of the event that it is told; kept by none
-        self.agains: list[Again] = []
+        self.agains: list[RetryLater] = []
         self.out: list[Sent] = []
 
     def told(self, event: Event) -> None:
@@ -80,10 +90,10 @@
 
     def _start(self) -> None:
         assert self.part is None
-        first = founding(self.addresses, self.copies) if self.founds else None
+        first = bootstrap_view(self.addresses, self.copies) if self.founds else None
         if "self" not in self.facts and not first:
             self.drawn += 1
-        began = replication.start(
+        began = replication.load_start_state(
             self.address, self.facts.get("self"), self.facts.get("state"), first, lambda: str(self.drawn)
         )
         self.part = Replicator(
@@ -94,10 +104,10 @@
             0,
             sorted(self.pieces.items()),
             self._zone(self.address),
-            Domains(by_zone=bool(self.zones)),
+            FailureDomains(by_zone=bool(self.zones)),
         )
         if self.with_leases:
-            self.leases = Leases(began.own, SILENCE, self.now, began.durable.view, 0)
+            self.leases = Leases(began.self_id, SILENCE, self.now, began.durable.view, 0)
         self._do(self.part.flush())
 
     def _kill(self, kept: int) -> None:
@@ -156,30 +166,38 @@
                 return self._heartbeat(sender, *inner)
             if kind == "lease":
                 return self._lease(sender, *inner)
-            self._do(self.part.carry(self.part.view_manager.message(NOW, seat(sender), kind, inner)))
+            self._do(
+                self.part.apply_view_outputs(self.part.view_manager.message(NOW, unpack_replica(sender), kind, inner))
+            )
 
     def _beat(self) -> None:
         """As primary: it asks its backups for a lease."""
         assert self.part is not None
         view = self.part.view()
         assert view is not None
-        said = self.part.own, (frozen(view.pack()), self.now, self.part.life)
+        said = self.part.self_id, (frozen(view.pack()), self.now, self.part.start_number)
         self.out += [("say", backup[0], "beat", said) for backup in view.backups]
 
-    def _heartbeat(self, sender: Seat, view: Any, sent: int, life: int) -> None:
+    def _heartbeat(self, sender: Replica, view: Any, sent: int, life: int) -> None:
         """As `core` does: it is heard first, and learned from, then answered."""
         assert self.part is not None and self.leases is not None
-        self.leases.speaks(seat(sender), view[0])
-        self._do(self.part.carry(self.part.view_manager.heard(NOW, seat(sender), self._zone(sender[0]), unpack(view))))
-        number = self.leases.grant(self.part.view(), seat(sender), self.now)
+        self.leases.speaks(unpack_replica(sender), view[0])
+        self._do(
+            self.part.apply_view_outputs(
+                self.part.view_manager.heartbeat_received(
+                    NOW, unpack_replica(sender), self._zone(sender[0]), unpack_view(view)
+                )
+            )
+        )
+        number = self.leases.grant(self.part.view(), unpack_replica(sender), self.now)
         if number:
-            self.out.append(("say", sender[0], "lease", (self.part.own, (number, sent, life, sender[1]))))
+            self.out.append(("say", sender[0], "lease", (self.part.self_id, (number, sent, life, sender[1]))))
 
-    def _lease(self, sender: Seat, number: int, sent: int, life: int, incarnation: str) -> None:
+    def _lease(self, sender: Replica, number: int, sent: int, life: int, incarnation: str) -> None:
         """It comes on the connection that the question went out on, so it is not of an earlier life."""
         assert self.part is not None and self.leases is not None
-        if (life, incarnation) == (self.part.life, self.part.own[1]):
-            self.leases.answered(seat(sender), number, sent)
+        if (life, incarnation) == (self.part.start_number, self.part.self_id[1]):
+            self.leases.answered(unpack_replica(sender), number, sent)
 
     def _pass(self) -> None:
         """Time passes: nothing of it changes a machine."""
@@ -192,7 +210,7 @@
     def _again(self, place: int) -> None:
         assert self.part is not None
         item = self.agains.pop(place)
-        self._do(self.part.again(item.backup, item.view))
+        self._do(self.part.retry_sync(item.backup, item.view))
 
     def _change(self, number: int) -> None:
         assert self.part is not None
@@ -201,57 +219,65 @@
     def _learn(self, view: Any) -> None:
         """By a heartbeat, or by the word that it is decided."""
         assert self.part is not None
-        self._do(self.part.carry(self.part.view_manager.learn(unpack(view))))
+        self._do(self.part.apply_view_outputs(self.part.view_manager.learn(unpack_view(view))))
 
-    def _releases(self, leaver: Seat, up: tuple[Seat, ...]) -> None:
+    def _releases(self, leaver: Replica, up: tuple[Replica, ...]) -> None:
         """It hears the word of one that leaves, with these others heard, and does nothing else about it yet."""
         assert self.part is not None
         view_manager = self.part.view_manager
         for peer in up:
-            self._do(self.part.carry(view_manager.heard(NOW, peer, self._zone(peer[0]), None, peer == leaver)))
-        view_manager._next_try = NOW + 1
+            self._do(
+                self.part.apply_view_outputs(
+                    view_manager.heartbeat_received(NOW, peer, self._zone(peer[0]), None, peer == leaver)
+                )
+            )
+        view_manager._next_attempt_at = NOW + 1
         if view_manager._campaign is not None:
-            view_manager._campaign.began = view_manager._campaign.said = NOW
-        self._do(self.part.leaving(NOW, leaver))
+            view_manager._campaign.started_at = view_manager._campaign.last_sent_at = NOW
+        self._do(self.part.peer_leaving(NOW, leaver))
 
-    def _wake(self, up: tuple[Seat, ...], again: bool, leaving: tuple[Seat, ...] = ()) -> None:
+    def _wake(self, up: tuple[Replica, ...], again: bool, leaving: tuple[Replica, ...] = ()) -> None:
         """A tick, after such a time that it tries anew, or once more, with these peers heard and no others."""
         assert self.part is not None
         view_manager = self.part.view_manager
         campaign = view_manager._campaign
         if campaign is not None and again:
-            campaign.began = campaign.said = NOW - SILENCE
-        view_manager._born, view_manager._wanted_since = 0, 1
+            campaign.started_at = campaign.last_sent_at = NOW - SILENCE
+        view_manager._started_at, view_manager._proposing_since = 0, 1
         for peer in up:
-            self._do(self.part.carry(view_manager.heard(NOW, peer, self._zone(peer[0]), None, peer in leaving)))
+            self._do(
+                self.part.apply_view_outputs(
+                    view_manager.heartbeat_received(NOW, peer, self._zone(peer[0]), None, peer in leaving)
+                )
+            )
         self._do(self.part.tick(NOW))
 
     # ---- what comes out
 
-    def _do(self, items: list[replication.Do]) -> None:
+    def _do(self, items: list[replication.Action]) -> None:
         for item in items:
             match item:
                 case Write(number, what):
                     self.queue.append((number, what))
-                case Ask(number, to, kind, body, _):
+                case SendRequest(number, to, kind, body, _):
                     assert self.part is not None
-                    ticket = (self.address, self.part.own[1], self.part.life, number)
+                    ticket = (self.address, self.part.self_id[1], self.part.start_number, number)
                     self.out.append(("ask", to[0], kind, frozen(body), ticket))
-                case Tell(to, kind, body):
+                case SendMessage(to, kind, body):
                     assert self.part is not None
-                    self.out.append(("say", to[0], kind, frozen([self.part.own, body])))
+                    self.out.append(("say", to[0], kind, frozen([self.part.self_id, body])))
                 case Reply(ticket, answer):
                     self.out.append(("reply", ticket, frozen(answer)))
-                case Replaced():
+                case StateReplaced():
                     view = self.part.view() if self.part is not None else None
                     if view is not None and self.leases is not None:
                         self.leases.grant(view, view.primary, self.now)
-                case Again():
+                case RetryLater():
                     self.agains.append(item)
-                case Told(then, done):
+                case ChangeResult(then, done):
                     assert isinstance(then, Author)
                     self.out.append(("told", then.number, done))
-                case Turned(serves):
+                case ServingChanged(serves):
                     self.out.append(("turned", serves))
 
     def _put_time_aside(self) -> None:
@@ -260,13 +286,17 @@
             return
         view_manager = part.view_manager
         own = self._zone(self.address)
-        view_manager._heard, view_manager._spares, view_manager._zones = {}, {}, {part.own: own} if own else {}
+        view_manager._last_heartbeat, view_manager._spares, view_manager._zones = (
+            {},
+            {},
+            {part.self_id: own} if own else {},
+        )
         view_manager._leaving = set()
-        view_manager._born, view_manager._next_try, view_manager._wanted_since = None, 0, 0
+        view_manager._started_at, view_manager._next_attempt_at, view_manager._proposing_since = None, 0, 0
         if view_manager._campaign is not None:
-            view_manager._campaign.began = view_manager._campaign.said = 0
-        if not view_manager._after:
-            view_manager._numbers = 0  # only their order counts
+            view_manager._campaign.started_at = view_manager._campaign.last_sent_at = 0
+        if not view_manager._after_persisted:
+            view_manager._last_number = 0  # only their order counts
         if not part._writes:
             part._numbers = 0
 
@@ -352,11 +382,11 @@
         part = machine.part
         self.up = part is not None
         stored = machine.facts.get("self")
-        self.seat: Seat | None = (machine.address, cbor2.loads(stored)[0]) if stored else None  # the disk's
+        self.seat: Replica | None = (machine.address, cbor2.loads(stored)[0]) if stored else None  # the disk's
         # on disk: the number of the view, of the newest that it is complete in, and of the newest that it refuses
         self.durable = self.complete = self.void = 0
         if stored:
-            state = replication.start(machine.address, stored, machine.facts.get("state"), None, str).durable
+            state = replication.load_start_state(machine.address, stored, machine.facts.get("state"), None, str).durable
             self.durable, self.complete = state.view.number if state.view else 0, state.complete
             self.void = state.void
         self.kept: dict[int, Version] = {}  # writes on disk
@@ -365,21 +395,21 @@
             self.kept[value] = (version[0], version[1])
         self.queue = len(machine.queue)
         self.agains = len(machine.agains)
-        self.own = part.own if part else None
-        self.life = part.life if part else 0
+        self.own = part.self_id if part else None
+        self.life = part.start_number if part else 0
         view = part.view() if part else None
-        self.active = part is not None and part.active and view is not None and view.primary == part.own
+        self.active = part is not None and part.active and view is not None and view.primary == part.self_id
         self.view = frozen(view.pack()) if view else None
         self.gone = machine.gone
         self.released = part._released if part else 0
-        self.leaving = part is not None and part.view_manager.leaves
-        self.may_go = part is not None and self.leaving and part.may_go(NOW)
+        self.leaving = part is not None and part.view_manager.self_leaving
+        self.may_go = part is not None and self.leaving and part.may_leave(NOW)
         self.leases = machine.leases
-        self.leads = view if view is not None and part is not None and view.primary == part.own else None
+        self.leads = view if view is not None and part is not None and view.primary == part.self_id else None
         self.asks = tuple(part._asks) if part else ()
         self.campaigns = part is not None and part.view_manager._campaign is not None
         self.waiting = (
-            frozenset(p.then.number for p in part.replicated_state._pending if isinstance(p.then, Author))
+            frozenset(p.on_done.number for p in part.replicated_state._pending if isinstance(p.on_done, Author))
             if part
             else frozenset()
         )
--- a/oakvale/lab/modelcheck/model.py
+++ b/oakvale/lab/modelcheck/model.py
@@ -20,7 +20,7 @@
 from typing import Any, NamedTuple
 
 from oakvale.controlplane import chunks
-from oakvale.controlplane.view_change import Seat
+from oakvale.controlplane.view_change import Replica
 from oakvale.dissemination.table import Version
 from oakvale.lab.modelcheck.machine import NAMES, SILENCE, Event, Facts, Machine, Sent
 
@@ -104,13 +104,13 @@
 
 @contextmanager
 def _sized(small: bool) -> Iterator[None]:
-    real = chunks.PIECE, chunks.INLINE
+    real = chunks.MAX_CHUNK_BYTES, chunks.MAX_INLINE_BYTES
     if small:
-        chunks.PIECE, chunks.INLINE = SMALL
+        chunks.MAX_CHUNK_BYTES, chunks.MAX_INLINE_BYTES = SMALL
     try:
         yield
     finally:
-        chunks.PIECE, chunks.INLINE = real
+        chunks.MAX_CHUNK_BYTES, chunks.MAX_INLINE_BYTES = real
 
 
 class Model:
@@ -269,11 +269,11 @@
                 )
             yield from found
 
-    def _running(self, seats: tuple[int, ...], place: int) -> tuple[Seat, ...]:
+    def _running(self, seats: tuple[int, ...], place: int) -> tuple[Replica, ...]:
         owns = [self.facts[seat].own for other, seat in enumerate(seats) if other != place]
         return tuple(own for own in owns if own is not None)
 
-    def _leavers(self, seats: tuple[int, ...], place: int) -> tuple[Seat, ...]:
+    def _leavers(self, seats: tuple[int, ...], place: int) -> tuple[Replica, ...]:
         return tuple(
             own
             for own in self._running(seats, place)
@@ -286,7 +286,7 @@
         if own.view is None:
             return
         known = {own.view[1], *own.view[2], *own.view[3]}
-        ways: list[list[Seat | None]] = []
+        ways: list[list[Replica | None]] = []
         for other, seat in enumerate(seats):
             if other != place:
                 now = self.facts[seat].seat
@@ -549,7 +549,7 @@
                 )
         return self._acked(told, write, version, view[0])
 
-    def _lacking(self, seats: tuple[int, ...], view: Any, write: int, version: Version) -> list[Seat]:
+    def _lacking(self, seats: tuple[int, ...], view: Any, write: int, version: Version) -> list[Replica]:
         """The copies of a view that do not have it on disk, or refuse to be complete in it: such a one vouches for
         nothing there, whatever its disk holds. One that was wiped since is no witness."""
         found = []
--- a/oakvale/lab/modelcheck/trace.py
+++ b/oakvale/lab/modelcheck/trace.py
@@ -127,13 +127,13 @@
             what = " ".join(f"{key} {view}/{place}" for key, view, place, _ in (*body[4], *body[5])) or "nothing"
             behind = f" behind {'/'.join(map(str, body[3]))}"
         elif kind == "piece":
-            what = _names([chunks.name_of(zlib.decompress(body[3]))])
+            what = _names([chunks.chunk_digest(zlib.decompress(body[3]))])
         else:
-            whole = {chunks.name_of(piece): piece for piece in body[4]} if kind == "sync" else {}
-            needs = chunks.names(body[3])
+            whole = {chunks.chunk_digest(piece): piece for piece in body[4]} if kind == "sync" else {}
+            needs = chunks.chunk_digests(body[3])
             what = f"pieces {_names(needs)}, with {_names(whole)}"
             if whole.keys() >= set(needs):
-                what = " ".join(f"{key} {view}/{place}" for key, (view, place), _ in chunks.join(body[3], whole))
+                what = " ".join(f"{key} {view}/{place}" for key, (view, place), _ in chunks.join_chunks(body[3], whole))
         order = ".".join(map(str, body[2]))
         return f"{kind} {order} of {seat_text(body[1])} in view {body[0][0]}: {what or 'nothing'}{behind}"
     sender, inner = body
--- a/oakvale/lab/undone.py
+++ b/oakvale/lab/undone.py
@@ -9,7 +9,15 @@
 from oakvale.base.address import parse_address
 from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.controlplane.resources import UNSURE, Checked, Config, Give, Reply
-from oakvale.controlplane.view_change import LASTS, Campaign, Say, Seat, View, ViewManager, _packed
+from oakvale.controlplane.view_change import (
+    CAMPAIGN_TIMEOUT_SILENCES,
+    Campaign,
+    ElectionMessage,
+    Replica,
+    View,
+    ViewManager,
+    _packed,
+)
 from oakvale.dissemination.feed import Feed, log_event
 from oakvale.policy.limits import Limits
 
@@ -19,38 +27,42 @@
     return False
 
 
-def consider(self: ViewManager, now: int, view: View, whole: bool) -> None:
-    """As `Succession._consider`, but copies waited for those before them, dead ones too: inc-5ca6 and four more."""
+def propose_if_needed(self: ViewManager, now: int, view: View, whole: bool) -> None:
+    """As `ViewManager._propose_if_needed`, but copies waited for all before them, dead ones too: inc-5ca6 and four more."""
     campaign = self._campaign
-    if campaign is not None and now - campaign.began < LASTS * self._silence:
-        return self._say_again(now, view, campaign)
+    if campaign is not None and now - campaign.started_at < CAMPAIGN_TIMEOUT_SILENCES * self._silence:
+        return self._resend(now, view, campaign)
     self._campaign = None
-    if now < self._next_try or self._stored != view.number:
+    if now < self._next_attempt_at or self._persisted_view != view.number:
         return
     if self.state.complete == view.number - 1 and not self.alive(view.primary, now):
-        self._next_try = now + self._silence // 2
-        self._out += [Say(backup, "void", [view.pack()]) for backup in view.backups]
+        self._next_attempt_at = now + self._silence // 2
+        self._out += [ElectionMessage(backup, "void", [view.pack()]) for backup in view.backups]
     if self.state.complete != view.number:
         return
-    wanted = self.wanted(now, view, whole)
+    wanted = self.proposed_view(now, view, whole)
     if wanted is None:
-        self._wanted_since = 0
+        self._proposing_since = 0
         return
-    rank = view.copies.index(self.own) if self.own in view.copies else len(view.copies)
-    self._wanted_since = self._wanted_since or now
-    if now - self._wanted_since < rank * self._silence // 4:
+    rank = view.copies.index(self.self_id) if self.self_id in view.copies else len(view.copies)
+    self._proposing_since = self._proposing_since or now
+    if now - self._proposing_since < rank * self._silence // 4:
         return
     self._round += 1
-    self._next_try = now + self._silence // 2 * (1 + rank)
-    ballot: tuple[int, Seat] = (max(self._round, self.state.promised[0] + 1), self.own)
+    self._next_attempt_at = now + self._silence // 2 * (1 + rank)
+    ballot: tuple[int, Replica] = (max(self._round, self.state.promised[0] + 1), self.self_id)
     self._round = ballot[0]
     self._campaign = Campaign(wanted, ballot, now, now)
     packed: list[Any] = [ballot[0], list(ballot[1])]
     self._keep(
         replace(self.state, promised=ballot),
         [
-            *(Say(witness, "prepare", [view.pack(), packed]) for witness in view.witnesses if witness != self.own),
-            Say(self.own, "promise", [view.number, packed, _packed(self.state.accepted)]),
+            *(
+                ElectionMessage(witness, "prepare", [view.pack(), packed])
+                for witness in view.witnesses
+                if witness != self.self_id
+            ),
+            ElectionMessage(self.self_id, "promise", [view.number, packed, _packed(self.state.accepted)]),
         ],
     )
 
@@ -67,7 +79,7 @@
         self._ask(address)
 
 
-def leaving(self: ViewManager, peer: Seat) -> None:
+def mark_leaving(self: ViewManager, peer: Replica) -> None:
     """A primary that was told to end did not say so, or nobody listened: its backup found out by its end."""
 
 
@@ -94,7 +106,7 @@
 
 
 def latest_items(self: ReplicatedState, prefix: str) -> dict[str, Any]:
-    """As `Ledger.latest_items`, but what is made once its pieces are with the backups was left out: of two orders under
+    """As `ReplicatedState.latest_items`, but what is made once its pieces are with the backups was left out: of two orders under
     one number that came in one another's wake, both were confirmed (drawn day 14003)."""
     found = dict(self.table.items(prefix))
     for pending in self._pending:
--- a/tests/control_plane_simulation.py
+++ b/tests/control_plane_simulation.py
@@ -16,7 +16,7 @@
 from oakvale.config.settings import Bounds, Settings
 from oakvale.controlplane.compaction import Pruning
 from oakvale.controlplane.core import Core
-from oakvale.controlplane.view_change import View, unpack_durable
+from oakvale.controlplane.view_change import View, unpack_durable_state
 from oakvale.dissemination.table import NOTHING, Table, Version, unpack
 from oakvale.lab.simulation.disks import Held
 from tests import simulated_processes
@@ -123,7 +123,7 @@
         for _, kind, data, _ in done:
             self._disk.apply([(kind, data)])
             if "state" in (data[0] if kind == "fact" else ""):
-                self._world.see(unpack_durable(cbor2.loads(data[1])).view)
+                self._world.see(unpack_durable_state(cbor2.loads(data[1])).view)
 
         def notice() -> None:
             for _, _, _, then in done:
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -13,7 +13,7 @@
 import pytest
 
 from oakvale.controlplane import chunks
-from oakvale.controlplane.chunks import PIECE, cut, join, names
+from oakvale.controlplane.chunks import MAX_CHUNK_BYTES, chunk_digests, join_chunks, split_state
 from oakvale.controlplane.core import SILENCE, Core
 from oakvale.dissemination.table import NOTHING, Entry
 from oakvale.lab.simulation.works import Layout, Station, Works
@@ -42,7 +42,7 @@
 
 
 def drawn(rng: random.Random, rows: int) -> list[Entry]:
-    sizes = (0, 10, 300, 5_000, PIECE - 20, PIECE, 3 * PIECE + 5)
+    sizes = (0, 10, 300, 5_000, MAX_CHUNK_BYTES - 20, MAX_CHUNK_BYTES, 3 * MAX_CHUNK_BYTES + 5)
     return [
         (f"k{n}", (1, n + 1), rng.choice((None, {"gen": n, "text": rng.randbytes(rng.choice(sizes))})))
         for n in range(rows)
@@ -53,24 +53,26 @@
 def test_a_state_is_what_its_pieces_make(seed: int) -> None:
     rng = random.Random(seed)
     entries = drawn(rng, rng.choice((0, 1, 7, 60)))
-    made = cut(entries)
-    assert sorted(join(made.manifest(), made.pieces)) == sorted(entries)
-    assert set(names(made.manifest())) == set(made.pieces)
-    assert all(len(piece) <= (PIECE if made.ranges else chunks.INLINE) for piece in made.pieces.values())
-    gone = rng.choice(list(made.pieces))
+    made = split_state(entries)
+    assert sorted(join_chunks(made.manifest(), made.chunks)) == sorted(entries)
+    assert set(chunk_digests(made.manifest())) == set(made.chunks)
+    assert all(
+        len(piece) <= (MAX_CHUNK_BYTES if made.ranges else chunks.MAX_INLINE_BYTES) for piece in made.chunks.values()
+    )
+    gone = rng.choice(list(made.chunks))
     with pytest.raises(KeyError):
-        join(made.manifest(), {name: piece for name, piece in made.pieces.items() if name != gone})
+        join_chunks(made.manifest(), {name: piece for name, piece in made.chunks.items() if name != gone})
 
 
 def test_what_is_equal_has_equal_pieces_whatever_its_version() -> None:
     rng = random.Random(1)
     entries = drawn(rng, 60)
-    large = [e for e in entries if e[2] is not None and len(e[2]["text"]) > PIECE]
-    made = cut(entries)
-    other = cut(
+    large = [e for e in entries if e[2] is not None and len(e[2]["text"]) > MAX_CHUNK_BYTES]
+    made = split_state(entries)
+    other = split_state(
         [(key, (2, 9) if key == large[0][0] else version, value) for key, version, value in entries[1:]], made.ranges
     )
-    fresh = set(other.pieces) - set(made.pieces)
+    fresh = set(other.chunks) - set(made.chunks)
     assert made.ranges > 1 and large and len(fresh) <= 2  # the range that lost a row, whose pieces moved on
 
 
@@ -79,15 +81,15 @@
 
 @pytest.fixture
 def small(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    monkeypatch.setattr(chunks, "PIECE", 64)
-    monkeypatch.setattr(chunks, "INLINE", 128)
+    monkeypatch.setattr(chunks, "MAX_CHUNK_BYTES", 64)
+    monkeypatch.setattr(chunks, "MAX_INLINE_BYTES", 128)
     yield
 
 
 @pytest.mark.parametrize("seed", range(300, 312))
 def test_a_day_of_faults_with_every_state_in_pieces(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(chunks, "PIECE", 3)
-    monkeypatch.setattr(chunks, "INLINE", seed % 2 * 12)
+    monkeypatch.setattr(chunks, "MAX_CHUNK_BYTES", 3)
+    monkeypatch.setattr(chunks, "MAX_INLINE_BYTES", seed % 2 * 12)
     World(seed, *SHAPES[seed % len(SHAPES)]).day(5)
 
 
@@ -102,7 +104,7 @@
         for n in range(large):
             primary.change({f"big{n}": self.rng.randbytes(700)}, lambda done: None)
         self.world.run(6 * SECOND)
-        assert not self.serving().replicated_state.waits() and not self.serving().replicated_state.planned
+        assert not self.serving().replicated_state.has_pending() and not self.serving().replicated_state.staged_changes
         self.watch()
 
     def serving(self) -> Core:
@@ -156,7 +158,7 @@
         self.world.run(6 * SECOND)
         core, copy = self.serving(), self.copy()
         held = core.replicated_state.table.since(NOTHING)
-        assert copy.core is not None and not core.replicated_state.waits()
+        assert copy.core is not None and not core.replicated_state.has_pending()
         assert copy.core.replicated_state.table.since(NOTHING) == held
         assert set(copy.disk.rows) == {key for key, _, _ in held} and not copy.disk.pieces
         assert copy.disk.rows == self.machine(core).disk.rows
@@ -195,7 +197,7 @@
     view = max(world.views.values(), key=lambda v: v.number)
     ends = [next(m for m in world.machines if m.address[0] == seat[0].partition(":")[0]) for seat in view.copies]
     whole, before = (
-        len(cut(cast(Core, ends[0].core).replicated_state.everything()).pieces),
+        len(split_state(cast(Core, ends[0].core).replicated_state.all_entries()).chunks),
         sum(watched.arrived.values()),
     )
     world.down(ends[1], 100 * MS)
@@ -219,7 +221,7 @@
     assert core.replicated_state.latest("big") == b"other" and core.replicated_state.table.get("big") is None
     world.run(3 * SECOND)
     assert told == ["small True", "big True", "other True"]
-    count = len(cut([("big", (1, 1), text)]).pieces)
+    count = len(split_state([("big", (1, 1), text)]).chunks)
     assert sum(watched.arrived.values()) == count > 100
     watched.alike()
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -514,7 +514,7 @@
     core, _ = planning(None)
     core.run(9)
     assert len(core.changes) == 1 and "flows" not in core.handlers
-    core.replicated_state.take([("chains", (2, 1), {"version": 4})])
+    core.replicated_state.apply([("chains", (2, 1), {"version": 4})])
     core.on_change[0](True)
     assert core.changes[1:] == [{"chains": None}]
 
--- a/tests/test_failure_domains.py
+++ b/tests/test_failure_domains.py
@@ -7,7 +7,7 @@
 import pytest
 
 from oakvale.config.settings import Bounds
-from oakvale.controlplane.view_change import Seat
+from oakvale.controlplane.view_change import Replica
 from tests.control_plane_simulation import World
 from tests.simulated_processes import MS, SECOND
 from tests.test_losses import busy, core
@@ -17,7 +17,7 @@
 REGIONS = ("n-1", "n-2", "s-1", "s-2", "w-1", "w-2")
 
 
-def places(world: World, seats: tuple[Seat, ...]) -> Counter[str]:
+def places(world: World, seats: tuple[Replica, ...]) -> Counter[str]:
     """How many of the seats stand in each zone, or in each region where one may be lost."""
     zones = {f"{m.address[0]}:{m.address[1]}": m.zone for m in world.machines}
     return Counter(zones[s[0]].partition("-")[0] if world.tolerate_regions else zones[s[0]] for s in seats)
--- a/tests/test_lab_failures.py
+++ b/tests/test_lab_failures.py
@@ -40,7 +40,7 @@
                 name="waits",
                 swap={
                     f"{SUCCESSION}._copy_lost": f"{UNDONE}.copy_lost",
-                    f"{SUCCESSION}._consider": f"{UNDONE}.consider",
+                    f"{SUCCESSION}._propose_if_needed": f"{UNDONE}.propose_if_needed",
                 },
             ),
             lambda record: away(record, Event.CLOSING, 0),
@@ -58,7 +58,7 @@
         (
             "roll",
             1,
-            Spec(name="silent", swap={f"{SUCCESSION}.leaving": f"{UNDONE}.leaving"}),
+            Spec(name="silent", swap={f"{SUCCESSION}.mark_leaving": f"{UNDONE}.mark_leaving"}),
             lambda record: away(record, Event.TERM, 5),
             400_000,
         ),
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,21 +7,21 @@
 
 from oakvale.controlplane.core import SILENCE
 from oakvale.controlplane.leases import MARGIN, Leases, Waiting
-from oakvale.controlplane.replication import Replaced
-from oakvale.controlplane.view_change import FOUNDER, Seat, View, founding
+from oakvale.controlplane.replication import StateReplaced
+from oakvale.controlplane.view_change import BOOTSTRAP_INCARNATION, Replica, View, bootstrap_view
 from oakvale.controlplane.voter import VoterService
 from oakvale.election.voting import SPAN
 from tests.simulated_processes import MS
 from tests.test_view_change import roles, settled
 
-A, B, C = (("a:1", FOUNDER), ("b:1", FOUNDER), ("c:1", FOUNDER))
-ONE = founding([A[0], B[0], C[0]], 2)
+A, B, C = (("a:1", BOOTSTRAP_INCARNATION), ("b:1", BOOTSTRAP_INCARNATION), ("c:1", BOOTSTRAP_INCARNATION))
+ONE = bootstrap_view([A[0], B[0], C[0]], 2)
 TWO = View(2, B, (C,), ONE.witnesses)
 T = 10**9
 SECOND, LASTS = 1_000_000, SILENCE - MARGIN
 
 
-def leases(own: Seat, view: View = ONE, served: int = 0, now: int = T) -> Leases:
+def leases(own: Replica, view: View = ONE, served: int = 0, now: int = T) -> Leases:
     return Leases(own, SILENCE, now, view, served)
 
 
@@ -130,18 +130,18 @@
 def test_words_of_an_earlier_life_end_nothing_and_renew_nothing() -> None:
     world = settled()
     machine, core, backup = roles(world)
-    before = core.replicator.life
+    before = core.replicator.start_number
     world.down(machine, 100 * MS)
     world.run(2 * SECOND)
     core = roles(world)[1]
-    assert core.replicator.life > before
+    assert core.replicator.start_number > before
     backup._gone(cast(Any, None), [*core.own, before], print)
     assert backup.view_manager.alive(core.own, world.now) and not backup._leases.free(world.now)
     answers: list[int] = []
     body = [list(core.own), "z0", core.view().pack(), [], before]  # type: ignore[union-attr]
     backup._heard(cast(Any, None), body, answers.append)
     assert answers == []
-    backup._gone(cast(Any, None), [*core.own, core.replicator.life], print)
+    backup._gone(cast(Any, None), [*core.own, core.replicator.start_number], print)
     assert not backup.view_manager.alive(core.own, world.now) and backup._leases.free(world.now)
 
 
@@ -165,7 +165,7 @@
     world = settled()
     backup = roles(world)[2]
     backup._leases._granted.clear()
-    backup._do([Replaced()])
+    backup._do([StateReplaced()])
     assert not backup._leases.free(world.now)
 
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -8,7 +8,7 @@
 
 from oakvale.config.settings import Bounds
 from oakvale.controlplane.core import Core
-from oakvale.controlplane.peers import KEPT, NAMED, Peers
+from oakvale.controlplane.peers import ADVERTISE_US, FORGET_AFTER_US, PeerAddresses
 from oakvale.controlplane.replication import Replicator
 from oakvale.controlplane.view_change import ViewManager
 from tests.control_plane_simulation import Machine, World
@@ -128,15 +128,15 @@
     for n in range(40):
         busy(world, lose(world, of(world, ROLES[n % 3]), "planned" if n % 2 else "replaced"))
         assert world.well(), n
-    busy(world, KEPT + NAMED + SECOND)
+    busy(world, FORGET_AFTER_US + ADVERTISE_US + SECOND)
     there = {f"{m.address[0]}:{m.address[1]}" for m in world.machines}
     assert len(there) == 3
     for machine in world.machines:
         part = core(machine)
         known = {parsed[0] + f":{parsed[1]}" for parsed in part._others()} | {part.own[0]}
         view_manager = part.view_manager
-        assert known == there and {peer[0] for peer in view_manager._heard} <= there
-        assert not view_manager._spares and not view_manager._leaving and len(part.peers._heard) <= 3
+        assert known == there and {peer[0] for peer in view_manager._last_heartbeat} <= there
+        assert not view_manager._spares and not view_manager._leaving and len(part.peers._last_heartbeat) <= 3
     assert world.acknowledged > 3_000 and world.reads > 3_000
 
 
@@ -286,29 +286,29 @@
 def test_without_each_part_losses_in_a_row_are_found_out(patch: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """What the tests above hold is due to the parts that are named here."""
     if patch == "_released":
-        monkeypatch.setattr(Replicator, "may_go", lambda self, now: True)
+        monkeypatch.setattr(Replicator, "may_leave", lambda self, now: True)
         with pytest.raises(AssertionError):
             test_a_primary_whose_backup_is_not_whole_does_not_go()
     elif patch == "whole":
-        monkeypatch.setattr(ViewManager, "leaving", lambda self, peer: None)
+        monkeypatch.setattr(ViewManager, "mark_leaving", lambda self, peer: None)
         with pytest.raises(AssertionError):
             test_who_leaves_goes_as_soon_as_it_is_not_missed("backup", 800)
     else:
-        monkeypatch.setattr("oakvale.controlplane.view_change.BRIEF", 1_000)
+        monkeypatch.setattr("oakvale.controlplane.view_change.SUCCESSOR_WAIT_SILENCES", 1_000)
         with pytest.raises(AssertionError):
             test_all_is_whole_when_the_next_loss_may_come(0, (3, 1, 3))
 
 
 def test_addresses_that_are_gone_are_forgotten_by_who_is_in_touch() -> None:
     """What two told each other went round for ever; who is cut off forgets nobody, and goes back to the seeds."""
-    one, other, now = Peers(["s"]), Peers(["s"]), 0
-    one.heard(0, "x", ())
-    for now in range(0, KEPT + NAMED + SECOND, 200 * MS):
-        one.heard(now, "b", other.lively(now))
-        other.heard(now, "a", one.lively(now))
-        known = other.called(now, set(), True) - {"b"}
-        assert (now < KEPT) <= ("x" in known) and known <= {"a", "x"}
-    assert one.called(now, {"m"}, True) - {"a"} == {"m", "b"} == other.called(now, {"m"}, True) ^ {"a"}
-    assert one.called(now + KEPT, {"m"}, False) == {"m", "a", "b", "s"}
-    one.gone("b")
-    assert one.called(now + KEPT, {"m"}, True) == {"m"}
+    one, other, now = PeerAddresses(["s"]), PeerAddresses(["s"]), 0
+    one.heartbeat_received(0, "x", ())
+    for now in range(0, FORGET_AFTER_US + ADVERTISE_US + SECOND, 200 * MS):
+        one.heartbeat_received(now, "b", other.advertised(now))
+        other.heartbeat_received(now, "a", one.advertised(now))
+        known = other.contact_list(now, set(), True) - {"b"}
+        assert (now < FORGET_AFTER_US) <= ("x" in known) and known <= {"a", "x"}
+    assert one.contact_list(now, {"m"}, True) - {"a"} == {"m", "b"} == other.contact_list(now, {"m"}, True) ^ {"a"}
+    assert one.contact_list(now + FORGET_AFTER_US, {"m"}, False) == {"m", "a", "b", "s"}
+    one.remove("b")
+    assert one.contact_list(now + FORGET_AFTER_US, {"m"}, True) == {"m"}
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -122,7 +122,7 @@
     lost, kept = (model.machine(model.local(0, given, ("kill", n))[0]) for n in (0, 1))
     assert lost.part is None and not lost.rows and list(kept.rows) == ["w1"]
     wiped: Machine = model.machine(model.local(0, model.local(0, given, ("wipe",))[0], ("start",))[0])
-    assert wiped.part is not None and wiped.part.own == ("a:1", "2") and wiped.part.view() is None
+    assert wiped.part is not None and wiped.part.self_id == ("a:1", "2") and wiped.part.view() is None
 
 
 def test_equal_machines_have_one_key_whatever_the_way() -> None:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -151,8 +151,8 @@
 @pytest.mark.parametrize("seed", [0, 4, 5, 10])
 def test_one_number_one_content_where_orders_go_in_pieces(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Ahead of a large order its pieces are sent; what is said of it meanwhile waits for it."""
-    monkeypatch.setattr(chunks, "INLINE", 120)
-    monkeypatch.setattr(chunks, "PIECE", 100)
+    monkeypatch.setattr(chunks, "MAX_INLINE_BYTES", 120)
+    monkeypatch.setattr(chunks, "MAX_CHUNK_BYTES", 100)
     Operators(seed).day(50)
 
 
--- a/tests/test_view_change.py
+++ b/tests/test_view_change.py
@@ -10,24 +10,28 @@
 from oakvale.controlplane.core import SILENCE, Core
 from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.controlplane.view_change import (
-    FOUNDER,
-    Durable,
-    Keep,
-    Moved,
-    Say,
-    Seat,
+    BOOTSTRAP_INCARNATION,
+    DurableState,
+    ElectionMessage,
+    PersistState,
+    Replica,
     View,
+    ViewAdopted,
     ViewManager,
-    founded,
-    founding,
+    bootstrap_state,
+    bootstrap_view,
 )
 from oakvale.dissemination.table import NOTHING
 from tests.control_plane_simulation import Link, Machine, World
 from tests.simulated_processes import MS, SECOND
 
 SHAPES = ((3, 1, 3), (4, 1, 3), (5, 2, 5), (3, 1, 3), (5, 2, 3))  # machines, tolerance, seeds
-A, B, C = (("10.0.0.1:7340", FOUNDER), ("10.0.0.2:7340", FOUNDER), ("10.0.0.3:7340", FOUNDER))
-ABC = founding([A[0], B[0], C[0]], 2)
+A, B, C = (
+    ("10.0.0.1:7340", BOOTSTRAP_INCARNATION),
+    ("10.0.0.2:7340", BOOTSTRAP_INCARNATION),
+    ("10.0.0.3:7340", BOOTSTRAP_INCARNATION),
+)
+ABC = bootstrap_view([A[0], B[0], C[0]], 2)
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -228,7 +232,7 @@
     replicated_state.propose({"a": 1}, {A, B}, told.append)
     for then in replicated_state.abandon():
         then(False)
-    assert told == [False] and replicated_state.table.get("a") == 1 and not replicated_state.waits()
+    assert told == [False] and replicated_state.table.get("a") == 1 and not replicated_state.has_pending()
 
 
 # ---- one seat alone
@@ -237,44 +241,44 @@
 class Alone:
     """Tells a seat that the others are up or down, and keeps what it says."""
 
-    def __init__(self, own: Seat, state: Durable) -> None:
+    def __init__(self, own: Replica, state: DurableState) -> None:
         self.part = ViewManager(own, state, 2, 900 * MS, 7 * SECOND)
         self.now = 1_000 * SECOND
-        self.keeps: list[Keep] = []
+        self.keeps: list[PersistState] = []
 
-    def run(self, span: int, up: tuple[Seat, ...]) -> list[Say]:
-        said: list[Say] = []
+    def run(self, span: int, up: tuple[Replica, ...]) -> list[ElectionMessage]:
+        said: list[ElectionMessage] = []
         for _ in range(span // (100 * MS)):
             self.now += 100 * MS
             out = self.part.tick(self.now)
             for peer in up:
-                out += self.part.heard(self.now, peer, "", None)
+                out += self.part.heartbeat_received(self.now, peer, "", None)
             said += self.sort(out)
         return said
 
-    def sort(self, out: list[Any]) -> list[Say]:
-        self.keeps += [item for item in out if isinstance(item, Keep)]
-        return [item for item in out if isinstance(item, Say)]
+    def sort(self, out: list[Any]) -> list[ElectionMessage]:
+        self.keeps += [item for item in out if isinstance(item, PersistState)]
+        return [item for item in out if isinstance(item, ElectionMessage)]
 
-    def kept(self) -> list[Say]:
-        said: list[Say] = []
+    def kept(self) -> list[ElectionMessage]:
+        said: list[ElectionMessage] = []
         while self.keeps:
-            said += self.sort(self.part.kept(self.keeps.pop(0).number))
+            said += self.sort(self.part.persisted(self.keeps.pop(0).number))
         return said
 
 
 def test_a_ballot_goes_out_once_its_own_promise_is_on_disk() -> None:
     """After a crash the same ballot went out again, with another successor: both could be decided."""
-    seat = Alone(B, founded(ABC, B))
+    seat = Alone(B, bootstrap_state(ABC, B))
     assert not seat.run(2 * SECOND, (C,)) and seat.part.state.promised[0] == 1
     assert [(item.to, item.kind) for item in seat.kept()] == [(A, "prepare"), (C, "prepare")]
 
 
 def test_nobody_proposes_behind_a_view_that_is_not_on_its_disk() -> None:
     """Back in the view before after a crash, it was not complete in the one it had won, and nobody else was."""
-    seat = Alone(B, founded(ABC, B))
+    seat = Alone(B, bootstrap_state(ABC, B))
     moved = seat.part.learn(View(2, B, (C,), ABC.witnesses))
-    assert not any(isinstance(item, Moved) for item in moved)
+    assert not any(isinstance(item, ViewAdopted) for item in moved)
     seat.sort(moved)
     assert not seat.run(2 * SECOND, (A,)) and seat.part.state.promised[0] == 0
     seat.kept()
@@ -284,7 +288,7 @@
 
 def test_a_slow_disk_gets_the_time_to_answer() -> None:
     """A new ballot every 0.9 s overtook the answers to the one before, and nobody was ever elected."""
-    seat = Alone(B, founded(ABC, B))
+    seat = Alone(B, bootstrap_state(ABC, B))
     seat.run(1_200 * MS, (C,))
     assert seat.part.state.promised[0] == 1 and len(seat.kept()) == 2
     again = seat.run(SECOND, (C,))
@@ -292,18 +296,18 @@
     seat.sort(seat.part.message(seat.now, C, "promise", [1, [1, list(B)], None]))
     assert [item.kind for item in seat.run(SECOND, (C,))] == ["accept", "accept"]
     seat.part.message(seat.now, C, "accepted", [1, [1, list(B)]])
-    seat.part.kept(99)
+    seat.part.persisted(99)
     assert seat.part.is_primary()
 
 
 def test_a_dead_primary_is_not_given_its_turn() -> None:
     """The backup waited for the primary's turn to propose, after it had found that primary dead."""
-    seat = Alone(B, founded(ABC, B))
+    seat = Alone(B, bootstrap_state(ABC, B))
     seat.run(SECOND, (C,))
     assert seat.part.state.promised[0] == 0
     seat.run(100 * MS, (C,))
     assert seat.part.state.promised[0] == 1
-    third = Alone(C, founded(founding([A[0], B[0], C[0]], 3), C))
+    third = Alone(C, bootstrap_state(bootstrap_view([A[0], B[0], C[0]], 3), C))
     third.run(1_200 * MS, (B,))  # the copy before it is up and has its turn
     assert third.part.state.promised[0] == 0
 
@@ -311,20 +315,20 @@
 def test_a_primary_that_comes_back_without_its_disk_is_not_waited_for() -> None:
     """After all were killed the others gave it 0.9 s to be heard, though another seat spoke from its address."""
     fresh = (A[0], "0011")
-    seat = Alone(B, founded(ABC, B))
+    seat = Alone(B, bootstrap_state(ABC, B))
     seat.run(300 * MS, (C, fresh))
     assert seat.part.state.promised[0] == 1
     for up in ((fresh,), (A, C), (C,), (C, ("10.0.0.9:7340", "0011"))):  # too few, all well, late, a stranger
-        seat = Alone(B, founded(ABC, B))
+        seat = Alone(B, bootstrap_state(ABC, B))
         seat.run(800 * MS, up)
         assert seat.part.state.promised[0] == 0, up
 
 
 def test_a_promise_binds_and_is_told() -> None:
-    seat = Alone(C, founded(ABC, C))
+    seat = Alone(C, bootstrap_state(ABC, C))
     value = View(2, B, (C,), ABC.witnesses)
 
-    def told(sender: Seat, kind: str, round_: int, *more: Any) -> list[Say]:
+    def told(sender: Replica, kind: str, round_: int, *more: Any) -> list[ElectionMessage]:
         body = [ABC.pack(), [round_, list(sender)], *more]
         return seat.sort(seat.part.message(seat.now, sender, kind, body)) + seat.kept()
 
@@ -340,10 +344,10 @@
 def test_a_seat_that_lost_its_disk_neither_votes_nor_counts() -> None:
     """It comes back under its address with another incarnation, and is let in by the next view."""
     fresh = (A[0], "0011")
-    seat = Alone(fresh, Durable())
+    seat = Alone(fresh, DurableState())
     out = seat.part.message(seat.now, B, "prepare", [ABC.pack(), [1, list(B)]])
     assert not seat.sort(out) + seat.kept()
-    other = Alone(B, founded(ABC, B))
+    other = Alone(B, bootstrap_state(ABC, B))
     other.run(2 * SECOND, (C, fresh))
     other.kept()
     said = other.sort(other.part.message(other.now, C, "promise", [1, [1, list(B)], None])) + other.kept()
--- a/tests/test_wire_snapshots.py
+++ b/tests/test_wire_snapshots.py
@@ -8,12 +8,21 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from oakvale.controlplane.view_change import FOUNDER, Durable, View, founding, unpack, unpack_durable
+from oakvale.controlplane.view_change import (
+    BOOTSTRAP_INCARNATION,
+    DurableState,
+    View,
+    bootstrap_view,
+    unpack_durable_state,
+    unpack_view,
+)
 from oakvale.dissemination import table
 from oakvale.transport.frames import LENGTH, LONGEST, BadFrame, decode, encode
 
-VIEW = founding(["10.1.0.33:7340", "10.2.0.25:7340", "10.3.0.16:7340"], 2)
-DURABLE = Durable(VIEW, (3, VIEW.primary), ((2, VIEW.backups[0]), View(2, VIEW.backups[0], (), VIEW.witnesses)), 1, 0)
+VIEW = bootstrap_view(["10.1.0.33:7340", "10.2.0.25:7340", "10.3.0.16:7340"], 2)
+DURABLE = DurableState(
+    VIEW, (3, VIEW.primary), ((2, VIEW.backups[0]), View(2, VIEW.backups[0], (), VIEW.witnesses)), 1, 0
+)
 ENTRIES: list[table.Entry] = [("config", (1, 4), {"gen": 7, "text": b"{}"}), ("backend/i-1", (1, 5), None)]
 
 
@@ -29,8 +38,8 @@
 
 def test_views_and_what_a_seat_keeps(snapshot: SnapshotAssertion) -> None:
     assert [orjson.dumps(part.pack()).decode() for part in (VIEW, DURABLE)] == snapshot
-    assert unpack(VIEW.pack()) == VIEW and unpack_durable(DURABLE.pack()) == DURABLE
-    assert unpack_durable(Durable().pack()) == Durable() and VIEW.primary[1] == FOUNDER
+    assert unpack_view(VIEW.pack()) == VIEW and unpack_durable_state(DURABLE.pack()) == DURABLE
+    assert unpack_durable_state(DurableState().pack()) == DurableState() and VIEW.primary[1] == BOOTSTRAP_INCARNATION
 
 
 def test_digests(snapshot: SnapshotAssertion) -> None:
