--- a/oakvale/controlplane/__init__.py
+++ b/oakvale/controlplane/__init__.py
@@ -1,4 +1,4 @@
-"""Headworks: the core role, which keeps the control state (configuration, backends, gateways) on a primary
-and its backup, decides by its witnesses who takes over, and answers backends and the operator. It must never
-carry a client's request. Begin with `view_change`, then `process`.
+"""The control plane: the core role. It replicates the control state (configuration, backends and gateways) from a
+primary to its backups, lets its witnesses elect the primary, and answers backends and the operator. Client requests
+must never pass through it. Start reading at `view_change`, then `process`.
 """
--- a/oakvale/controlplane/chunks.py
+++ b/oakvale/controlplane/chunks.py
@@ -1,7 +1,9 @@
-"""A control state, or a change, cut into pieces that fit between heartbeats, each named by what it holds.
+"""Splits a control state, or a change, into chunks small enough to be sent between heartbeats, each named by its
+digest.
 
-No I/O and no clock. A large value is cut by itself, so that its pieces are the same whoever sends it and under whatever
-version; small rows are cut by ranges of their keys. What a copy holds of another state need so not be sent again.
+This module does no I/O and reads no clock. A large value is split on its own, so that its chunks are the same whoever
+sends it and whatever its version. Small rows are grouped by ranges of their hashed keys. A chunk that a copy holds,
+also of another state, need not be sent again.
 """
 
 from __future__ import annotations
@@ -15,42 +17,45 @@
 
 from oakvale.dissemination.table import Entry, unpack
 
-MAX_CHUNK_BYTES = 16 * 1024  # bytes; 65 ms on 2 Mbit/s
-MAX_INLINE_BYTES = 48 * 1024  # bytes that go with a question; what is larger goes in pieces, ahead of it
-DIGEST_BYTES = 16  # bytes
-MAX_KEY_RANGES = 1 << 16  # of keys, at most
+MAX_CHUNK_BYTES = 16 * 1024  # takes 65 ms on a link of 2 Mbit/s
+MAX_INLINE_BYTES = 48 * 1024  # in one request; larger states and changes are sent as chunks before it
+DIGEST_BYTES = 16
+MAX_KEY_RANGES = 1 << 16
 
-LargeRow = list[Any]  # key, view, place, and the names of its value's pieces, joined
+LargeRow = list[Any]  # key, view, sequence, and the concatenated digests of its value's chunks
 
 
-def chunk_digest(piece: bytes) -> bytes:
-    return blake2b(piece, digest_size=DIGEST_BYTES).digest()
+def chunk_digest(chunk: bytes) -> bytes:
+    """The digest that names a chunk."""
+    return blake2b(chunk, digest_size=DIGEST_BYTES).digest()
 
 
 @dataclass(slots=True)
 class ChunkedState:
-    """`ranges`: of keys, each with its pieces, or 0 where all is one piece."""
+    """Chunks, and the manifest that says how they make up the entries. `ranges` is the number of key ranges, or 0 if
+    all entries are in a single chunk."""
 
     ranges: int
     large: list[LargeRow] = field(default_factory=list)
-    small: list[bytes] = field(default_factory=list)  # joined names, range by range
+    small: list[bytes] = field(default_factory=list)  # concatenated digests, range by range
     chunks: dict[bytes, bytes] = field(default_factory=dict)
 
     def manifest(self) -> list[Any]:
+        """What a receiver needs to find missing chunks and to join them."""
         return [self.ranges, self.large, self.small]
 
     def add(self, data: bytes, size: int) -> bytes:
-        """Gives the joined names of its pieces."""
-        chunk_digests = []
-        for at in range(0, len(data), size):
-            piece = data[at : at + size]
-            chunk_digests.append(chunk_digest(piece))
-            self.chunks[chunk_digests[-1]] = piece
-        return b"".join(chunk_digests)
+        """Splits data into chunks, and returns their digests, concatenated."""
+        digests = []
+        for offset in range(0, len(data), size):
+            chunk = data[offset : offset + size]
+            digests.append(chunk_digest(chunk))
+            self.chunks[digests[-1]] = chunk
+        return b"".join(digests)
 
 
 def split_state(entries: Iterable[Entry], ranges: int | None = None) -> ChunkedState:
-    """All of a state. `ranges`: as another cut had it, so that equal pieces have equal names."""
+    """Splits a whole state. Pass the `ranges` of another split to get equal digests for equal chunks."""
     rows = [(entry, cbor2.dumps([entry[0], *entry[1], entry[2]])) for entry in entries]
     if ranges is None:
         size = sum(len(row) for _, row in rows)
@@ -58,62 +63,69 @@
         small = sum(len(row) for _, row in rows if len(row) <= MAX_CHUNK_BYTES)
         while ranges and ranges < MAX_KEY_RANGES and ranges * MAX_CHUNK_BYTES < small:
             ranges *= 2
-    made = ChunkedState(ranges)
+    chunked = ChunkedState(ranges)
     if not ranges:
-        made.small.append(made.add(_listed(row for _, row in rows), MAX_INLINE_BYTES))
-        return made
-    parted: list[list[bytes]] = [[] for _ in range(ranges)]
+        chunked.small.append(chunked.add(_encode_rows(row for _, row in rows), MAX_INLINE_BYTES))
+        return chunked
+    rows_by_range: list[list[bytes]] = [[] for _ in range(ranges)]
     for (key, version, value), row in sorted(rows, key=lambda r: r[0][0]):
         if len(row) > MAX_CHUNK_BYTES:
-            made.large.append([key, *version, made.add(cbor2.dumps(value), MAX_CHUNK_BYTES)])
+            chunked.large.append([key, *version, chunked.add(cbor2.dumps(value), MAX_CHUNK_BYTES)])
         else:
-            parted[int.from_bytes(blake2b(key.encode(), digest_size=2).digest()) % ranges].append(row)
-    made.small = [made.add(_listed(part), MAX_CHUNK_BYTES) if part else b"" for part in parted]
-    return made
+            rows_by_range[int.from_bytes(blake2b(key.encode(), digest_size=2).digest()) % ranges].append(row)
+    chunked.small = [
+        chunked.add(_encode_rows(range_rows), MAX_CHUNK_BYTES) if range_rows else b"" for range_rows in rows_by_range
+    ]
+    return chunked
 
 
 def split_change(entries: list[Entry]) -> ChunkedState:
-    """Large values alone; the rest goes with the change."""
-    made = ChunkedState(1)
+    """Splits only the large values of a change; small ones are sent with the change itself."""
+    chunked = ChunkedState(1)
     for key, version, value in entries:
         packed = cbor2.dumps(value)
         if len(packed) > MAX_CHUNK_BYTES:
-            made.large.append([key, *version, made.add(packed, MAX_CHUNK_BYTES)])
-    return made
+            chunked.large.append([key, *version, chunked.add(packed, MAX_CHUNK_BYTES)])
+    return chunked
 
 
 def encoded_size(changes: dict[str, Any]) -> int:
+    """The size of a change in bytes."""
     return len(cbor2.dumps(changes))
 
 
-def _listed(rows: Iterable[bytes]) -> bytes:
-    return b"\x9f" + b"".join(rows) + b"\xff"  # an array that says where it ends
+def _encode_rows(rows: Iterable[bytes]) -> bytes:
+    return b"\x9f" + b"".join(rows) + b"\xff"  # a CBOR array of indefinite length
 
 
-def split_digests(joined: bytes) -> list[bytes]:
-    return [joined[at : at + DIGEST_BYTES] for at in range(0, len(joined), DIGEST_BYTES)]
+def split_digests(digests: bytes) -> list[bytes]:
+    """The digests in a concatenation of them."""
+    return [digests[offset : offset + DIGEST_BYTES] for offset in range(0, len(digests), DIGEST_BYTES)]
 
 
 def chunk_digests(manifest: Any) -> list[bytes]:
-    """Of all pieces that it takes; each once."""
+    """The digests of all chunks in a manifest, without duplicates."""
     _, large, small = manifest
     return list(
-        dict.fromkeys(name for joined in [*(row[3] for row in large), *small] for name in split_digests(joined))
+        dict.fromkeys(digest for digests in [*(row[3] for row in large), *small] for digest in split_digests(digests))
     )
 
 
 def missing_digests(manifest: Any, held: Mapping[bytes, bytes]) -> list[bytes]:
-    return [name for name in chunk_digests(manifest) if name not in held]
+    """The digests of a manifest that are not held."""
+    return [digest for digest in chunk_digests(manifest) if digest not in held]
 
 
 def join_chunks(manifest: Any, held: Mapping[bytes, bytes]) -> list[Entry]:
-    """The entries; raises KeyError where a piece is not there."""
+    """Restores the entries of a manifest. Raises KeyError if a chunk is missing."""
     _, large, small = manifest
-    entries = [(str(key), (int(view), int(place)), _whole(joined, held)) for key, view, place, joined in large]
-    for joined in filter(None, small):
-        entries += unpack(_whole(joined, held))
+    entries = [
+        (str(key), (int(view), int(sequence)), _decode_joined(digests, held)) for key, view, sequence, digests in large
+    ]
+    for digests in filter(None, small):
+        entries += unpack(_decode_joined(digests, held))
     return entries
 
 
-def _whole(joined: bytes, held: Mapping[bytes, bytes]) -> Any:
-    return cbor2.loads(b"".join(held[name] for name in split_digests(joined)))
+def _decode_joined(digests: bytes, held: Mapping[bytes, bytes]) -> Any:
+    return cbor2.loads(b"".join(held[digest] for digest in split_digests(digests)))
--- a/oakvale/controlplane/failure_domains.py
+++ b/oakvale/controlplane/failure_domains.py
@@ -1,6 +1,6 @@
-"""Failure domains: zones and regions that may be lost at once, and how unevenly seats stand in them.
+"""Failure domains: zones and regions that may fail as a whole, and how evenly replicas are spread over them.
 
-No I/O and no clock.
+This module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,16 +12,18 @@
 
 @dataclass(slots=True, frozen=True)
 class FailureDomains:
-    regions: Mapping[str, str] = field(default_factory=dict)  # of each zone
-    by_zone: bool = False  # a zone may be lost at once
-    by_region: bool = False
+    """Which kinds of location may fail as a whole, and the region of each zone."""
+
+    regions: Mapping[str, str] = field(default_factory=dict)  # zone -> region
+    by_zone: bool = False  # a zone may fail as a whole
+    by_region: bool = False  # a region may fail as a whole
 
     def colocation_cost(self, zones: Iterable[str | None]) -> tuple[int, int]:
-        """Sums of the squares of how many share a region, and a zone; less is more even. 0 for what need not be borne:
-        seats are moved only where it matters."""
+        """Sums of squares of the numbers of replicas that share a region, and a zone; a lower cost is a more even
+        spread. A kind of location that need not be tolerated costs 0, so that no replica is moved for it."""
         zones = list(zones)
         regions = Counter(self.regions.get(zone, zone) if zone else zone for zone in zones)
         return (
-            sum(n * n for n in regions.values()) if self.by_region else 0,
-            sum(n * n for n in Counter(zones).values()) if self.by_zone else 0,
+            sum(count * count for count in regions.values()) if self.by_region else 0,
+            sum(count * count for count in Counter(zones).values()) if self.by_zone else 0,
         )
--- a/oakvale/controlplane/replicated_state.py
+++ b/oakvale/controlplane/replicated_state.py
@@ -1,8 +1,8 @@
-"""The control state's entries on a core machine: what is in force, and what waits for both copies.
+"""The control state on one core machine: entries in force, and changes that some replica has not synced yet.
 
-No I/O and no clock. A change is in force once this seat and every backup of the view have synced it; changes
-come into force in their order. What a view ends with unfinished is neither promised nor taken back: it stays
-in the primary's state, and its author has not heard a yes.
+This module does no I/O and reads no clock. A change is in force once the primary and every backup of the view have
+synced it, and changes come into force in order. A change that is still pending when a view ends is neither confirmed
+nor rolled back: it stays in the primary's state, but success is never reported for it.
 """
 
 from __future__ import annotations
@@ -15,124 +15,131 @@
 from oakvale.controlplane.view_change import Replica
 from oakvale.dissemination.table import NOTHING, Entry, Table, Version
 
-Callback = Callable[[bool], None]  # True: in force; False: not known to be, and it may still come
+# called with True if the change is in force, with False if that is unknown: it may still come into force
+Callback = Callable[[bool], None]
 
 
 @dataclass(slots=True)
 class PendingChange:
+    """A proposed change that is not in force yet."""
+
     entries: list[Entry]
     on_done: Callback
-    owed: set[Replica] = field(default_factory=set)  # those that have not synced it yet, this seat among them
+    owed: set[Replica] = field(default_factory=set)  # replicas that have not synced it yet, including this one
 
 
 class ReplicatedState:
+    """The table of entries in force, the changes pending behind it, and the staged changes behind those."""
+
     def __init__(self) -> None:
-        self.table = Table()  # in force, or received as a backup
+        self.table = Table()  # entries in force, or received as a backup
         self._pending: deque[PendingChange] = deque()
         self._completed: list[Callback] = []
         self._sequence = self._view = 0
-        self.forgotten_keys: list[str] = []  # keys whose rows may go from the disk
-        self.staged_changes: list[dict[str, Any]] = []  # changes that are made once their pieces are with the backups
-        self.last_version = NOTHING  # the version of the newest entry, in force or not
+        self.forgotten_keys: list[str] = []  # keys whose rows may be deleted from disk
+        self.staged_changes: list[dict[str, Any]] = []  # proposed once the backups hold their chunks
+        self.last_version = NOTHING  # of the newest entry, in force or pending
 
     def start(self, view: int) -> None:
-        """Entries bear this view's number from now on. A primary that starts again goes on behind its own."""
+        """Starts to number entries in this view. A primary that restarts in its own view continues its numbers."""
         newest = max((version for _, version, _ in self.all_entries()), default=NOTHING)
         self._view, self._sequence = view, newest[1] if newest[0] == view else 0
         self.last_version = max(self.last_version, newest)
 
-    def propose(self, changes: dict[str, Any], owed: set[Replica], then: Callback) -> list[Entry]:
-        """Gives the entries that have to be synced by all who owe it."""
+    def propose(self, changes: dict[str, Any], owed: set[Replica], on_done: Callback) -> list[Entry]:
+        """Adds a change, and returns its entries, which all replicas in `owed` have to sync."""
         entries: list[Entry] = []
         for key, value in changes.items():
             self._sequence += 1
             entries.append((key, (self._view, self._sequence), value))
-        self._pending.append(PendingChange(entries, then, set(owed)))
+        self._pending.append(PendingChange(entries, on_done, set(owed)))
         self.last_version = entries[-1][1]
         return entries
 
     def latest(self, key: str) -> Any:
-        """As it will be once all that waits is in force, and all that is planned."""
+        """The key's value once all pending and staged changes are in force."""
         for changes in reversed(self.staged_changes):
             if key in changes:
                 return changes[key]
         for pending in reversed(self._pending):
-            for known, _, value in pending.entries:
-                if known == key:
+            for pending_key, _, value in pending.entries:
+                if pending_key == key:
                     return value
         return self.table.get(key)
 
     def latest_items(self, prefix: str) -> dict[str, Any]:
-        """Key behind the prefix and value, as they will be once all that waits is in force, and all that is planned."""
-        found = dict(self.table.items(prefix))
-        waiting = [(key, value) for pending in self._pending for key, _, value in pending.entries]
-        waiting += [item for changes in self.staged_changes for item in changes.items()]
-        found |= {key[len(prefix) :]: value for key, value in waiting if key.startswith(prefix)}
-        return {name: value for name, value in found.items() if value is not None}
+        """Values by key without the prefix, once all pending and staged changes are in force."""
+        items = dict(self.table.items(prefix))
+        pending_items = [(key, value) for pending in self._pending for key, _, value in pending.entries]
+        pending_items += [item for changes in self.staged_changes for item in changes.items()]
+        items |= {key[len(prefix) :]: value for key, value in pending_items if key.startswith(prefix)}
+        return {name: value for name, value in items.items() if value is not None}
 
     def pending_keys(self) -> list[str]:
-        """Keys that are not in force yet."""
+        """Keys of changes that are not in force yet."""
         return [key for pending in self._pending for key, _, _ in pending.entries]
 
     def has_pending(self) -> bool:
+        """Whether a change is not in force yet."""
         return bool(self._pending)
 
-    def when_settled(self, then: Callback) -> None:
-        """Calls once everything that waits now is in force; at once if nothing does."""
+    def when_settled(self, on_done: Callback) -> None:
+        """Calls `on_done` once everything that is pending now is in force, or at once if nothing is."""
         if not self._pending:
-            return then(True)
+            return on_done(True)
         last = self._pending[-1]
-        first = last.on_done
+        earlier = last.on_done
 
-        def both(done: bool) -> None:
-            first(done)
-            then(done)
+        def call_both(done: bool) -> None:
+            earlier(done)
+            on_done(done)
 
-        last.on_done = both
+        last.on_done = call_both
 
     def apply(self, entries: list[Entry]) -> None:
-        """Into the table."""
+        """Puts entries into the table."""
         self.forgotten_keys += [key for key in self.table.put(entries) if self.table.version(key) == NOTHING]
 
-    def synced(self, who: Replica, up_to: Version) -> list[Entry]:
-        """A seat has everything up to a version on disk. Gives what came into force by that, in order."""
+    def synced(self, replica: Replica, up_to: Version) -> list[Entry]:
+        """A replica has synced everything up to a version. Returns the entries that came into force, in order."""
         for pending in self._pending:
             if pending.entries[-1][1] <= up_to:
-                pending.owed.discard(who)
+                pending.owed.discard(replica)
         return self._settle()
 
-    def reassign_pending(self, seats: set[Replica], own: Replica) -> None:
-        """Another view with the same primary: its backups owe what waits, those of before no longer."""
+    def reassign_pending(self, backups: set[Replica], self_id: Replica) -> None:
+        """After a view change that kept the primary, the new backups have to sync what is pending, and those of the
+        view before no longer."""
         for pending in self._pending:
-            pending.owed = (pending.owed & {own}) | seats
+            pending.owed = (pending.owed & {self_id}) | backups
 
     def _settle(self) -> list[Entry]:
-        came: list[Entry] = []
-        done: list[Callback] = []
+        in_force: list[Entry] = []
+        completed: list[Callback] = []
         while self._pending and not self._pending[0].owed:
             pending = self._pending.popleft()
             self.apply(pending.entries)
-            came += pending.entries
-            done.append(pending.on_done)
-        self._completed += done
-        return came
+            in_force += pending.entries
+            completed.append(pending.on_done)
+        self._completed += completed
+        return in_force
 
     def take_completed(self) -> list[Callback]:
-        """The authors of what just came into force; told after the news of it has gone out."""
-        done, self._completed = self._completed, []
-        return done
+        """Callbacks of changes that came into force; to be called once the state updates are published."""
+        completed, self._completed = self._completed, []
+        return completed
 
     def abandon(self) -> list[Callback]:
-        """This seat is primary no longer: nobody hears a yes for what waits. It stays here as it does on disk,
-        or it would be back after a start, behind what others were told meanwhile."""
-        thens = [pending.on_done for pending in self._pending]
+        """This replica is no longer primary. Pending changes are applied, as they are on disk and would come back at
+        the next start, but success is not reported. Returns their callbacks."""
+        callbacks = [pending.on_done for pending in self._pending]
         for pending in self._pending:
             self.apply(pending.entries)
         self._pending.clear()
-        return thens
+        return callbacks
 
     def all_entries(self) -> list[Entry]:
-        """What is in force and what waits, as one state."""
+        """Entries in force and pending, merged."""
         table = Table()
         table.put(self.table.since((0, 0)))
         for pending in self._pending:
--- a/oakvale/controlplane/replication.py
+++ b/oakvale/controlplane/replication.py
@@ -1,13 +1,14 @@
-"""The primary's side and the backup's in the control state: what is sent to be copied, taken, refused, and in force.
+"""Replication of the control state between a primary and its backups.
 
-No I/O and no clock: it is told what came and what is on disk, and says what to write, ask, answer and tell, in this
-order. It joins `succession` (who is primary) and `ledger` (what is in force). What follows a write or an answer is
-kept here as data, so that a seat can be copied and compared whole (`oakvale/lab/modelcheck` does).
+This module does no I/O and reads no clock. It is given the events and the contents of the disk, and returns actions to
+be carried out in order: writes, requests, messages and replies. It combines `view_change` (who is primary) with
+`replicated_state` (which changes are in force). What has to follow a write or a reply is stored here as data, so that a
+whole replica can be copied and compared (`oakvale/lab/modelcheck` does).
 
-A state goes to a backup as a list of the pieces that it is made of. The backup says which of them it lacks; these are
-sent, few at a time, and kept on its disk beside its rows. When none is lacking it takes the whole, in one write. Until
-then nothing of them counts. A piece is named by what it holds: what came before a connection broke, or a process ended,
-or another became primary, is not sent again.
+A state is sent to a backup as a manifest of its chunks. The backup answers with the digests of the chunks that it does
+not have. These are sent, a few at a time, and the backup stores them on disk beside its rows. Once none is missing, the
+backup replaces its state in a single write; until then no chunk takes effect. As chunks are named by a digest of their
+contents, a chunk that arrived before a connection broke, a process ended or the primary changed is not sent again.
 """
 
 from __future__ import annotations
@@ -41,24 +42,25 @@
 from oakvale.dissemination.table import NOTHING, Entry, Version, pack
 from oakvale.dissemination.table import unpack as unpack_entries
 
-BASE_TIMEOUT_US = 1_000_000  # microseconds for a backup to sync
-TIMEOUT_PER_BYTE_US = 16  # microseconds more for each byte of a question: half a megabit in a second
-MAX_CHUNKS_IN_FLIGHT = 2  # pieces on their way to a backup: what is said meanwhile waits behind them on a thin link
+BASE_TIMEOUT_US = 1_000_000  # for a backup to sync a change
+TIMEOUT_PER_BYTE_US = 16  # allows for links of 0.5 Mbit/s
+MAX_CHUNKS_IN_FLIGHT = 2  # to one backup; on a slow link, heartbeats queue behind them
 
-# ---- what comes out, to be done in order
+# ---- actions, to be carried out in order
 
 
 @dataclass(slots=True, frozen=True)
 class Write:
-    """Sync this, then call `written(number)`."""
+    """Sync this to disk, then call `written(number)`."""
 
     number: int
-    what: tuple[str, Any]  # as the cistern takes it
+    what: tuple[str, Any]  # kind and data, as the storage expects them
 
 
 @dataclass(slots=True, frozen=True)
 class SendRequest:
-    """Ask this, then call `answered(number, answer)`; None where there was no answer in `timeout` microseconds."""
+    """Send this request, then call `answered(number, answer)`, with None if no reply came within `timeout`
+    microseconds."""
 
     number: int
     to: Replica
@@ -69,6 +71,8 @@
 
 @dataclass(slots=True, frozen=True)
 class SendMessage:
+    """Send this message; no reply is expected."""
+
     to: Replica
     kind: str
     body: list[Any]
@@ -76,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """The answer to the question that came with this ticket."""
+    """The reply to the request that came with this ticket."""
 
     ticket: Any
     answer: Any
@@ -84,7 +88,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RetryLater:
-    """Call `again(backup, view)` after a while."""
+    """Call `retry_sync(backup, view)` after a delay."""
 
     backup: Replica
     view: View
@@ -92,41 +96,41 @@
 
 @dataclass(slots=True, frozen=True)
 class ChangeResult:
-    """The author of a change hears of it."""
+    """Call `on_done` with the result of a change."""
 
-    then: Callback
+    on_done: Callback
     done: bool
 
 
 @dataclass(slots=True, frozen=True)
 class StateUpdates:
-    """These came into force."""
+    """These entries came into force; publish them."""
 
     entries: list[Entry]
 
 
 @dataclass(slots=True, frozen=True)
 class ViewInstalled:
-    """Another view is in force here."""
+    """Another view is in force on this replica."""
 
     view: View
 
 
 @dataclass(slots=True, frozen=True)
 class ServingChanged:
-    """This seat begins or ends to serve."""
+    """This replica starts or stops serving as primary."""
 
     serves: bool
 
 
 @dataclass(slots=True, frozen=True)
 class SteppedDown:
-    """Nobody gets news from here any more."""
+    """This replica is not primary (any more) and publishes no state updates."""
 
 
 @dataclass(slots=True, frozen=True)
 class StateReplaced:
-    """The table is another."""
+    """The state was replaced as a whole by the one that the primary sent."""
 
 
 Action = (
@@ -146,19 +150,19 @@
 
 @dataclass(slots=True, frozen=True)
 class StartState:
-    """Who a seat is at one start, from what its disk holds."""
+    """The identity and durable state of a replica for one run of its process, as loaded from disk."""
 
     self_id: Replica
-    start_number: int  # each start is another; what an earlier one said may still be on its way
+    start_number: int  # counts process starts: messages of an earlier run may still arrive
     durable: DurableState
-    stored: bytes  # to be synced under "self" before it acts
+    stored: bytes  # to be synced as the fact "self" before anything else
 
 
 def load_start_state(
     address: str, stored: bytes | None, state: bytes | None, first: View | None, fresh: Callable[[], str]
 ) -> StartState:
-    """`stored` and `state` are the facts "self" and "state"; `first` is the founding view where this is a founder
-    that begins, `fresh` gives an incarnation that never was."""
+    """Restores a replica from the stored facts "self" and "state". `first` is the bootstrap view if the replica is a
+    seed of a new system that starts for the first time; `fresh` returns an incarnation that was never used."""
     begins: list[Any] | None = None
     if stored is not None:
         incarnation, life, begins = cbor2.loads(stored)
@@ -175,55 +179,57 @@
 
 @dataclass(slots=True)
 class Transfer:
-    """What a backup is being sent: a state, or (`whole` is false) the pieces of a change that is to come."""
+    """What is being sent to a backup: the whole state, or only the chunks of a staged change."""
 
-    cut: ChunkedState
+    chunked: ChunkedState
     up_to: Version
-    whole: bool = True
-    known: set[bytes] = field(default_factory=set)  # pieces that it has said it holds
-    left: list[bytes] = field(default_factory=list)
-    out: set[bytes] = field(default_factory=set)  # asked, and not answered yet
+    is_full_state: bool = True
+    held: set[bytes] = field(default_factory=set)  # digests of chunks that the backup holds
+    unsent: list[bytes] = field(default_factory=list)
+    in_flight: set[bytes] = field(default_factory=set)  # sent, and not acknowledged yet
 
 
 @dataclass(slots=True)
 class StagedChange:
-    """A change too large for one message: it becomes one once the backups hold its pieces."""
+    """A change too large for one message. It is proposed once the backups hold its chunks."""
 
     changes: dict[str, Any]
-    then: Callback
-    waits: set[Replica] = field(default_factory=set)
+    on_done: Callback
+    waiting_for: set[Replica] = field(default_factory=set)
 
 
 class Replicator:
-    """One seat, from one start to its end."""
+    """One replica, for one run of its process."""
 
     def __init__(
         self,
         began: StartState,
         rows: Iterable[tuple[str, bytes]],
-        copies: int,
-        silence: int,
-        patience: int,
+        copy_count: int,
+        silence_us: int,
+        replacement_delay_us: int,
         staged: Iterable[tuple[bytes, bytes]] = (),
         zone: str = "",
         domains: FailureDomains | None = None,
     ) -> None:
         self.self_id, self.start_number = began.self_id, began.start_number
-        self.view_manager = ViewManager(began.self_id, began.durable, copies, silence, patience, zone, domains)
-        self.replicated_state = ReplicatedState()  # another one once a primary has sent its state
+        self.view_manager = ViewManager(
+            began.self_id, began.durable, copy_count, silence_us, replacement_delay_us, zone, domains
+        )
+        self.replicated_state = ReplicatedState()  # replaced when a primary sends its state
         self.active = False
-        self._released = 0  # the view whose primary said that this seat, which leaves, may go
-        self._said = 0  # to backups in this life
-        self._newest = (0, 0, 0)  # as a backup: view, life and number of the latest that the primary said
-        self._held: set[Replica] = set()  # backups that have synced the state in this view
-        self._clean: set[Replica] = set()  # backups that hold the state and take changes
-        self._sending: dict[Replica, Transfer] = {}
-        self._planned: deque[StagedChange] = deque()
-        self._staged = dict(staged)  # pieces that a primary has sent, of what is not whole yet
-        self._wanted: set[bytes] = set()
-        self._numbers = 0
-        self._writes: dict[int, tuple[Any, ...]] = {}  # what follows each write
-        self._asks: dict[int, tuple[Any, ...]] = {}  # what each question that is out was about
+        self._released_in_view = 0  # the newest view whose primary allowed this replica to stop
+        self._last_request_number = 0  # to backups, in this run
+        self._newest_request = (0, 0, 0)  # as a backup: view, start number and request number
+        self._synced_backups: set[Replica] = set()  # those that have synced the state in this view
+        self._caught_up: set[Replica] = set()  # backups that hold the state and accept changes
+        self._transfers: dict[Replica, Transfer] = {}
+        self._staged_changes: deque[StagedChange] = deque()
+        self._received_chunks = dict(staged)  # chunks of a state or change that is still incomplete
+        self._expected_digests: set[bytes] = set()
+        self._last_write_number = 0
+        self._pending_writes: dict[int, tuple[Any, ...]] = {}  # write number -> what has to follow it
+        self._requests: dict[int, tuple[Any, ...]] = {}  # request number -> its kind and context
         self._out: list[Action] = []
         self.replicated_state.apply(
             [
@@ -232,60 +238,65 @@
             ]
         )
         self._write(("fact", ("self", began.stored)), ("begin", began.durable.view))
-        self._clear()
+        self._delete_forgotten_rows()
 
     def view(self) -> View | None:
+        """The newest view known here."""
         return self.view_manager.state.view
 
     def flush(self) -> list[Action]:
+        """Returns the actions that are due, and clears the list."""
         out, self._out = self._out, []
         return out
 
-    # ---- what it is told
+    # ---- events
 
-    def change(self, changes: dict[str, Any], then: Callback, behind: bool = False) -> list[Action]:
-        """Makes a change; `then` hears True once it is in force and the news of it are on their way. Changes overtake
-        one whose pieces are still on their way to the backups, unless they touch what it does, or are to come `behind`
-        all that was asked for before."""
+    def change(self, changes: dict[str, Any], on_done: Callback, behind: bool = False) -> list[Action]:
+        """Makes a change. `on_done` is called with True once it is in force and its state updates are being published.
+        Small changes overtake one whose chunks are still being sent, unless they touch the same keys or `behind` is
+        set, which keeps a change after all those requested before it."""
         view = self.view()
         if not self.active or view is None or view.primary != self.self_id:
-            self._out.append(ChangeResult(then, False))
+            self._out.append(ChangeResult(on_done, False))
             return self.flush()
-        taken = {key for planned in self._planned for key in planned.changes}
-        if self._clean and (
-            behind and self._planned or taken & set(changes) or chunks.encoded_size(changes) > chunks.MAX_INLINE_BYTES
+        staged_keys = {key for staged in self._staged_changes for key in staged.changes}
+        if self._caught_up and (
+            behind
+            and self._staged_changes
+            or staged_keys & set(changes)
+            or chunks.encoded_size(changes) > chunks.MAX_INLINE_BYTES
         ):
-            self._planned.append(StagedChange(changes, then))
+            self._staged_changes.append(StagedChange(changes, on_done))
             self.replicated_state.staged_changes.append(changes)
-            if len(self._planned) == 1:
-                self._stage()
+            if len(self._staged_changes) == 1:
+                self._stage_next_change()
         else:
-            self._propose(view, changes, then)
+            self._propose(view, changes, on_done)
         return self.flush()
 
     def apply_view_outputs(self, out: list[ViewOutput]) -> list[Action]:
-        """What the succession says."""
-        self._carry(out)
+        """Carries out what the view manager returned."""
+        self._apply_view_outputs(out)
         return self.flush()
 
-    def tick(self, now: int, healthy: bool = True) -> list[Action]:
-        """Several times a second; see `Succession.tick`."""
-        self._carry(self.view_manager.tick(now, healthy, self.active))
+    def tick(self, now: int, disk_healthy: bool = True) -> list[Action]:
+        """To be called several times a second; see `ViewManager.tick`."""
+        self._apply_view_outputs(self.view_manager.tick(now, disk_healthy, self.active))
         return self.flush()
 
     def peer_leaving(self, now: int, peer: Replica) -> list[Action]:
-        """A peer that was just heard says that it is told to end, again and again until it goes."""
-        self._carry(self.view_manager.tick(now, whole=self.active))
+        """A peer has just announced that it is shutting down; it repeats this until it stops."""
+        self._apply_view_outputs(self.view_manager.tick(now, backups_synced=self.active))
         view = self.view()
-        if view is not None and self._releases(now, peer, view):
+        if view is not None and self._may_release(now, peer, view):
             self.view_manager.release(peer)
             self._out.append(SendMessage(peer, "released", [view.number]))
         return self.flush()
 
-    def _releases(self, now: int, peer: Replica, view: View) -> bool:
-        """As primary: nothing gets worse by a peer's end, or nobody can take its place."""
+    def _may_release(self, now: int, peer: Replica, view: View) -> bool:
+        """As primary: whether the peer's stop makes nothing worse, or nobody can take its place."""
         view_manager = self.view_manager
-        if not self._serves(view):
+        if not self._serves_in(view):
             return False
         if view_manager.too_few_remain(now, peer, view):
             return True
@@ -295,57 +306,61 @@
             and view_manager.proposed_view(now, view, True) is None
         )
 
-    def _serves(self, view: View) -> bool:
-        """In this very view: what is active just before another came to disk was active in the one before."""
+    def _serves_in(self, view: View) -> bool:
+        """Whether this replica serves in exactly this view. While a view is not on disk, `active` still belongs to the
+        one before."""
         return self.active and view.primary == self.self_id and self.view_manager.is_persisted(view)
 
     def released(self, view: int) -> None:
-        self._released = max(self._released, view)
+        """The primary of this view has allowed this replica to stop."""
+        self._released_in_view = max(self._released_in_view, view)
 
     def leave(self) -> None:
-        """This seat is told to end."""
+        """This replica is shutting down."""
         self.view_manager.self_leaving = True
 
     def may_leave(self, now: int) -> bool:
-        """Whether this seat, which is told to end, leaves as many complete copies and as large a majority as can be
-        without it: not while it is the only complete copy, nor before a view without it among the copies is whole."""
+        """Whether this replica, which is shutting down, can stop without reducing the number of complete copies or the
+        majority more than unavoidable. It has to wait while it holds the only complete copy, and until a view that
+        has no copy on it is complete."""
         view, view_manager = self.view(), self.view_manager
         if view is None or self.self_id not in view.witnesses and view_manager.state.complete < view.number - 1:
-            return True  # it has no part in the view, nor in the one before it
+            return True  # no member of the view, and holds nothing that the view before it needs
         if not view_manager.too_few_remain(now, self.self_id, view):
-            return self._released == view.number and self.self_id not in view.copies
+            return self._released_in_view == view.number and self.self_id not in view.copies
         if self.self_id == view.primary:
-            return self._serves(view)
+            return self._serves_in(view)
         whole = self.self_id not in view.copies or view_manager.state.complete == view.number
         return whole and (view_manager.alive(view.primary, now) or view_manager.is_leaving(view.primary))
 
     def written(self, number: int) -> list[Action]:
-        kind, *about = self._writes.pop(number)
+        """The write with this number is on disk."""
+        kind, *context = self._pending_writes.pop(number)
         if kind == "begin":
-            if about[0] is not None:  # who this is lasts: it may act on what it kept
-                self._moved(about[0])
+            if context[0] is not None:  # the identity is on disk, so stored votes may be used
+                self._enter_view(context[0])
         elif kind == "synced":
-            self._synced(self.self_id, about[0])
+            self._synced(self.self_id, context[0])
         elif kind == "kept":
-            self._carry(self.view_manager.persisted(about[0]))
+            self._apply_view_outputs(self.view_manager.persisted(context[0]))
         elif kind == "append":
-            view, sender, ticket = about
-            self._out.append(Reply(ticket, self._follows(view, sender)))
+            view, sender, ticket = context
+            self._out.append(Reply(ticket, self._is_backup_in(view, sender)))
         elif kind == "piece":
-            self._out.append(Reply(about[0], True))
+            self._out.append(Reply(context[0], True))
         elif kind == "sync":
-            self._carry(self.view_manager.synced(about[0].number))
-            self._write(("fact", ("last-sync", str(about[0].number).encode())), ("complete", *about))
+            self._apply_view_outputs(self.view_manager.synced(context[0].number))
+            self._write(("fact", ("last-sync", str(context[0].number).encode())), ("complete", *context))
         elif kind == "complete":
-            view, sender, ticket = about
+            view, sender, ticket = context
             state = self.view_manager.state
-            complete = self._follows(view, sender) and state.complete == view.number
+            complete = self._is_backup_in(view, sender) and state.complete == view.number
             self._out.append(Reply(ticket, "void" if state.void == view.number else complete))
         return self.flush()
 
     def answered(self, number: int, answer: Any) -> list[Action]:
-        """None: there was no answer."""
-        kind, backup, view, up_to = self._asks.pop(number)
+        """Handles the answer to a request; None means that there was none."""
+        kind, backup, view, up_to = self._requests.pop(number)
         if kind == "append":
             self._append_answered(backup, view, up_to, answer)
         elif kind == "sync":
@@ -353,11 +368,12 @@
         elif kind == "offer":
             self._offer_answered(backup, view, answer)
         else:
-            self._piece_answered(backup, view, up_to, answer)
+            self._chunk_answered(backup, view, up_to, answer)
         return self.flush()
 
     def retry_sync(self, backup: Replica, view: View) -> list[Action]:
-        self._send_all(backup, view)
+        """Sends the state again to a backup that refused it or did not answer."""
+        self._send_state(backup, view)
         return self.flush()
 
     # ---- as primary
@@ -368,25 +384,27 @@
         if answer is True:
             self._synced(backup, up_to)
         else:
-            self._clean.discard(backup)
-            self._send_all(backup, view)
+            self._caught_up.discard(backup)
+            self._send_state(backup, view)
 
-    def _propose(self, view: View, changes: dict[str, Any], then: Callback, cut: ChunkedState | None = None) -> None:
-        """`cut`: the pieces of its large values, which the backups hold."""
+    def _propose(
+        self, view: View, changes: dict[str, Any], on_done: Callback, chunked: ChunkedState | None = None
+    ) -> None:
+        """Proposes a change. `chunked` has the chunks of its large values, which the backups already hold."""
         before = self.replicated_state.last_version
-        entries = self.replicated_state.propose(changes, {self.self_id, *view.backups}, then)
+        entries = self.replicated_state.propose(changes, {self.self_id, *view.backups}, on_done)
         up_to = entries[-1][1]
-        self._write(("rows", _rows(entries)), ("synced", up_to))
+        self._write(("rows", _encode_rows(entries)), ("synced", up_to))
         large = [
             row[:1] + list(version) + row[3:]
-            for row in (cut.large if cut else [])
+            for row in (chunked.large if chunked else [])
             for key, version, _ in entries
             if key == row[0]
         ]
         small = [entry for entry in entries if entry[0] not in {row[0] for row in large}]
         for backup in view.backups:
-            if backup in self._clean:
-                self._ask(
+            if backup in self._caught_up:
+                self._request(
                     backup,
                     "append",
                     [list(before), pack(small), large],
@@ -394,37 +412,36 @@
                     BASE_TIMEOUT_US,
                 )
 
-    def _failed(self, backup: Replica, view: View) -> None:
-        """It did not take something: it is sent the state, after a while."""
-        self._sending.pop(backup, None)
-        self._clean.discard(backup)
+    def _retry_later(self, backup: Replica, view: View) -> None:
+        """The backup did not accept a request; the whole state is sent to it after a delay."""
+        self._transfers.pop(backup, None)
+        self._caught_up.discard(backup)
         self._out.append(RetryLater(backup, view))
-        self._staged_by(backup)
+        self._backup_staged(backup)
 
-    def _send_all(self, backup: Replica, view: View) -> None:
-        """The whole state, but for what it says that it has, until it has arrived: to a new backup, or one that missed
-        something."""
-        if self.view() != view or backup in self._sending and self._sending[backup].whole:
+    def _send_state(self, backup: Replica, view: View) -> None:
+        """Sends a backup that is new, or has missed a change, the whole state except for what it already holds."""
+        if self.view() != view or backup in self._transfers and self._transfers[backup].is_full_state:
             return
-        transfer = self._sending[backup] = Transfer(ChunkedState(0), NOTHING)
-        self._staged_by(backup)
-        self._offer(backup, view, transfer, now=True)
+        transfer = self._transfers[backup] = Transfer(ChunkedState(0), NOTHING)
+        self._backup_staged(backup)
+        self._send_sync(backup, view, transfer, now=True)
 
-    def _offer(self, backup: Replica, view: View, transfer: Transfer, now: bool = False) -> None:
-        """The state as it is now, where little of it is lacking; else as it was when its pieces were counted, and what
-        came since goes in another round."""
+    def _send_sync(self, backup: Replica, view: View, transfer: Transfer, now: bool = False) -> None:
+        """Offers the current state if little of it is missing on the backup. Otherwise it offers the state as of the
+        last count of missing chunks, and later changes follow in another round."""
         entries = self.replicated_state.all_entries()
-        made = chunks.split_state(entries)
-        size = sum(len(piece) for name, piece in made.chunks.items() if name not in transfer.known)
+        chunked = chunks.split_state(entries)
+        size = sum(len(chunk) for digest, chunk in chunked.chunks.items() if digest not in transfer.held)
         if now or size <= chunks.MAX_INLINE_BYTES:
-            transfer.cut, transfer.up_to = made, max((version for _, version, _ in entries), default=NOTHING)
-            self._clean.add(backup)  # what is changed from here on follows on the same connection
-        lacking = [piece for name, piece in transfer.cut.chunks.items() if name not in transfer.known]
-        inline = lacking if sum(map(len, lacking)) <= chunks.MAX_INLINE_BYTES else []
-        transfer.known.update(map(chunks.chunk_digest, inline))
-        manifest = transfer.cut.manifest()
-        size = sum(map(len, inline)) + len(transfer.cut.chunks) * chunks.DIGEST_BYTES
-        self._ask(
+            transfer.chunked, transfer.up_to = chunked, max((version for _, version, _ in entries), default=NOTHING)
+            self._caught_up.add(backup)  # later changes follow on the same connection
+        missing = [chunk for digest, chunk in transfer.chunked.chunks.items() if digest not in transfer.held]
+        inline = missing if sum(map(len, missing)) <= chunks.MAX_INLINE_BYTES else []
+        transfer.held.update(map(chunks.chunk_digest, inline))
+        manifest = transfer.chunked.manifest()
+        size = sum(map(len, inline)) + len(transfer.chunked.chunks) * chunks.DIGEST_BYTES
+        self._request(
             backup,
             "sync",
             [manifest, inline],
@@ -433,135 +450,140 @@
         )
 
     def _sync_answered(self, backup: Replica, view: View, up_to: Version, answer: Any) -> None:
-        transfer = self._sending.get(backup)
+        transfer = self._transfers.get(backup)
         if self.view() != view or transfer is None:
             return
         if isinstance(answer, (list, tuple)) and answer:
-            self._clean.discard(backup)
-            return self._lacked(backup, view, transfer, answer)
+            self._caught_up.discard(backup)
+            return self._send_missing(backup, view, transfer, answer)
         if answer is True:
-            del self._sending[backup]
-            self._held.add(backup)
+            del self._transfers[backup]
+            self._synced_backups.add(backup)
             self._synced(backup, up_to)
             self._activate(view)
-            if backup not in self._clean:  # a change behind the state did not arrive
-                self._send_all(backup, view)
+            if backup not in self._caught_up:  # a change sent after the state was refused or lost
+                self._send_state(backup, view)
         else:
             if answer == "void":
                 self.view_manager.voided_by_backup(view.number)
-            self._failed(backup, view)
-
-    def _lacked(self, backup: Replica, view: View, transfer: Transfer, answer: Iterable[Any]) -> None:
-        lacks = {bytes(name) for name in answer}
-        transfer.known = set(transfer.cut.chunks) - lacks
-        transfer.left = [name for name in transfer.cut.chunks if name in lacks]
-        if lacks and not transfer.left:
-            return self._failed(backup, view)
-        self._send_pieces(backup, view, transfer)
-
-    def _send_pieces(self, backup: Replica, view: View, transfer: Transfer) -> None:
-        while transfer.left and len(transfer.out) < MAX_CHUNKS_IN_FLIGHT:
-            name = transfer.left.pop(0)
-            transfer.out.add(name)
-            packed = zlib.compress(transfer.cut.chunks[name], 1)
-            self._ask(
+            self._retry_later(backup, view)
+
+    def _send_missing(self, backup: Replica, view: View, transfer: Transfer, answer: Iterable[Any]) -> None:
+        missing = {bytes(digest) for digest in answer}
+        transfer.held = set(transfer.chunked.chunks) - missing
+        transfer.unsent = [digest for digest in transfer.chunked.chunks if digest in missing]
+        if missing and not transfer.unsent:
+            return self._retry_later(backup, view)
+        self._send_chunks(backup, view, transfer)
+
+    def _send_chunks(self, backup: Replica, view: View, transfer: Transfer) -> None:
+        while transfer.unsent and len(transfer.in_flight) < MAX_CHUNKS_IN_FLIGHT:
+            digest = transfer.unsent.pop(0)
+            transfer.in_flight.add(digest)
+            packed = zlib.compress(transfer.chunked.chunks[digest], 1)
+            self._request(
                 backup,
                 "piece",
                 [packed],
-                ("piece", backup, view, name),
+                ("piece", backup, view, digest),
                 2 * BASE_TIMEOUT_US + TIMEOUT_PER_BYTE_US * len(packed),
             )
-        if transfer.out:
+        if transfer.in_flight:
             return
-        if transfer.whole:
-            self._offer(backup, view, transfer)
+        if transfer.is_full_state:
+            self._send_sync(backup, view, transfer)
         else:
-            del self._sending[backup]
-            self._staged_by(backup)
+            del self._transfers[backup]
+            self._backup_staged(backup)
 
-    def _piece_answered(self, backup: Replica, view: View, name: bytes, answer: Any) -> None:
-        transfer = self._sending.get(backup)
-        if self.view() != view or transfer is None or name not in transfer.out:
+    def _chunk_answered(self, backup: Replica, view: View, digest: bytes, answer: Any) -> None:
+        transfer = self._transfers.get(backup)
+        if self.view() != view or transfer is None or digest not in transfer.in_flight:
             return
-        transfer.out.discard(name)
+        transfer.in_flight.discard(digest)
         if answer is not True:
-            return self._failed(backup, view)
-        transfer.known.add(name)
-        self._send_pieces(backup, view, transfer)
+            return self._retry_later(backup, view)
+        transfer.held.add(digest)
+        self._send_chunks(backup, view, transfer)
 
-    # ---- as primary, changes that are too large for one message
+    # ---- as primary: changes that are too large for one message
 
-    def _stage(self) -> None:
-        """Their pieces go to the backups, the first change's first; other changes go on meanwhile."""
+    def _stage_next_change(self) -> None:
+        """Sends the chunks of the first staged change to the backups; other changes go on in the meantime."""
         view = self.view()
         assert view is not None
-        while self._planned:
-            planned = self._planned[0]
-            cut = chunks.split_change([(key, NOTHING, value) for key, value in planned.changes.items()])
-            planned.waits = {backup for backup in view.backups if backup in self._clean and backup not in self._sending}
-            if planned.waits:
-                for backup in sorted(planned.waits):
-                    self._sending[backup] = Transfer(cut, NOTHING, whole=False)
-                    self._ask(
+        while self._staged_changes:
+            staged = self._staged_changes[0]
+            chunked = chunks.split_change([(key, NOTHING, value) for key, value in staged.changes.items()])
+            staged.waiting_for = {
+                backup for backup in view.backups if backup in self._caught_up and backup not in self._transfers
+            }
+            if staged.waiting_for:
+                for backup in sorted(staged.waiting_for):
+                    self._transfers[backup] = Transfer(chunked, NOTHING, is_full_state=False)
+                    self._request(
                         backup,
                         "offer",
-                        [cut.manifest()],
+                        [chunked.manifest()],
                         ("offer", backup, view, NOTHING),
-                        2 * BASE_TIMEOUT_US + TIMEOUT_PER_BYTE_US * len(cut.chunks) * chunks.DIGEST_BYTES,
+                        2 * BASE_TIMEOUT_US + TIMEOUT_PER_BYTE_US * len(chunked.chunks) * chunks.DIGEST_BYTES,
                     )
                 return
-            self._planned.popleft()
+            self._staged_changes.popleft()
             self.replicated_state.staged_changes.pop(0)
-            self._propose(view, planned.changes, planned.then, cut)
+            self._propose(view, staged.changes, staged.on_done, chunked)
 
     def _offer_answered(self, backup: Replica, view: View, answer: Any) -> None:
-        transfer = self._sending.get(backup)
-        if self.view() != view or transfer is None or transfer.whole:
+        transfer = self._transfers.get(backup)
+        if self.view() != view or transfer is None or transfer.is_full_state:
             return
         if isinstance(answer, (list, tuple)):
-            self._lacked(backup, view, transfer, answer)
+            self._send_missing(backup, view, transfer, answer)
         else:
-            self._failed(backup, view)
+            self._retry_later(backup, view)
 
-    def _staged_by(self, backup: Replica) -> None:
-        """It holds the pieces of the change that is next, or will get it with the state."""
-        if not self._planned or backup not in self._planned[0].waits:
+    def _backup_staged(self, backup: Replica) -> None:
+        """The backup holds the chunks of the first staged change, or will receive them with the state."""
+        if not self._staged_changes or backup not in self._staged_changes[0].waiting_for:
             return
-        self._planned[0].waits.discard(backup)
-        if not self._planned[0].waits:
-            planned, view = self._planned.popleft(), self.view()
+        self._staged_changes[0].waiting_for.discard(backup)
+        if not self._staged_changes[0].waiting_for:
+            staged, view = self._staged_changes.popleft(), self.view()
             assert view is not None
             self.replicated_state.staged_changes.pop(0)
-            cut = chunks.split_change([(key, NOTHING, value) for key, value in planned.changes.items()])
-            self._propose(view, planned.changes, planned.then, cut)
-            self._stage()
+            chunked = chunks.split_change([(key, NOTHING, value) for key, value in staged.changes.items()])
+            self._propose(view, staged.changes, staged.on_done, chunked)
+            self._stage_next_change()
 
     def _activate(self, view: View) -> None:
-        if self.active or self.view() != view or not set(view.backups) <= self._held:
+        if self.active or self.view() != view or not set(view.backups) <= self._synced_backups:
             return
         self.active = True
         self._out.append(ServingChanged(True))
 
-    def _synced(self, who: Replica, up_to: Version) -> None:
-        came = self.replicated_state.synced(who, up_to)
-        if came:
-            self._out.append(StateUpdates(came))
-            self._clear()
-        self._out += [ChangeResult(then, True) for then in self.replicated_state.take_completed()]
+    def _synced(self, replica: Replica, up_to: Version) -> None:
+        in_force = self.replicated_state.synced(replica, up_to)
+        if in_force:
+            self._out.append(StateUpdates(in_force))
+            self._delete_forgotten_rows()
+        self._out += [ChangeResult(on_done, True) for on_done in self.replicated_state.take_completed()]
 
-    def _clear(self) -> None:
-        """What the table has forgotten goes from the disk, behind the floor that it was forgotten for."""
-        gone, self.replicated_state.forgotten_keys = self.replicated_state.forgotten_keys, []
-        if gone:
-            self._write(("gone", gone), ("gone",))
+    def _delete_forgotten_rows(self) -> None:
+        """Deletes rows of forgotten keys from disk, after the write of the compaction horizon that they were forgotten
+        for."""
+        forgotten, self.replicated_state.forgotten_keys = self.replicated_state.forgotten_keys, []
+        if forgotten:
+            self._write(("gone", forgotten), ("gone",))
 
     # ---- as backup
 
     def append(self, body: Any, ticket: Any) -> list[Action]:
+        """Handles a request to append changes."""
         self._append(body, ticket)
         return self.flush()
 
     def sync(self, body: Any, ticket: Any) -> list[Action]:
+        """Handles a request to replace the whole state."""
         self._sync(body, ticket)
         return self.flush()
 
@@ -569,151 +591,161 @@
         view, sender, large = unpack_view(body[0]), unpack_replica(body[1]), [1, body[5], []]
         if not self._in_order(view, sender, body[2]) or self.view_manager.state.complete != view.number:
             return self._out.append(Reply(ticket, False))
-        if not self._follows_on((int(body[3][0]), int(body[3][1]))) or chunks.missing_digests(large, self._staged):
+        if not self._is_contiguous((int(body[3][0]), int(body[3][1]))) or chunks.missing_digests(
+            large, self._received_chunks
+        ):
             return self._out.append(Reply(ticket, False))
-        entries = sorted(unpack_entries(body[4]) + chunks.join_chunks(large, self._staged), key=lambda entry: entry[1])
+        entries = sorted(
+            unpack_entries(body[4]) + chunks.join_chunks(large, self._received_chunks), key=lambda entry: entry[1]
+        )
         self.replicated_state.apply(entries)
-        self._write(("rows", _rows(entries)), ("append", view, sender, ticket))
+        self._write(("rows", _encode_rows(entries)), ("append", view, sender, ticket))
         if body[5]:
-            self._unstage(set())
-        self._clear()
+            self._discard_chunks(set())
+        self._delete_forgotten_rows()
 
-    def _follows_on(self, before: Version) -> bool:
-        """Something before it did not arrive otherwise: an answer would vouch for that too."""
+    def _is_contiguous(self, before: Version) -> bool:
+        """Whether no earlier change is missing here: accepting this one would acknowledge those before it as well."""
         return self.replicated_state.table.high == before
 
     def _sync(self, body: Any, ticket: Any) -> None:
         view, sender, manifest = unpack_view(body[0]), unpack_replica(body[1]), body[3]
-        self._carry(self.view_manager.learn(view))
+        self._apply_view_outputs(self.view_manager.learn(view))
         if not self._in_order(view, sender, body[2]):
             return self._out.append(Reply(ticket, False))
-        held = self._staged | {chunks.chunk_digest(piece): bytes(piece) for piece in body[4]}
-        lacks = chunks.missing_digests(manifest, held)
-        if lacks and manifest[0]:
-            held |= chunks.split_state(self.replicated_state.all_entries(), int(manifest[0])).chunks
-            lacks = chunks.missing_digests(manifest, held)
-        if lacks:
-            return self._want(manifest, lacks, ticket)
-        entries = chunks.join_chunks(manifest, held)
-        self._resign()
+        available = self._received_chunks | {chunks.chunk_digest(chunk): bytes(chunk) for chunk in body[4]}
+        missing = chunks.missing_digests(manifest, available)
+        if missing and manifest[0]:
+            available |= chunks.split_state(self.replicated_state.all_entries(), int(manifest[0])).chunks
+            missing = chunks.missing_digests(manifest, available)
+        if missing:
+            return self._request_missing(manifest, missing, ticket)
+        entries = chunks.join_chunks(manifest, available)
+        self._step_down()
         self.replicated_state = ReplicatedState()
         self.replicated_state.table.put(entries)
-        self._staged, self._wanted = {}, set()
+        self._received_chunks, self._expected_digests = {}, set()
         self._out.append(StateReplaced())
-        self._write(("whole", _rows(entries)), ("sync", view, sender, ticket))
+        self._write(("whole", _encode_rows(entries)), ("sync", view, sender, ticket))
 
-    def _want(self, manifest: Any, lacks: list[bytes], ticket: Any) -> None:
-        """Says what it lacks; of what came before, only what is of use now stays."""
-        self._wanted = set(lacks)
-        self._unstage(set(chunks.chunk_digests(manifest)))
-        self._out.append(Reply(ticket, lacks))
+    def _request_missing(self, manifest: Any, missing: list[bytes], ticket: Any) -> None:
+        """Answers with the missing digests, and discards received chunks that are not in the manifest."""
+        self._expected_digests = set(missing)
+        self._discard_chunks(set(chunks.chunk_digests(manifest)))
+        self._out.append(Reply(ticket, missing))
 
-    def _unstage(self, but: set[bytes]) -> None:
-        gone = [name for name in self._staged if name not in but]
-        if gone:
-            for name in gone:
-                del self._staged[name]
-            self._write(("unstage", gone), ("gone",))
+    def _discard_chunks(self, keep: set[bytes]) -> None:
+        unused = [digest for digest in self._received_chunks if digest not in keep]
+        if unused:
+            for digest in unused:
+                del self._received_chunks[digest]
+            self._write(("unstage", unused), ("gone",))
 
     def offer(self, body: Any, ticket: Any) -> list[Action]:
-        """Pieces of a change that will come."""
+        """Handles the manifest of a staged change."""
         view, sender, manifest = unpack_view(body[0]), unpack_replica(body[1]), body[3]
         if not self._in_order(view, sender, body[2]):
             self._out.append(Reply(ticket, False))
         else:
-            self._want(manifest, chunks.missing_digests(manifest, self._staged), ticket)
+            self._request_missing(manifest, chunks.missing_digests(manifest, self._received_chunks), ticket)
         return self.flush()
 
     def piece(self, body: Any, ticket: Any) -> list[Action]:
-        """In whatever order, and of whatever life of its primary: it is what it is named."""
+        """Handles a chunk. Its order and the primary's run do not matter, as its digest identifies it."""
         view, sender = unpack_view(body[0]), unpack_replica(body[1])
         data = zlib.decompressobj().decompress(body[3], chunks.MAX_CHUNK_BYTES)
-        name = chunks.chunk_digest(data)
-        if not self._follows(view, sender) or name not in self._wanted:
+        digest = chunks.chunk_digest(data)
+        if not self._is_backup_in(view, sender) or digest not in self._expected_digests:
             self._out.append(Reply(ticket, False))
         else:
-            self._staged[name] = data
-            self._write(("stage", [(name, data)]), ("piece", ticket))
+            self._received_chunks[digest] = data
+            self._write(("stage", [(digest, data)]), ("piece", ticket))
         return self.flush()
 
-    def _follows(self, view: View, sender: Replica) -> bool:
-        own = self.view()
-        return own is not None and own.number == view.number and sender == view.primary and self.self_id in view.backups
+    def _is_backup_in(self, view: View, sender: Replica) -> bool:
+        current = self.view()
+        return (
+            current is not None
+            and current.number == view.number
+            and sender == view.primary
+            and self.self_id in view.backups
+        )
 
-    def _in_order(self, view: View, sender: Replica, order: Any) -> bool:
-        """A connection that was given up may deliver late: an older state would undo what this seat vouched for."""
-        number = (view.number, int(order[0]), int(order[1]))
-        if not self._follows(view, sender) or number <= self._newest:
+    def _in_order(self, view: View, sender: Replica, sequence: Any) -> bool:
+        """Whether the request is newer than all before it. An abandoned connection may deliver late, and an older state
+        would undo changes that this replica has acknowledged."""
+        number = (view.number, int(sequence[0]), int(sequence[1]))
+        if not self._is_backup_in(view, sender) or number <= self._newest_request:
             return False
-        self._newest = number
+        self._newest_request = number
         return True
 
     # ---- views
 
-    def _carry(self, out: list[ViewOutput]) -> None:
+    def _apply_view_outputs(self, out: list[ViewOutput]) -> None:
         for item in out:
             if isinstance(item, PersistState):
                 self._write(("fact", ("state", cbor2.dumps(item.state.pack()))), ("kept", item.number))
             elif isinstance(item, ElectionMessage):
                 self._out.append(SendMessage(item.to, item.kind, item.body))
             else:
-                self._moved(item.view)
+                self._enter_view(item.view)
 
-    def _moved(self, view: View) -> None:
+    def _enter_view(self, view: View) -> None:
         current = self.view()
         if current is not None and current.number > view.number:
-            return  # already past it
-        was = self.active
+            return  # a newer view is already in force
+        was_active = self.active
         self.active = False
-        self._clean, self._sending, self._held = set(), {}, set()
+        self._caught_up, self._transfers, self._synced_backups = set(), {}, set()
         self._out.append(ViewInstalled(view))
-        self._forgo()
+        self._drop_staged_changes()
         if self.self_id not in view.backups:
-            self._wanted = set()
-            self._unstage(set())
+            self._expected_digests = set()
+            self._discard_chunks(set())
         if self.view_manager.is_primary():
             self.replicated_state.start(view.number)
             self.replicated_state.reassign_pending(set(view.backups), self.self_id)
             for backup in view.backups:
-                self._send_all(backup, view)
+                self._send_state(backup, view)
             self._activate(view)
         else:
-            self._resign()
-        if was and not self.active:
+            self._step_down()
+        if was_active and not self.active:
             self._out.append(ServingChanged(False))
 
-    def _resign(self) -> None:
-        self._forgo()
-        self._out += [ChangeResult(then, False) for then in self.replicated_state.abandon()]
+    def _step_down(self) -> None:
+        self._drop_staged_changes()
+        self._out += [ChangeResult(on_done, False) for on_done in self.replicated_state.abandon()]
         self._out.append(SteppedDown())
 
-    def _forgo(self) -> None:
-        """Changes that were not made yet."""
-        gone, self._planned = self._planned, deque()
+    def _drop_staged_changes(self) -> None:
+        """Reports staged changes that were not proposed yet as not done."""
+        dropped, self._staged_changes = self._staged_changes, deque()
         self.replicated_state.staged_changes = []
-        self._out += [ChangeResult(planned.then, False) for planned in gone]
+        self._out += [ChangeResult(staged.on_done, False) for staged in dropped]
 
-    # ---- numbers
+    # ---- numbered actions
 
-    def _write(self, what: tuple[str, Any], follows: tuple[Any, ...]) -> None:
-        self._numbers += 1
-        self._writes[self._numbers] = follows
-        self._out.append(Write(self._numbers, what))
+    def _write(self, what: tuple[str, Any], continuation: tuple[Any, ...]) -> None:
+        self._last_write_number += 1
+        self._pending_writes[self._last_write_number] = continuation
+        self._out.append(Write(self._last_write_number, what))
 
-    def _ask(self, backup: Replica, kind: str, body: list[Any], about: tuple[Any, ...], timeout: int) -> None:
-        view = about[2]
-        self._said += 1
-        self._asks[self._said] = about
+    def _request(self, backup: Replica, kind: str, body: list[Any], context: tuple[Any, ...], timeout: int) -> None:
+        view = context[2]
+        self._last_request_number += 1
+        self._requests[self._last_request_number] = context
         self._out.append(
             SendRequest(
-                self._said,
+                self._last_request_number,
                 backup,
                 kind,
-                [view.pack(), list(self.self_id), [self.start_number, self._said], *body],
+                [view.pack(), list(self.self_id), [self.start_number, self._last_request_number], *body],
                 timeout,
             )
         )
 
 
-def _rows(entries: list[Entry]) -> list[tuple[str, bytes]]:
+def _encode_rows(entries: list[Entry]) -> list[tuple[str, bytes]]:
     return [(key, cbor2.dumps([list(version), value])) for key, version, value in entries]
--- a/oakvale/controlplane/view_change.py
+++ b/oakvale/controlplane/view_change.py
@@ -1,26 +1,30 @@
-"""Who is primary: views of the control state, one after the other, each decided by the witnesses of the one before.
-
-No I/O and no clock. A view names its primary, the backups that hold all that was ever acknowledged in it, and
-the witnesses that decide on its successor. They keep nothing but views and ballots (single-decree Paxos for each
-successor; no log). A machine that lost its disk has another incarnation, hence is another seat: what it once
-promised can't be broken by it, and it votes again only after a view has admitted it.
-
-Safety, in three steps:
-- one successor for each view: ballots of a majority of the view's witnesses, synced before each answer;
-- a seat proposes only itself as primary, and only when it is complete: it holds all that was acknowledged;
-- a seat is complete in view n+1 if it was complete in n and is a copy in n+1, or once it has synced the state
-  that n+1's primary sent. That primary acknowledges nothing before all backups of n+1 are complete, and each
-  later change needs all of them; a backup that has moved on to another view refuses.
-
-A view may be decided long after its primary proposed it and died: then no copy of it is complete, nor ever will
-be. One backup's word that it is not complete and won't be voids the view: nothing was or will be acknowledged in
-it, so who was complete in the view before is complete in this one.
-
-Members change one step at a time. While a view's new copy is not whole, the copies of the view before still hold all
-(a void gives them the lead back), so no other change follows until it is, but to replace a copy that is lost. Then
-one witness may give its seat to a spare; a newcomer votes at once, as it is told the view with the first ballot.
-Where a zone or a region may be lost at once, a view that is whole is followed by one whose copies, then whose
-witnesses, stand in more of them, one seat at a time, until that can't be had.
+"""View changes: which replica is primary for the control state. Each view is decided by the witnesses of the view
+before it.
+
+This module does no I/O and reads no clock. A view names its primary, the backups that hold every acknowledged change of
+the view, and the witnesses that vote on its successor. Witnesses store only views and ballots (single-decree Paxos for
+each successor, without a log). A machine that has lost its disk gets a new incarnation and so is a new replica: it
+cannot break promises of the old one, and it votes only after a view has admitted it.
+
+Safety rests on three rules:
+
+- Each view has one successor: ballots need a majority of the view's witnesses, and each vote is synced to disk before
+  it is sent.
+- A replica proposes only itself as primary, and only while it is complete, which means that it holds every acknowledged
+  change.
+- A replica is complete in view n+1 if it was complete in view n and holds a copy in n+1, or once it has synced the
+  state sent by the primary of n+1. That primary acknowledges nothing until all backups of n+1 are complete, and every
+  later change needs all of them. A backup that has moved on to another view refuses.
+
+A view may be decided long after its primary proposed it and crashed. Then no copy of the view is complete, and none can
+become so. Once a single backup has promised that it is not complete and never will be, the view is void: nothing was or
+will be acknowledged in it, so the replicas that were complete in the view before are complete in this one too.
+
+Membership changes one step at a time. Until a new copy is complete, the copies of the previous view still hold
+everything (voiding the view returns the lead to them), so no other change follows in the meantime, except to replace a
+copy that is lost. After that, a spare may take the place of one witness. It can vote at once because the first ballot
+carries the view. Where a zone or region may fail as a whole, a complete view is followed by views that spread first the
+copies and then the witnesses over more zones or regions, one replica at a time, as long as that is possible.
 """
 
 from __future__ import annotations
@@ -31,19 +35,19 @@
 
 from oakvale.controlplane.failure_domains import FailureDomains
 
-Replica = tuple[str, str]  # where it is spoken to ("10.1.0.33:7340"), and its incarnation
+Replica = tuple[str, str]  # its address ("10.1.0.33:7340"), and its incarnation
 Ballot = tuple[int, Replica]
 
-BOOTSTRAP_INCARNATION = "founder"  # the incarnation of the seats that a new system starts with
+BOOTSTRAP_INCARNATION = "founder"  # of the replicas that a new system starts with
 NO_BALLOT: Ballot = (0, ("", ""))
-CAMPAIGN_TIMEOUT_SILENCES = 4  # times the silence, for one attempt at a successor
-SUCCESSOR_WAIT_SILENCES = (
-    2  # times the silence, until a witness gives its seat to a spare that came when it fell silent
-)
+CAMPAIGN_TIMEOUT_SILENCES = 4  # how long one campaign may take, in heartbeat timeouts
+SUCCESSOR_WAIT_SILENCES = 2  # until a spare that appeared at about the same time may replace a silent witness
 
 
 @dataclass(slots=True, frozen=True)
 class View:
+    """A numbered configuration of the control plane: its primary, backups and voting witnesses."""
+
     number: int
     primary: Replica
     backups: tuple[Replica, ...]
@@ -51,17 +55,21 @@
 
     @property
     def copies(self) -> tuple[Replica, ...]:
+        """The replicas that hold the whole state, primary first."""
         return (self.primary, *self.backups)
 
     @property
     def majority(self) -> int:
+        """How many witnesses have to agree on the successor."""
         return len(self.witnesses) // 2 + 1
 
     def pack(self) -> list[Any]:
+        """Encodes the view for messages and for storage."""
         return [self.number, list(self.primary), [list(s) for s in self.backups], [list(s) for s in self.witnesses]]
 
 
 def unpack_view(data: Any) -> View:
+    """Decodes what `View.pack` encoded."""
     number, primary, backups, witnesses = data
     return View(
         int(number), unpack_replica(primary), tuple(map(unpack_replica, backups)), tuple(map(unpack_replica, witnesses))
@@ -69,33 +77,35 @@
 
 
 def unpack_replica(data: Any) -> Replica:
+    """Decodes a replica from its address and incarnation."""
     address, incarnation = data
     return str(address), str(incarnation)
 
 
-def bootstrap_view(seeds: Iterable[str], copies: int) -> View:
-    """The first view, which all seats work out alike from the seeds of the first start."""
-    seats = tuple((address, BOOTSTRAP_INCARNATION) for address in sorted(set(seeds)))
-    return View(1, seats[0], seats[1:copies], seats)
+def bootstrap_view(seeds: Iterable[str], copy_count: int) -> View:
+    """The first view, which every seed computes identically from the list of seeds."""
+    replicas = tuple((address, BOOTSTRAP_INCARNATION) for address in sorted(set(seeds)))
+    return View(1, replicas[0], replicas[1:copy_count], replicas)
 
 
-def bootstrap_state(view: View, own: Replica) -> DurableState:
-    """What a founder begins with, and again as long as it has kept nothing newer: its copies lack nothing."""
-    return DurableState(view, complete=view.number if own in view.copies else 0)
+def bootstrap_state(view: View, self_id: Replica) -> DurableState:
+    """The state of a seed that has not stored anything newer. Copies of the first view are complete, as it is empty."""
+    return DurableState(view, complete=view.number if self_id in view.copies else 0)
 
 
 @dataclass(slots=True, frozen=True)
 class DurableState:
-    """What a seat keeps on disk, synced before it speaks of it."""
+    """What a replica stores on disk, synced before any message that depends on it is sent."""
 
     view: View | None = None
-    promised: Ballot = NO_BALLOT  # for the successor of `view`
+    promised: Ballot = NO_BALLOT  # the highest ballot promised for the successor of `view`
     accepted: tuple[Ballot, View] | None = None
-    complete: int = 0  # the newest view in which this seat holds all that was acknowledged
-    void: int = 0  # the newest view that it refuses to become complete in
+    complete: int = 0  # the newest view in which this replica holds every acknowledged change
+    void: int = 0  # the newest view in which it has refused to become complete
 
     def pack(self) -> list[Any]:
-        accepted = _packed(self.accepted)
+        """Encodes the state for storage."""
+        accepted = _pack_accepted(self.accepted)
         return [
             self.view.pack() if self.view else None,
             [self.promised[0], list(self.promised[1])],
@@ -106,30 +116,31 @@
 
 
 def unpack_durable_state(data: Any) -> DurableState:
+    """Decodes what `DurableState.pack` encoded."""
     view, promised, accepted, complete, void = data
     return DurableState(
         unpack_view(view) if view else None,
         (int(promised[0]), unpack_replica(promised[1])),
-        _unpacked(accepted),
+        _unpack_accepted(accepted),
         int(complete),
         int(void),
     )
 
 
-def _packed(accepted: tuple[Ballot, View] | None) -> list[Any] | None:
+def _pack_accepted(accepted: tuple[Ballot, View] | None) -> list[Any] | None:
     return [[accepted[0][0], list(accepted[0][1])], accepted[1].pack()] if accepted else None
 
 
-def _unpacked(data: Any) -> tuple[Ballot, View] | None:
+def _unpack_accepted(data: Any) -> tuple[Ballot, View] | None:
     return ((int(data[0][0]), unpack_replica(data[0][1])), unpack_view(data[1])) if data else None
 
 
-# ---- what comes out
+# ---- outputs, for the caller to carry out
 
 
 @dataclass(slots=True, frozen=True)
 class PersistState:
-    """Sync this, then call `kept(number)`."""
+    """Sync this state to disk, then call `persisted(number)`."""
 
     number: int
     state: DurableState
@@ -137,6 +148,8 @@
 
 @dataclass(slots=True, frozen=True)
 class ElectionMessage:
+    """Send this message of the election protocol to a replica."""
+
     to: Replica
     kind: str
     body: list[Any]
@@ -144,7 +157,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ViewAdopted:
-    """Another view is in force here."""
+    """Another view is now in force on this replica."""
 
     view: View
 
@@ -154,79 +167,87 @@
 
 @dataclass(slots=True)
 class Campaign:
-    """A proposer's attempt to have one successor decided."""
+    """A proposer's attempt to get one successor decided."""
 
-    value: View
+    proposed: View
     ballot: Ballot
     started_at: int
-    last_sent_at: int  # when it was put to the witnesses last
+    last_sent_at: int  # when messages were last sent to the witnesses
     promises: dict[Replica, tuple[Ballot, View] | None] = field(default_factory=dict)
     accepts: set[Replica] = field(default_factory=set)
-    chosen: View | None = None  # the value put to the vote, once a majority has promised
+    chosen: View | None = None  # the view put to the vote once a majority has promised
 
 
 class ViewManager:
-    """One seat's part. Times are microseconds of a steady clock that only the caller reads."""
+    """The part of one replica in view changes. Times are microseconds of a monotonic clock that the caller reads."""
 
     def __init__(
         self,
-        own: Replica,
+        self_id: Replica,
         state: DurableState,
-        copies: int,
-        silence: int,
-        patience: int,
+        copy_count: int,
+        silence_us: int,
+        replacement_delay_us: int,
         zone: str = "",
         domains: FailureDomains | None = None,
     ) -> None:
-        self.self_id, self.state = own, state
+        self.self_id, self.state = self_id, state
         self._domains = domains or FailureDomains()
-        self._copies, self._silence, self._patience = copies, silence, patience
+        self._copy_count, self._silence_us, self._replacement_delay_us = copy_count, silence_us, replacement_delay_us
         self._last_heartbeat: dict[Replica, int] = {}
-        self._zones: dict[Replica, str] = {own: zone} if zone else {}
-        self._spares: dict[Replica, int] = {}  # seats that ask to be let in, and since when they are heard
-        self._leaving: set[Replica] = set()  # those that said that they end, until they are heard of as before
-        self._released: set[Replica] = set()  # of those, whom this primary has let go: they hold no copy any more
-        self.self_leaving = False  # this seat is told to end
+        self._zones: dict[Replica, str] = {self_id: zone} if zone else {}
+        self._spares: dict[Replica, int] = {}  # replicas outside the view -> when first seen
+        self._leaving: set[Replica] = set()  # peers that are shutting down
+        self._released: set[Replica] = set()  # leaving peers that may stop and get no copy
+        self.self_leaving = False  # this replica is shutting down
         self._campaign: Campaign | None = None
         self._round = 0
         self._next_attempt_at = 0
         self._proposing_since = 0
         self._last_number = 0
-        self._after_persisted: dict[int, list[ViewOutput]] = {}  # said once the numbered state is synced
+        self._after_persisted: dict[int, list[ViewOutput]] = {}  # state number -> outputs that wait for its sync
         self._out: list[ViewOutput] = []
         self._started_at: int | None = None
-        self._persisted_view = state.view.number if state.view else 0  # the newest view that is on disk
-        self._voided_view = 0  # a view of its own that a backup has voided
+        self._persisted_view = state.view.number if state.view else 0  # the newest view on disk
+        self._voided_view = 0  # the newest view led here that a backup has voided
 
-    # ---- what it is told
+    # ---- events
 
-    def tick(self, now: int, healthy: bool = True, whole: bool = True) -> list[ViewOutput]:
-        """Several times a second. `healthy` is false while this seat's own disk does not answer, `whole` while it leads
-        and not all of its backups hold the state."""
+    def tick(self, now: int, disk_healthy: bool = True, backups_synced: bool = True) -> list[ViewOutput]:
+        """To be called several times a second. `disk_healthy` is false while the local disk does not respond;
+        `backups_synced` is false while this replica is primary and some backup does not hold the state yet."""
         self._started_at = now if self._started_at is None else self._started_at
         view = self.state.view
-        self._forget(now, view)
-        if view is not None and healthy and (now - self._started_at > self._silence or self._copy_lost(now, view)):
-            self._propose_if_needed(now, view, whole)
+        self._forget_stale_peers(now, view)
+        if (
+            view is not None
+            and disk_healthy
+            and (now - self._started_at > self._silence_us or self._copy_lost(now, view))
+        ):
+            self._propose_if_needed(now, view, backups_synced)
         return self._flush()
 
-    def _forget(self, now: int, view: View | None) -> None:
-        """Seats that are gone, but for those of the view."""
-        seats = (*view.copies, *view.witnesses) if view is not None else ()
-        for peer in [p for p, at in self._last_heartbeat.items() if p not in seats and now - at > self._patience]:
+    def _forget_stale_peers(self, now: int, view: View | None) -> None:
+        """Forgets peers that stopped responding long ago, except members of the view."""
+        replicas = (*view.copies, *view.witnesses) if view is not None else ()
+        for peer in [
+            p
+            for p, heard_at in self._last_heartbeat.items()
+            if p not in replicas and now - heard_at > self._replacement_delay_us
+        ]:
             del self._last_heartbeat[peer]
             self._zones.pop(peer, None)
         self._spares = {peer: since for peer, since in self._spares.items() if peer in self._last_heartbeat}
-        self._leaving &= {*self._last_heartbeat, *seats}
-        self._released &= {*self._last_heartbeat, *seats}
+        self._leaving &= {*self._last_heartbeat, *replicas}
+        self._released &= {*self._last_heartbeat, *replicas}
 
     def heartbeat_received(
-        self, now: int, peer: Replica, zone: str, view: View | None, leaves: bool = False
+        self, now: int, peer: Replica, zone: str, view: View | None, leaving: bool = False
     ) -> list[ViewOutput]:
-        """A peer's heartbeat, which names its seat and the view that it knows, and whether it is told to end."""
+        """Handles a heartbeat, which carries the peer's replica, its view and whether it is shutting down."""
         self._last_heartbeat[peer] = now
         self._zones[peer] = zone
-        if leaves:
+        if leaving:
             self.mark_leaving(peer)
         else:
             self._leaving.discard(peer)
@@ -239,6 +260,7 @@
         return self._flush()
 
     def message(self, now: int, sender: Replica, kind: str, body: list[Any]) -> list[ViewOutput]:
+        """Handles a message of the election protocol."""
         {
             "prepare": self._prepare,
             "promise": self._promise,
@@ -252,14 +274,14 @@
         return self._flush()
 
     def learn(self, view: View) -> list[ViewOutput]:
-        """A decided view, from whoever acts in it."""
+        """Adopts a decided view that some replica already acts on."""
         self._learn(view)
         return self._flush()
 
     def persisted(self, number: int) -> list[ViewOutput]:
-        """The state of this number, hence all before it, is on disk."""
-        for known in sorted(n for n in self._after_persisted if n <= number):
-            after = self._after_persisted.pop(known)
+        """The state with this number, and thus all earlier ones, is on disk."""
+        for persisted_number in sorted(n for n in self._after_persisted if n <= number):
+            after = self._after_persisted.pop(persisted_number)
             self._persisted_view = max(
                 [self._persisted_view, *(item.view.number for item in after if isinstance(item, ViewAdopted))]
             )
@@ -267,99 +289,107 @@
         return self._flush()
 
     def synced(self, view: int) -> list[ViewOutput]:
-        """All that the primary of this view sent is on disk here."""
+        """Everything that the primary of this view sent is on the local disk."""
         number = self.state.view.number if self.state.view else 0
         if number == view and self.state.complete < view and self.state.void != view:
-            self._keep(replace(self.state, complete=view), [])
+            self._persist(replace(self.state, complete=view), [])
         return self._flush()
 
     def voided_by_backup(self, view: int) -> None:
-        """A backup will never be complete in this seat's view: it needs another."""
+        """A backup will never be complete in the view of which this replica is primary, so another view is needed."""
         self._voided_view = max(self._voided_view, view)
 
-    # ---- what it knows
+    # ---- queries
 
     def is_primary(self) -> bool:
+        """Whether this replica is primary of the view that it knows, and complete in it."""
         view = self.state.view
         return view is not None and view.primary == self.self_id and self.state.complete == view.number
 
     def alive(self, peer: Replica, now: int) -> bool:
-        return peer == self.self_id or now - self._last_heartbeat.get(peer, -self._silence) < self._silence
+        """Whether the peer has sent a heartbeat recently."""
+        return peer == self.self_id or now - self._last_heartbeat.get(peer, -self._silence_us) < self._silence_us
 
     def is_available(self, peer: Replica, now: int) -> bool:
-        """Up, and not told to end."""
+        """Whether the peer is alive and not shutting down."""
         return self.alive(peer, now) and peer not in self._leaving
 
     def mark_leaving(self, peer: Replica) -> None:
-        """It is told to end. It serves on until others have taken over."""
+        """The peer is shutting down; it keeps its duties until other replicas do them."""
         self._leaving.add(peer)
 
     def release(self, peer: Replica) -> None:
+        """This primary has allowed the peer to shut down."""
         self._released.add(peer)
 
     def is_leaving(self, peer: Replica) -> bool:
+        """Whether the peer has announced that it is shutting down."""
         return peer in self._leaving
 
     def peer_stopped(self, peer: Replica) -> None:
-        """It ends now; until it is heard again it counts as silent."""
+        """The peer stops now and counts as not responding until its next heartbeat."""
         self._last_heartbeat.pop(peer, None)
         self._spares.pop(peer, None)
         self._leaving.add(peer)
 
     def is_persisted(self, view: View) -> bool:
+        """Whether this view is the newest one on disk."""
         return self._persisted_view == view.number
 
     def majority_reachable(self, now: int) -> bool:
-        """Most witnesses of the view that is known here are heard."""
+        """Whether most witnesses of the known view are sending heartbeats."""
         view = self.state.view
         return view is not None and sum(self.alive(peer, now) for peer in view.witnesses) >= view.majority
 
-    def too_few_remain(self, now: int, leaver: Replica, view: View) -> bool:
-        """Without this one there are fewer machines than copies, up or down: nobody can take its place."""
-        left = {leaver, *self._leaving} | ({self.self_id} if self.self_leaving else set())
+    def too_few_remain(self, now: int, leaving_peer: Replica, view: View) -> bool:
+        """Whether fewer machines than copies remain without this one, counting those that do not respond, so that
+        nobody can replace it."""
+        leaving = {leaving_peer, *self._leaving} | ({self.self_id} if self.self_leaving else set())
         spares = {peer for peer in self._spares if self.is_available(peer, now)}
-        return len({*view.witnesses, *spares} - left) < self._copies
+        return len({*view.witnesses, *spares} - leaving) < self._copy_count
 
     def _copy_lost(self, now: int, view: View) -> bool:
-        """A copy's address speaks as another seat, so its disk is gone; and enough are up to decide on that."""
-        speak = {spare[0] for spare in self._spares if self.alive(spare, now)}
+        """Whether a copy's address responds as another replica, so that the copy's disk is lost, and a majority is up
+        to decide on a successor."""
+        responding = {spare[0] for spare in self._spares if self.alive(spare, now)}
         return (
-            any(peer[0] in speak and not self.alive(peer, now) for peer in view.copies)
+            any(peer[0] in responding and not self.alive(peer, now) for peer in view.copies)
             and sum(self.alive(peer, now) for peer in view.witnesses) >= view.majority
         )
 
     # ---- proposing
 
-    def _propose_if_needed(self, now: int, view: View, whole: bool) -> None:
+    def _propose_if_needed(self, now: int, view: View, backups_synced: bool) -> None:
+        """Starts or continues a campaign if this replica should lead another view."""
         campaign = self._campaign
-        if campaign is not None and now - campaign.started_at < CAMPAIGN_TIMEOUT_SILENCES * self._silence:
+        if campaign is not None and now - campaign.started_at < CAMPAIGN_TIMEOUT_SILENCES * self._silence_us:
             return self._resend(now, view, campaign)
         self._campaign = None
         if now < self._next_attempt_at or self._persisted_view != view.number:
-            return  # not on disk: after a crash it'd be back in the view before, and not complete in one it won here
+            return  # after a crash it would be back in the view before, and incomplete in the view won here
         if self.state.complete == view.number - 1 and not self.alive(view.primary, now):
-            self._next_attempt_at = now + self._silence // 2
+            self._next_attempt_at = now + self._silence_us // 2
             self._out += [ElectionMessage(backup, "void", [view.pack()]) for backup in view.backups]
         if self.state.complete != view.number:
             return
-        wanted = self.proposed_view(now, view, whole)
+        wanted = self.proposed_view(now, view, backups_synced)
         if wanted is None:
             self._proposing_since = 0
             return
-        # copies of a rank wait for those before them that are up: two proposers at once only delay each other
+        # a copy waits for available copies that precede it: concurrent proposers only delay each other
         before = view.copies[: view.copies.index(self.self_id)] if self.self_id in view.copies else view.copies
         rank = sum(self.is_available(peer, now) for peer in before)
         self._proposing_since = self._proposing_since or now
-        if now - self._proposing_since < rank * self._silence // 4:
+        if now - self._proposing_since < rank * self._silence_us // 4:
             return
         self._round += 1
-        self._next_attempt_at = now + self._silence // 2 * (1 + rank)
+        self._next_attempt_at = now + self._silence_us // 2 * (1 + rank)
         ballot = (max(self._round, self.state.promised[0] + 1), self.self_id)
         self._round = ballot[0]
         self._campaign = Campaign(wanted, ballot, now, now)
-        # its own promise comes to disk first: after a crash the same ballot must not go out with another value
+        # synced first: after a crash the same ballot must not be sent with another view
         packed = [ballot[0], list(ballot[1])]
-        self._keep(
+        self._persist(
             replace(self.state, promised=ballot),
             [
                 *(
@@ -367,13 +397,14 @@
                     for witness in view.witnesses
                     if witness != self.self_id
                 ),
-                ElectionMessage(self.self_id, "promise", [view.number, packed, _packed(self.state.accepted)]),
+                ElectionMessage(self.self_id, "promise", [view.number, packed, _pack_accepted(self.state.accepted)]),
             ],
         )
 
     def _resend(self, now: int, view: View, campaign: Campaign) -> None:
-        """Words get lost, and disks may be slow: a new ballot each time would overtake its own answers."""
-        if now - campaign.last_sent_at < self._silence or self.self_id not in campaign.promises:
+        """Repeats lost messages under the same ballot; a new ballot each time would invalidate the votes of witnesses
+        with slow disks."""
+        if now - campaign.last_sent_at < self._silence_us or self.self_id not in campaign.promises:
             return
         campaign.last_sent_at = now
         packed = [campaign.ballot[0], list(campaign.ballot[1])]
@@ -383,35 +414,47 @@
             elif campaign.chosen is None and witness not in campaign.promises:
                 self._out.append(ElectionMessage(witness, "prepare", [view.pack(), packed]))
 
-    def proposed_view(self, now: int, view: View, whole: bool) -> View | None:
-        """The successor that this seat would have; None where the view in force serves, or has to be whole first."""
-        void = self._voided_view == view.number or self.self_id not in view.copies  # complete, no copy: it was voided
-        leads = self.self_id == view.primary
-        if not void and not leads and (self.alive if self.self_leaving else self.is_available)(view.primary, now):
+    def proposed_view(self, now: int, view: View, backups_synced: bool) -> View | None:
+        """The successor that this replica would propose, or None if the current view works or has to become complete
+        first."""
+        # a replica that is complete without being a copy knows that the view was voided
+        voided = self._voided_view == view.number or self.self_id not in view.copies
+        is_leading = self.self_id == view.primary
+        if (
+            not voided
+            and not is_leading
+            and (self.alive if self.self_leaving else self.is_available)(view.primary, now)
+        ):
             return None
         if (
-            not void
-            and leads
-            and not (whole and not self.self_leaving)
+            not voided
+            and is_leading
+            and not (backups_synced and not self.self_leaving)
             and all(self.is_available(b, now) for b in view.backups)
         ):
-            return None  # a copy is on its way, or takes over from this seat
+            return None  # a copy is being synced, or is taking over from this replica
         witnesses = self._with_replaced_disks(now, view)
         backups = self._backups(now, view, witnesses)
         if backups is None or self.self_id not in witnesses:
-            return None  # too few for two copies: nothing may be acknowledged, so nothing changes
-        if not leads and view.primary in backups:
-            return None  # it leaves, but there is nobody else
-        if leads and whole and not void and witnesses == view.witnesses and set(backups) == set(view.backups):
+            return None  # too few replicas to acknowledge anything in a new view
+        if not is_leading and view.primary in backups:
+            return None  # it is shutting down, but nobody else can hold its copy
+        if (
+            is_leading
+            and backups_synced
+            and not voided
+            and witnesses == view.witnesses
+            and set(backups) == set(view.backups)
+        ):
             backups = self._spread_backups(now, view, backups)
             witnesses = self._next_witnesses(now, view) if set(backups) == set(view.backups) else witnesses
-        found = View(view.number + 1, self.self_id, backups, witnesses)
-        same = leads and (set(backups), set(witnesses)) == (set(view.backups), set(view.witnesses))
-        return None if same and not void else found
+        successor = View(view.number + 1, self.self_id, backups, witnesses)
+        unchanged = is_leading and (set(backups), set(witnesses)) == (set(view.backups), set(view.witnesses))
+        return None if unchanged and not voided else successor
 
     def _with_replaced_disks(self, now: int, view: View) -> tuple[Replica, ...]:
-        """The witnesses, with one whose disk was lost as the seat that its address has now: it will never speak as the
-        old one again."""
+        """The witnesses, with one that lost its disk replaced by the replica that now has its address: the old one
+        never responds again."""
         for spare in sorted(self._spares):
             for peer in view.witnesses:
                 if peer[0] == spare[0] and peer != spare and self.is_available(spare, now):
@@ -419,62 +462,64 @@
         return view.witnesses
 
     def _backups(self, now: int, view: View, witnesses: tuple[Replica, ...]) -> tuple[Replica, ...] | None:
-        """Who would hold copies beside this seat: those that do, then others, best in other zones. One that leaves
-        only if there is nobody else."""
-        up = [w for w in witnesses if w != self.self_id and self.alive(w, now) and w not in self._released]
-        taken = [b for b in view.backups if b in up and self.is_available(b, now)]
-        need = min(self._copies, len(witnesses)) - 1
-        if len(up) < need:
+        """Who would hold copies beside this replica: the current backups, then others, preferably in other zones.
+        Replicas that are shutting down come last."""
+        reachable = [w for w in witnesses if w != self.self_id and self.alive(w, now) and w not in self._released]
+        chosen = [b for b in view.backups if b in reachable and self.is_available(b, now)]
+        backup_count = min(self._copy_count, len(witnesses)) - 1
+        if len(reachable) < backup_count:
             return None
-        while len(taken) < need:
-            zones = {self._zones.get(b) for b in (self.self_id, *taken)}
-            taken.append(
+        while len(chosen) < backup_count:
+            zones = {self._zones.get(b) for b in (self.self_id, *chosen)}
+            chosen.append(
                 min(
-                    (w for w in up if w not in taken),
+                    (w for w in reachable if w not in chosen),
                     key=lambda w: (
                         not self.is_available(w, now),
-                        self._colocation_cost((self.self_id, *taken, w)),
+                        self._colocation_cost((self.self_id, *chosen, w)),
                         self._zones.get(w) in zones,
                         w,
                     ),
                 )
             )
-        return tuple(taken[:need])
+        return tuple(chosen[:backup_count])
 
-    def _colocation_cost(self, seats: Iterable[Replica]) -> tuple[int, int]:
-        return self._domains.colocation_cost(self._zones.get(one) for one in seats)
+    def _colocation_cost(self, replicas: Iterable[Replica]) -> tuple[int, int]:
+        return self._domains.colocation_cost(self._zones.get(one) for one in replicas)
 
     def _spread_backups(self, now: int, view: View, backups: tuple[Replica, ...]) -> tuple[Replica, ...]:
-        """The backups, with a witness in the place of one that shares its zone, or region, with another copy, where
-        such a place may be lost at once."""
+        """The backups, after moving one out of a zone or region that it shares with another copy, if that one may fail
+        as a whole."""
         free = [w for w in view.witnesses if w not in view.copies and self.is_available(w, now)]
-        others = [tuple(w if b == backup else b for b in backups) for w in sorted(free) for backup in backups]
-        return self._less_colocated(backups, others, (self.self_id,))
+        candidates = [tuple(w if b == backup else b for b in backups) for w in sorted(free) for backup in backups]
+        return self._less_colocated(backups, candidates, (self.self_id,))
 
     def _less_colocated(
-        self, seats: tuple[Replica, ...], others: Iterable[tuple[Replica, ...]], beside: tuple[Replica, ...] = ()
+        self, replicas: tuple[Replica, ...], candidates: Iterable[tuple[Replica, ...]], beside: tuple[Replica, ...] = ()
     ) -> tuple[Replica, ...]:
-        """The most even of the others if it is more even than `seats`. Who was never heard may stand anywhere."""
-        known = [one for one in others if all(peer in self._zones for peer in (*one, *beside))]
-        best = min(known, key=lambda one: self._colocation_cost((*one, *beside)), default=seats)
-        even = all(peer in self._zones for peer in seats) and (
-            self._colocation_cost((*best, *beside)) < self._colocation_cost((*seats, *beside))
+        """The least colocated of the candidates if it is better than `replicas`. The zone of a replica that never sent
+        a heartbeat is unknown; candidates with such a replica are not considered."""
+        known = [candidate for candidate in candidates if all(peer in self._zones for peer in (*candidate, *beside))]
+        best = min(known, key=lambda candidate: self._colocation_cost((*candidate, *beside)), default=replicas)
+        improves = all(peer in self._zones for peer in replicas) and (
+            self._colocation_cost((*best, *beside)) < self._colocation_cost((*replicas, *beside))
         )
-        return best if even else seats
+        return best if improves else replicas
 
     def _next_witnesses(self, now: int, view: View) -> tuple[Replica, ...]:
-        """The witnesses, with one more where seeds were fewer than it takes to lose all copies but one, or with a spare
-        in the place of one that is gone, or of one that holds no copy and stands where others do."""
+        """The witnesses after one change: one is added if there are too few to survive the loss of all copies but one,
+        or a spare takes the place of one that is gone, or of one that holds no copy and shares a zone or region with
+        others."""
         staying = [w for w in view.witnesses if self.is_available(w, now)]
         zones = {self._zones.get(w) for w in staying}
         spares = [spare for spare in self._spares if self.is_available(spare, now) and spare not in view.witnesses]
         for spare in sorted(
             spares, key=lambda s: (self._colocation_cost((*staying, s)), self._zones.get(s) in zones, s)
         ):
-            gone = next((w for w in view.witnesses if self._may_be_replaced(now, w, spare)), None)
-            if gone is not None:
-                return tuple(spare if w == gone else w for w in view.witnesses)
-            if len(view.witnesses) < 2 * self._copies - 1:
+            replaceable = next((w for w in view.witnesses if self._may_be_replaced(now, w, spare)), None)
+            if replaceable is not None:
+                return tuple(spare if w == replaceable else w for w in view.witnesses)
+            if len(view.witnesses) < 2 * self._copy_count - 1:
                 return (*view.witnesses, spare)
         return self._less_colocated(
             view.witnesses,
@@ -487,15 +532,19 @@
         )
 
     def _may_be_replaced(self, now: int, witness: Replica, spare: Replica) -> bool:
-        """It said that it ends, or is silent: for long, or for a short while if the spare came at about that time,
-        which was brought as its successor then. One that was there all along waits for it to come back."""
+        """Whether the spare may replace this witness: it is shutting down, or has not responded for the replacement
+        delay. A shorter time is enough if the spare first appeared around then, as it was probably started as the
+        replacement. A spare that was there before leaves the witness time to restart."""
         if witness == self.self_id or self.is_available(witness, now):
             return False
-        born = self._started_at or 0
-        last, came = max(self._last_heartbeat.get(witness, 0), born), self._spares[spare]
-        successor = came > born + SUCCESSOR_WAIT_SILENCES * self._silence and came > last - self._patience
-        return witness in self._leaving or now - last > (
-            SUCCESSOR_WAIT_SILENCES * self._silence if successor else self._patience
+        started_at = self._started_at or 0
+        last_heartbeat, spare_since = max(self._last_heartbeat.get(witness, 0), started_at), self._spares[spare]
+        successor = (
+            spare_since > started_at + SUCCESSOR_WAIT_SILENCES * self._silence_us
+            and spare_since > last_heartbeat - self._replacement_delay_us
+        )
+        return witness in self._leaving or now - last_heartbeat > (
+            SUCCESSOR_WAIT_SILENCES * self._silence_us if successor else self._replacement_delay_us
         )
 
     def _promise(self, now: int, sender: Replica, body: list[Any]) -> None:
@@ -505,11 +554,11 @@
             return
         if sender not in view.witnesses or campaign.chosen is not None:
             return
-        campaign.promises[sender] = _unpacked(accepted)
+        campaign.promises[sender] = _unpack_accepted(accepted)
         if len(campaign.promises) < view.majority:
             return
         earlier = [promise for promise in campaign.promises.values() if promise is not None]
-        campaign.chosen = max(earlier, key=lambda p: p[0])[1] if earlier else campaign.value
+        campaign.chosen = max(earlier, key=lambda p: p[0])[1] if earlier else campaign.proposed
         for witness in view.witnesses:
             self._out.append(
                 ElectionMessage(witness, "accept", [view.pack(), [ballot[0], list(ballot[1])], campaign.chosen.pack()])
@@ -537,14 +586,14 @@
         if self._campaign is not None and self._campaign.ballot[0] <= int(body[1]):
             self._campaign = None
 
-    # ---- witnessing
+    # ---- voting as a witness
 
     def _prepare(self, now: int, sender: Replica, body: list[Any]) -> None:
         view, ballot = unpack_view(body[0]), (int(body[1][0]), unpack_replica(body[1][1]))
         if not self._may_vote(view, ballot, sender):
             return
-        packed = _packed(self.state.accepted)
-        self._keep(
+        packed = _pack_accepted(self.state.accepted)
+        self._persist(
             replace(self.state, promised=ballot),
             [ElectionMessage(sender, "promise", [view.number, [ballot[0], list(ballot[1])], packed])],
         )
@@ -553,27 +602,28 @@
         view, ballot, value = unpack_view(body[0]), (int(body[1][0]), unpack_replica(body[1][1])), unpack_view(body[2])
         if not self._may_vote(view, ballot, sender):
             return
-        self._keep(
+        self._persist(
             replace(self.state, promised=ballot, accepted=(ballot, value)),
             [ElectionMessage(sender, "accepted", [view.number, [ballot[0], list(ballot[1])]])],
         )
 
     def _may_vote(self, view: View, ballot: Ballot, sender: Replica) -> bool:
-        """A view that somebody proposes to succeed is decided: whoever lags adopts it first."""
+        """Whether this witness may vote for the ballot. A view that has a proposed successor is decided, so it is
+        adopted first."""
         self._learn(view)
-        own = self.state.view
-        assert own is not None
-        if own.number != view.number or ballot < self.state.promised:
-            self._out.append(ElectionMessage(sender, "refused", [own.pack(), self.state.promised[0]]))
+        current = self.state.view
+        assert current is not None
+        if current.number != view.number or ballot < self.state.promised:
+            self._out.append(ElectionMessage(sender, "refused", [current.pack(), self.state.promised[0]]))
             return False
-        return self.self_id in own.witnesses
+        return self.self_id in current.witnesses
 
     def _void(self, now: int, sender: Replica, body: list[Any]) -> None:
         view = unpack_view(body[0])
         self._learn(view)
-        own = self.state.view
-        if own == view and self.self_id in view.backups and self.state.complete < view.number:
-            self._keep(replace(self.state, void=view.number), [ElectionMessage(sender, "voided", [view.number])])
+        current = self.state.view
+        if current == view and self.self_id in view.backups and self.state.complete < view.number:
+            self._persist(replace(self.state, void=view.number), [ElectionMessage(sender, "voided", [view.number])])
 
     def _voided(self, now: int, sender: Replica, body: list[Any]) -> None:
         view = self.state.view
@@ -583,27 +633,32 @@
             and sender in view.backups
             and self.state.complete == view.number - 1
         ):
-            self._keep(replace(self.state, complete=view.number), [])
+            self._persist(replace(self.state, complete=view.number), [])
 
     def _decided(self, now: int, sender: Replica, body: list[Any]) -> None:
         self._learn(unpack_view(body[0]))
 
-    # ---- keeping
+    # ---- persistence
 
     def _learn(self, view: View) -> None:
-        """Adopts a decided view that is newer. Complete stays what was, if it is a copy in the very next."""
-        own = self.state.view
-        if own is not None and view.number <= own.number:
+        """Adopts a newer decided view. A replica that is complete stays so if it holds a copy in the very next view."""
+        current = self.state.view
+        if current is not None and view.number <= current.number:
             return
         complete = self.state.complete
-        if own is not None and complete == own.number and view.number == own.number + 1 and self.self_id in view.copies:
+        if (
+            current is not None
+            and complete == current.number
+            and view.number == current.number + 1
+            and self.self_id in view.copies
+        ):
             complete = view.number
         self._campaign = None
         self._proposing_since = 0
         self._spares = {s: t for s, t in self._spares.items() if s not in view.witnesses}
-        self._keep(DurableState(view, NO_BALLOT, None, complete, self.state.void), [ViewAdopted(view)])
+        self._persist(DurableState(view, NO_BALLOT, None, complete, self.state.void), [ViewAdopted(view)])
 
-    def _keep(self, state: DurableState, after: list[ViewOutput]) -> None:
+    def _persist(self, state: DurableState, after: list[ViewOutput]) -> None:
         self.state = state
         self._last_number += 1
         self._after_persisted[self._last_number] = after
@@ -611,10 +666,10 @@
 
     def _flush(self) -> list[ViewOutput]:
         out, self._out = self._out, []
-        said = []
+        messages = []
         for item in out:
             if isinstance(item, ElectionMessage) and item.to == self.self_id:
-                said += self.message(0, item.to, item.kind, item.body)  # it is one of the witnesses too
+                messages += self.message(0, item.to, item.kind, item.body)  # the proposer votes as a witness too
             else:
-                said.append(item)
-        return said
+                messages.append(item)
+        return messages
--- a/oakvale/lab/modelcheck/breakages.py
+++ b/oakvale/lab/modelcheck/breakages.py
@@ -69,7 +69,7 @@
     if not self._in_order(view, sender, body[2]) or self.view_manager.state.complete != view.number:
         return self._out.append(replication.Reply(ticket, False))
     self.replicated_state.apply(entries)
-    self._write(("rows", replication._rows(entries)), ("gone",))
+    self._write(("rows", replication._encode_rows(entries)), ("gone",))
     self._out.append(replication.Reply(ticket, True))
 
 
@@ -113,7 +113,7 @@
 
 
 def _promise_before_disk(
-    self: ViewManager, state: Any, after: list[ViewOutput], real: Callable[..., None] = ViewManager._keep
+    self: ViewManager, state: Any, after: list[ViewOutput], real: Callable[..., None] = ViewManager._persist
 ) -> None:
     early = [item for item in after if isinstance(item, ElectionMessage)]
     real(self, state, [item for item in after if not isinstance(item, ElectionMessage)])
@@ -124,11 +124,11 @@
     own = self.state.view
     real(self, view)
     if self.state.view is not own and self.self_id in view.copies:
-        self._keep(replace(self.state, complete=view.number), [ViewAdopted(view)])
+        self._persist(replace(self.state, complete=view.number), [ViewAdopted(view)])
 
 
 def _no_order(self: Replicator, view: View, sender: Replica, order: Any) -> bool:
-    return self._follows(view, sender)
+    return self._is_backup_in(view, sender)
 
 
 def _refusal_counts(
@@ -171,7 +171,7 @@
     self: Replicator, number: int, real: Callable[..., list[replication.Action]] = Replicator.written
 ) -> list[replication.Action]:
     """A piece on its disk, and it calls itself complete."""
-    staged, view = self._writes[number][0] == "piece", self.view()
+    staged, view = self._pending_writes[number][0] == "piece", self.view()
     out = real(self, number)
     return [*out, *self.apply_view_outputs(self.view_manager.synced(view.number))] if staged and view else out
 
@@ -220,9 +220,13 @@
 
 
 def _two_at_once(
-    self: ViewManager, now: int, view: View, whole: bool, real: Callable[..., View | None] = ViewManager.proposed_view
+    self: ViewManager,
+    now: int,
+    view: View,
+    backups_synced: bool,
+    real: Callable[..., View | None] = ViewManager.proposed_view,
 ) -> View | None:
-    found = real(self, now, view, whole)
+    found = real(self, now, view, backups_synced)
     spare = min((s for s in self._spares if s not in view.witnesses), default=None)
     if found is None or spare is None or set(found.copies) == set(view.copies):
         return found
@@ -264,7 +268,7 @@
     Breakage(
         "gap",
         "a backup takes changes that do not follow on what it has",
-        ((Replicator, "_follows_on", lambda self, before: True),),
+        ((Replicator, "_is_contiguous", lambda self, before: True),),
         replace(QUIET, writes=2),
     ),
     Breakage(
@@ -297,7 +301,7 @@
     Breakage(
         "words-before-disk",
         "a witness answers before what it says is on its disk",
-        ((ViewManager, "_keep", _promise_before_disk),),
+        ((ViewManager, "_persist", _promise_before_disk),),
         replace(QUIET, wakes=2, kills=1),
         heals=2,
     ),
@@ -344,13 +348,13 @@
     Breakage(
         "released-early",
         "a primary lets one go whose copy is not whole elsewhere yet",
-        ((Replicator, "_releases", _releases_early),),
+        ((Replicator, "_may_release", _releases_early),),
         replace(QUIET, wakes=1, leaves=1),
     ),
     Breakage(
         "released-by-the-view-before",
         "a primary lets one go because its view before was whole",
-        ((Replicator, "_serves", lambda self, view: self.active and view.primary == self.self_id),),
+        ((Replicator, "_serves_in", lambda self, view: self.active and view.primary == self.self_id),),
         replace(QUIET, wakes=1, leaves=1),
     ),
     Breakage(
--- a/oakvale/lab/modelcheck/machine.py
+++ b/oakvale/lab/modelcheck/machine.py
@@ -297,8 +297,8 @@
             view_manager._campaign.started_at = view_manager._campaign.last_sent_at = 0
         if not view_manager._after_persisted:
             view_manager._last_number = 0  # only their order counts
-        if not part._writes:
-            part._numbers = 0
+        if not part._pending_writes:
+            part._last_write_number = 0
 
     # ---- as a value
 
@@ -401,12 +401,12 @@
         self.active = part is not None and part.active and view is not None and view.primary == part.self_id
         self.view = frozen(view.pack()) if view else None
         self.gone = machine.gone
-        self.released = part._released if part else 0
+        self.released = part._released_in_view if part else 0
         self.leaving = part is not None and part.view_manager.self_leaving
         self.may_go = part is not None and self.leaving and part.may_leave(NOW)
         self.leases = machine.leases
         self.leads = view if view is not None and part is not None and view.primary == part.self_id else None
-        self.asks = tuple(part._asks) if part else ()
+        self.asks = tuple(part._requests) if part else ()
         self.campaigns = part is not None and part.view_manager._campaign is not None
         self.waiting = (
             frozenset(p.on_done.number for p in part.replicated_state._pending if isinstance(p.on_done, Author))
--- a/oakvale/lab/undone.py
+++ b/oakvale/lab/undone.py
@@ -16,7 +16,7 @@
     Replica,
     View,
     ViewManager,
-    _packed,
+    _pack_accepted,
 )
 from oakvale.dissemination.feed import Feed, log_event
 from oakvale.policy.limits import Limits
@@ -27,34 +27,34 @@
     return False
 
 
-def propose_if_needed(self: ViewManager, now: int, view: View, whole: bool) -> None:
-    """As `ViewManager._propose_if_needed`, but copies waited for all before them, dead ones too: inc-5ca6 and four more."""
+def propose_if_needed(self: ViewManager, now: int, view: View, backups_synced: bool) -> None:
+    """As `ViewManager._propose_if_needed`, but copies waited for all before them, dead ones too: inc-5ca6, 4 more."""
     campaign = self._campaign
-    if campaign is not None and now - campaign.started_at < CAMPAIGN_TIMEOUT_SILENCES * self._silence:
+    if campaign is not None and now - campaign.started_at < CAMPAIGN_TIMEOUT_SILENCES * self._silence_us:
         return self._resend(now, view, campaign)
     self._campaign = None
     if now < self._next_attempt_at or self._persisted_view != view.number:
         return
     if self.state.complete == view.number - 1 and not self.alive(view.primary, now):
-        self._next_attempt_at = now + self._silence // 2
+        self._next_attempt_at = now + self._silence_us // 2
         self._out += [ElectionMessage(backup, "void", [view.pack()]) for backup in view.backups]
     if self.state.complete != view.number:
         return
-    wanted = self.proposed_view(now, view, whole)
+    wanted = self.proposed_view(now, view, backups_synced)
     if wanted is None:
         self._proposing_since = 0
         return
     rank = view.copies.index(self.self_id) if self.self_id in view.copies else len(view.copies)
     self._proposing_since = self._proposing_since or now
-    if now - self._proposing_since < rank * self._silence // 4:
+    if now - self._proposing_since < rank * self._silence_us // 4:
         return
     self._round += 1
-    self._next_attempt_at = now + self._silence // 2 * (1 + rank)
+    self._next_attempt_at = now + self._silence_us // 2 * (1 + rank)
     ballot: tuple[int, Replica] = (max(self._round, self.state.promised[0] + 1), self.self_id)
     self._round = ballot[0]
     self._campaign = Campaign(wanted, ballot, now, now)
     packed: list[Any] = [ballot[0], list(ballot[1])]
-    self._keep(
+    self._persist(
         replace(self.state, promised=ballot),
         [
             *(
@@ -62,7 +62,7 @@
                 for witness in view.witnesses
                 if witness != self.self_id
             ),
-            ElectionMessage(self.self_id, "promise", [view.number, packed, _packed(self.state.accepted)]),
+            ElectionMessage(self.self_id, "promise", [view.number, packed, _pack_accepted(self.state.accepted)]),
         ],
     )
 
@@ -106,8 +106,8 @@
 
 
 def latest_items(self: ReplicatedState, prefix: str) -> dict[str, Any]:
-    """As `ReplicatedState.latest_items`, but what is made once its pieces are with the backups was left out: of two orders under
-    one number that came in one another's wake, both were confirmed (drawn day 14003)."""
+    """As `ReplicatedState.latest_items`, but what is made once its pieces are with the backups was left out: of two
+    orders under one number that came in one another's wake, both were confirmed (drawn day 14003)."""
     found = dict(self.table.items(prefix))
     for pending in self._pending:
         found |= {key[len(prefix) :]: value for key, _, value in pending.entries if key.startswith(prefix)}
--- a/tests/test_modelcheck.py
+++ b/tests/test_modelcheck.py
@@ -132,7 +132,7 @@
     one, other = model.machine(number), model.machine(number)
     assert one is not other and one.key() == other.key()
     assert isinstance(one.part, Replicator)
-    one.part._newest = (1, 1, 9)
+    one.part._newest_request = (1, 1, 9)
     assert one.key() != other.key()
 
 
