--- a/oakvale/controlplane/replication.py
+++ b/oakvale/controlplane/replication.py
@@ -159,22 +159,24 @@
 
 
 def load_start_state(
-    address: str, stored: bytes | None, state: bytes | None, first: View | None, fresh: Callable[[], str]
+    address: str, stored: bytes | None, state: bytes | None, bootstrap: View | None, new_incarnation: Callable[[], str]
 ) -> StartState:
-    """Restores a replica from the stored facts "self" and "state". `first` is the bootstrap view if the replica is a
-    seed of a new system that starts for the first time; `fresh` returns an incarnation that was never used."""
-    begins: list[Any] | None = None
+    """Restores a replica from the stored facts "self" and "state". `bootstrap` is the initial view if the replica is a
+    seed of a new system that starts for the first time; `new_incarnation` returns one that was never used."""
+    packed_bootstrap: list[Any] | None = None
     if stored is not None:
-        incarnation, life, begins = cbor2.loads(stored)
-    elif first is not None:
-        incarnation, life, begins = BOOTSTRAP_INCARNATION, 0, first.pack()
+        incarnation, earlier_starts, packed_bootstrap = cbor2.loads(stored)
+    elif bootstrap is not None:
+        incarnation, earlier_starts, packed_bootstrap = BOOTSTRAP_INCARNATION, 0, bootstrap.pack()
     else:
-        incarnation, life = fresh(), 0
-    own = (address, incarnation)
-    durable = bootstrap_state(unpack_view(begins), own) if begins else DurableState()
+        incarnation, earlier_starts = new_incarnation(), 0
+    self_id = (address, incarnation)
+    durable = bootstrap_state(unpack_view(packed_bootstrap), self_id) if packed_bootstrap else DurableState()
     if state:
         durable = unpack_durable_state(cbor2.loads(state))
-    return StartState(own, life + 1, durable, cbor2.dumps([incarnation, life + 1, begins]))
+    return StartState(
+        self_id, earlier_starts + 1, durable, cbor2.dumps([incarnation, earlier_starts + 1, packed_bootstrap])
+    )
 
 
 @dataclass(slots=True)
@@ -203,7 +205,7 @@
 
     def __init__(
         self,
-        began: StartState,
+        start: StartState,
         rows: Iterable[tuple[str, bytes]],
         copy_count: int,
         silence_us: int,
@@ -212,9 +214,9 @@
         zone: str = "",
         domains: FailureDomains | None = None,
     ) -> None:
-        self.self_id, self.start_number = began.self_id, began.start_number
+        self.self_id, self.start_number = start.self_id, start.start_number
         self.view_manager = ViewManager(
-            began.self_id, began.durable, copy_count, silence_us, replacement_delay_us, zone, domains
+            start.self_id, start.durable, copy_count, silence_us, replacement_delay_us, zone, domains
         )
         self.replicated_state = ReplicatedState()  # replaced when a primary sends its state
         self.active = False
@@ -237,7 +239,7 @@
                 for key, version, value in ((key, *cbor2.loads(data)) for key, data in rows)
             ]
         )
-        self._write(("fact", ("self", began.stored)), ("begin", began.durable.view))
+        self._write(("fact", ("self", start.stored)), ("begin", start.durable.view))
         self._delete_forgotten_rows()
 
     def view(self) -> View | None:
--- a/oakvale/controlplane/view_change.py
+++ b/oakvale/controlplane/view_change.py
@@ -254,8 +254,8 @@
             self._released.discard(peer)
         if view is not None:
             self._learn(view)
-        known = self.state.view
-        if known is not None and peer not in known.witnesses:
+        current = self.state.view
+        if current is not None and peer not in current.witnesses:
             self._spares.setdefault(peer, now)
         return self._flush()
 
--- a/tests/control_plane_simulation.py
+++ b/tests/control_plane_simulation.py
@@ -1,7 +1,9 @@
-"""Core machines in simulated time: fakes of loop, mains and cistern, faults, and a plain model that judges.
+"""Core machines in simulated time: fakes of event loop, transport and storage, injected faults, and a model that
+checks.
 
-The model: what was acknowledged, or was once read after `confirm`, is there at every later confirmed read; a
-version has one content for all who see it; a view number has one content on every disk.
+The model checks that a change that was acknowledged, or seen by a confirmed read, is there at every later confirmed
+read; that a version has the same content wherever it is seen; and that a view number has the same content on every
+disk.
 """
 
 from __future__ import annotations
@@ -27,6 +29,8 @@
 
 
 class Life(simulated_processes.Life):
+    """One run of a machine's process."""
+
     machine: Machine
 
     def __init__(self, machine: Machine) -> None:
@@ -35,7 +39,7 @@
 
 
 class Link:
-    """A connection: in order until it breaks; what was on its way then may still come, long after."""
+    """A connection: in order until it breaks. What was in flight then may still arrive, long after."""
 
     def __init__(self, life: Life, other: Life | None) -> None:
         self.life, self.other, self.alive = life, other, True
@@ -43,7 +47,7 @@
         self.on_close: list[Any] = []
 
     def send(self, kind: str, number: int, body: Any) -> None:
-        pass  # nobody here subscribes over a link
+        pass  # subscriptions use `Subscriber`
 
     def end(self) -> None:
         if self.alive:
@@ -54,6 +58,8 @@
 
 
 class Transport:
+    """Fake of the transport: one-way messages, and requests with a timeout."""
+
     def __init__(self, world: World, life: Life) -> None:
         self.own = life.machine.address
         self.handlers: dict[str, Any] = {}
@@ -64,23 +70,25 @@
 
     def ask(self, address: tuple[str, int], kind: str, body: Any, timeout: int, then: Callable[[Any], None]) -> None:
         self._number += 1
-        number, told = self._number, [False]
+        number, answered = self._number, [False]
 
-        def once(answer: Any) -> None:
-            if not told[0]:
-                told[0] = True
+        def answer_once(answer: Any) -> None:
+            if not answered[0]:
+                answered[0] = True
                 then(answer)
 
-        def late() -> None:
-            if not told[0] and link is not None and self._world.rng.random() < 0.5:
-                link.end()  # a connection that says nothing is given up; else the peer was just slow
-            once(None)
+        def time_out() -> None:
+            if not answered[0] and link is not None and self._world.rng.random() < 0.5:
+                link.end()  # the connection is given up as dead, or the peer was only slow
+            answer_once(None)
 
-        link = self._world.carry(self._life, address, kind, body, (number, once))
-        self._world.at(self._world.now + timeout, lambda: self._life.machine.run(self._life, late))
+        link = self._world.carry(self._life, address, kind, body, (number, answer_once))
+        self._world.at(self._world.now + timeout, lambda: self._life.machine.run(self._life, time_out))
 
 
 class Storage:
+    """Fake of the storage: writes are batched and synced after a random delay."""
+
     first = True
 
     def __init__(self, world: World, life: Life) -> None:
@@ -123,17 +131,19 @@
         for _, kind, data, _ in done:
             self._disk.apply([(kind, data)])
             if "state" in (data[0] if kind == "fact" else ""):
-                self._world.see(unpack_durable_state(cbor2.loads(data[1])).view)
+                self._world.check_view(unpack_durable_state(cbor2.loads(data[1])).view)
 
-        def notice() -> None:
+        def complete_writes() -> None:
             for _, _, _, then in done:
                 then()
 
-        self._life.machine.run(self._life, notice)
+        self._life.machine.run(self._life, complete_writes)
         self._start()
 
 
 class Machine(simulated_processes.Machine):
+    """A core machine: its process, its disk and its faults."""
+
     def __init__(self, world: World, name: str, zone: str) -> None:
         super().__init__()
         self.world, self.address = world, (name, PORT)
@@ -141,7 +151,7 @@
         self.disk, self.disk_hangs, self.sync_ms = Held(), 0, 8
         self.life: Life | None = None
         self.core: Core | None = None
-        self.troubled = 0  # counts as lost until then
+        self.troubled_until = 0  # counts as lost until this time
 
     def start(self, bootstrap: bool = False) -> None:
         if self.life is not None:
@@ -154,11 +164,11 @@
             settings,
             cast(Any, Storage(self.world, self.life)),
         )
-        self.core.on_change.append(lambda serves: self.world.turned(self, serves))
-        if self.world.equips is not None:
-            self.world.equips(self, Loop(self.world, self.life))
-        if self.world.prunes:
-            Pruning(self.core, cast(Any, Loop(self.world, self.life)), *self.world.prunes)
+        self.core.on_change.append(lambda serves: self.world.serving_changed(self, serves))
+        if self.world.on_machine_start is not None:
+            self.world.on_machine_start(self, Loop(self.world, self.life))
+        if self.world.compaction_intervals:
+            Pruning(self.core, cast(Any, Loop(self.world, self.life)), *self.world.compaction_intervals)
 
     def stop(self) -> None:
         """SIGTERM, and SIGKILL after `grace`."""
@@ -175,34 +185,38 @@
 
 
 class World(Time):
+    """The machines, the network between them, and the model that checks what they do."""
+
     def __init__(
         self,
         seed: int,
         machines: int = 3,
         tolerate: int = 1,
         seeds: int | None = None,
-        prunes: tuple[int, int] | None = None,
-        equips: Callable[[Machine, Loop], None] | None = None,
-        places: tuple[str, ...] = ("z0", "z1", "z2"),
+        compaction_intervals: tuple[int, int] | None = None,
+        on_machine_start: Callable[[Machine, Loop], None] | None = None,
+        machine_zones: tuple[str, ...] = ("z0", "z1", "z2"),
         tolerate_zones: int = 0,
         tolerate_regions: int = 0,
     ) -> None:
-        """`places` are the zones of the machines, in turn; a zone's region is its name up to a dash."""
+        """`machine_zones` are assigned to the machines in turn; a zone's region is its name up to a dash."""
         super().__init__(seed)
-        self.places, self.tolerate_zones, self.tolerate_regions = places, tolerate_zones, tolerate_regions
-        self.equips = equips  # gives a machine that starts what it has beside its core
-        self.prunes = prunes  # how often, and how long what is taken away is kept
+        self.machine_zones, self.tolerate_zones, self.tolerate_regions = machine_zones, tolerate_zones, tolerate_regions
+        self.on_machine_start = on_machine_start  # sets up what a starting machine has beside its core
+        self.compaction_intervals = compaction_intervals  # of runs, and for which deleted entries are kept
         names = random.Random(f"names {seed}")
         self.net.token = lambda size: names.randbytes(size).hex()
         self.tolerate = tolerate
-        self.machines = [Machine(self, f"10.0.0.{n + 1}", places[n % len(places)]) for n in range(machines)]
-        self._made = machines
+        self.machines = [
+            Machine(self, f"10.0.0.{n + 1}", machine_zones[n % len(machine_zones)]) for n in range(machines)
+        ]
+        self._machines_created = machines
         self._seeds = tuple((m.address[0], 8783) for m in self.machines[: seeds or machines])
         self.cuts: set[tuple[str, str]] = set()
         self.views: dict[int, View] = {}
         self.contents: dict[Version, tuple[str, Any]] = {}
-        self.floor: dict[str, Version] = {}  # what every confirmed read from now on must show, or newer
-        self.acknowledged = self.asked = self.reads = 0
+        self.minimum_versions: dict[str, Version] = {}  # key -> lowest version that a confirmed read may show
+        self.acknowledged = self.requested = self.reads = 0
         self.gateway = Table()
         self._pulse: Version = NOTHING
         self._value = 0
@@ -211,7 +225,7 @@
 
     def settings(self, machine: Machine, bootstrap: bool) -> Settings:
         ip = machine.address[0]
-        regions = {zone: zone.partition("-")[0] for zone in self.places}
+        regions = {zone: zone.partition("-")[0] for zone in self.machine_zones}
         return Settings(
             ip,
             ip,
@@ -243,33 +257,33 @@
         return (one.address[0], other.address[0]) not in self.cuts
 
     def carry(
-        self, life: Life, to: tuple[str, int], kind: str, body: Any, asked: tuple[int, Callable[[Any], None]] | None
+        self, life: Life, to: tuple[str, int], kind: str, body: Any, request: tuple[int, Callable[[Any], None]] | None
     ) -> Link | None:
-        self.one_serves()
+        self.check_single_primary()
         there = next((m for m in self.machines if m.address == to), None)
         link = life.out.get(to)
         if link is None or not link.alive or link.other is None or not link.other.alive:
             if link is not None:
                 link.end()
             link = life.out[to] = Link(life, there.life if there else None)
-        if asked is not None:
-            link.waiting[asked[0]] = asked[1]
+        if request is not None:
+            link.waiting[request[0]] = request[1]
         if there is None or link.other is None:
             self.at(self.now + MS, link.end)
             return link
         data = cbor2.dumps(body)
 
         def answer(said: Any) -> None:
-            if asked is not None:
+            if request is not None:
                 packed = cbor2.dumps(said)
-                self._ship(link, False, lambda: self._answered(link, asked[0], cbor2.loads(packed)))
+                self._deliver(link, False, lambda: self._answered(link, request[0], cbor2.loads(packed)))
 
         def arrive() -> None:
             handler = there.core.transport.handlers.get(kind) if there.core else None
             if handler is not None:
                 handler(cast(Any, link), cbor2.loads(data), answer)
 
-        self._ship(link, True, arrive)
+        self._deliver(link, True, arrive)
         return link
 
     @staticmethod
@@ -278,54 +292,57 @@
         if then is not None:
             then(body)
 
-    def _ship(self, link: Link, there: bool, call: Callable[[], None]) -> None:
-        """One way along a link, in order, unless it is cut: then held up until it heals, or lost with the link."""
+    def _deliver(self, link: Link, there: bool, call: Callable[[], None]) -> None:
+        """Delivers in order along one direction of a link. While the link is cut, the message is held up until it
+        heals, or lost with the link."""
         assert link.other is not None
         source, target = (link.life, link.other) if there else (link.other, link.life)
         due = source.behind(link, self.now + self.rng.randrange(300, 3_000))
 
-        def deliver() -> None:
+        def arrive_if_connected() -> None:
             if not target.alive:
                 return link.end()
             if not self._reaches(source.machine, target.machine) or not self._reaches(target.machine, source.machine):
                 if self.rng.random() < 0.5 and self.now - due < 4 * SECOND:
                     source.behind(link, self.now + 200 * MS)
                     if self.now - due > 1_500 * MS:
-                        link.end()  # given up by its maker; its bytes may arrive yet
-                    return self.at(self.now + 200 * MS, deliver)
+                        link.end()  # given up by the sender; its bytes may still arrive
+                    return self.at(self.now + 200 * MS, arrive_if_connected)
                 return link.end()
             if there or link.alive:
                 target.machine.run(target, call)
 
-        self.at(due, deliver)
+        self.at(due, arrive_if_connected)
 
-    # ---- the judge
+    # ---- the checks
 
-    def one_serves(self) -> None:
-        """Also of those that stand still, which may go on at any moment."""
+    def check_single_primary(self) -> None:
+        """Includes paused machines, which may resume at any moment."""
         serve = [m.address[0] for m in self.machines if m.core is not None and m.core.serving()]
         assert len(serve) < 2, f"{' and '.join(serve)} serve at once"
 
-    def see(self, view: View | None) -> None:
+    def check_view(self, view: View | None) -> None:
         if view is not None:
-            assert self.views.setdefault(view.number, view) == view, f"two views are number {view.number}"
+            assert self.views.setdefault(view.number, view) == view, f"two different views have number {view.number}"
 
-    def content(self, key: str, version: Version, value: Any) -> None:
-        assert self.contents.setdefault(version, (key, value)) == (key, value), f"two contents of {version}"
+    def check_content(self, key: str, version: Version, value: Any) -> None:
+        assert self.contents.setdefault(version, (key, value)) == (key, value), (
+            f"two different contents have version {version}"
+        )
 
-    def turned(self, machine: Machine, serves: bool) -> None:
-        """A gateway of the day takes news from whoever serves."""
+    def serving_changed(self, machine: Machine, serves: bool) -> None:
+        """The simulated gateway subscribes to whoever serves."""
         core = machine.core
         if serves and core is not None:
-            core.outlet.subscribe(cast(Any, Wire(self, machine)), self.gateway.high, (core.view().number, 0))  # type: ignore[union-attr]
+            core.outlet.subscribe(cast(Any, Subscriber(self, machine)), self.gateway.high, (core.view().number, 0))  # type: ignore[union-attr]
 
-    def news(self, body: Any) -> None:
+    def receive_updates(self, body: Any) -> None:
         pulse, entries = tuple(body[0]), unpack(body[1])
         if pulse[0] < self._pulse[0]:
             return
         self._pulse = cast(Version, pulse)
         for key, version, value in entries:
-            self.content(key, version, value)
+            self.check_content(key, version, value)
         if body[2] is None:
             self.gateway.put(entries)
         else:
@@ -337,24 +354,24 @@
             return
         self._value += 1
         key, value = f"k{self.rng.randrange(KEYS)}", self._value
-        self.asked += 1
-        floor = self.floor.get(key, NOTHING)
+        self.requested += 1
+        minimum = self.minimum_versions.get(key, NOTHING)
 
         def then(done: bool) -> None:
             if done:
                 self.acknowledged += 1
                 version = core.replicated_state.table.version(key)
-                assert version > floor
-                self.floor[key] = max(version, self.floor.get(key, NOTHING))
-                self.content(key, version, core.replicated_state.table.get(key))
+                assert version > minimum
+                self.minimum_versions[key] = max(version, self.minimum_versions.get(key, NOTHING))
+                self.check_content(key, version, core.replicated_state.table.get(key))
 
-        core.change({key: value} | ({f"left/b{value}": 1} if self.prunes else {}), then)
+        core.change({key: value} | ({f"left/b{value}": 1} if self.compaction_intervals else {}), then)
 
     def read(self, machine: Machine) -> None:
         core = machine.core
         if core is None or machine.paused or not core.serving():
             return
-        floor = dict(self.floor)
+        minimum = dict(self.minimum_versions)
 
         def then(done: bool) -> None:
             if not done:
@@ -363,39 +380,44 @@
             for n in range(KEYS):
                 key = f"k{n}"
                 version = core.replicated_state.table.version(key)
-                assert version >= floor.get(key, NOTHING), f"{key} is back at {version}, was {floor[key]}"
+                assert version >= minimum.get(key, NOTHING), f"{key} is back at {version}, was {minimum[key]}"
                 if version != NOTHING:
-                    self.content(key, version, core.replicated_state.table.get(key))
-                self.floor[key] = max(self.floor.get(key, NOTHING), version)
+                    self.check_content(key, version, core.replicated_state.table.get(key))
+                self.minimum_versions[key] = max(self.minimum_versions.get(key, NOTHING), version)
 
         core.confirm(then)
 
     def serving(self) -> Machine | None:
         return next((m for m in self.machines if m.core is not None and not m.paused and m.core.serving()), None)
 
-    # ---- machines that come and go
+    # ---- adding and removing machines
 
     def add(self) -> Machine:
-        """An empty machine at an address that was never used. Seeds are of those that run, as operators list them."""
-        self._made += 1
-        machine = Machine(self, f"10.0.0.{self._made}", self.places[self._made % len(self.places)])
+        """Adds an empty machine at a new address. Like an operator, it lists running machines as seeds."""
+        self._machines_created += 1
+        machine = Machine(
+            self,
+            f"10.0.0.{self._machines_created}",
+            self.machine_zones[self._machines_created % len(self.machine_zones)],
+        )
         self.machines.append(machine)
-        self.listed()
+        self.update_seeds()
         machine.start()
         return machine
 
     def remove(self, machine: Machine) -> None:
-        """For good, as it stands."""
+        """Removes the machine for good, without a shutdown."""
         machine.kill()
         self.machines.remove(machine)
-        self.listed()
+        self.update_seeds()
 
-    def listed(self) -> None:
+    def update_seeds(self) -> None:
         running = [m.address[0] for m in self.machines if m.life is not None]
         self._seeds = tuple((name, 8783) for name in running[:3])
 
-    def well(self) -> bool:
-        """Whatever one machine is lost now: all that were to hold copies do, all that vote are up, as they all know."""
+    def is_fully_replicated(self) -> bool:
+        """Whether any one machine may be lost now: all copies are complete, all witnesses are up, and they agree on the
+        view."""
         found = self.serving()
         view = found.core.view() if found is not None and found.core is not None else None
         cores = {m.core.own: m.core for m in self.machines if m.core is not None and not m.paused}
@@ -412,37 +434,41 @@
 
     # ---- faults
 
-    def lost(self) -> set[Machine]:
-        """Those in trouble, or back from it for less than the time to sync."""
+    def troubled_machines(self) -> set[Machine]:
+        """Machines that have a fault, or recovered from one less than the sync time ago."""
         cut = {a for pair in self.cuts for a in pair}
         return {
             m
             for m in self.machines
-            if m.life is None or m.paused or m.disk_hangs > self.now or m.address[0] in cut or m.troubled > self.now
+            if m.life is None
+            or m.paused
+            or m.disk_hangs > self.now
+            or m.address[0] in cut
+            or m.troubled_until > self.now
         }
 
-    def trouble(self, machine: Machine, until: int) -> None:
-        machine.troubled = max(machine.troubled, until + Bounds().sync_time)
+    def mark_troubled(self, machine: Machine, until: int) -> None:
+        machine.troubled_until = max(machine.troubled_until, until + Bounds().sync_time)
 
     def down(self, machine: Machine, span: int, wiped: bool = False) -> None:
         machine.kill()
         if wiped:
             machine.disk = Held()
-        self.trouble(machine, self.now + span)
+        self.mark_troubled(machine, self.now + span)
         self.at(self.now + span, machine.start)
 
-    def cut(self, ones: list[Machine], others: list[Machine], span: int, both: bool) -> None:
-        pairs = {(a.address[0], b.address[0]) for a in ones for b in others if a is not b}
-        pairs |= {(b, a) for a, b in pairs} if both else set()
-        for machine in {*ones, *others}:
-            self.trouble(machine, self.now + span)
+    def cut(self, side: list[Machine], other_side: list[Machine], span: int, both_ways: bool) -> None:
+        pairs = {(a.address[0], b.address[0]) for a in side for b in other_side if a is not b}
+        pairs |= {(b, a) for a, b in pairs} if both_ways else set()
+        for machine in {*side, *other_side}:
+            self.mark_troubled(machine, self.now + span)
         self.cuts |= pairs
         self.at(self.now + span, lambda: self.cuts.difference_update(pairs))
 
     def pause(self, machine: Machine, span: int) -> None:
         if machine.life is not None:
             machine.paused = True
-            self.trouble(machine, self.now + span)
+            self.mark_troubled(machine, self.now + span)
             self.at(self.now + span, machine.resume)
 
     def primary(self) -> Machine:
@@ -473,7 +499,7 @@
             ]
         )
         others = [m for m in self.machines if m is not machine]
-        lost = self.lost()
+        lost = self.troubled_machines()
         if kind == "down":
             self.down(machine, span)
         elif kind == "wipe" and len(lost | {machine}) <= self.tolerate:
@@ -488,10 +514,10 @@
                 self.down(m, rng.randrange(50, 1_200) * MS)
         elif kind == "disk":
             machine.disk_hangs = self.now + span
-            self.trouble(machine, machine.disk_hangs)
+            self.mark_troubled(machine, machine.disk_hangs)
         elif kind == "slow":
             machine.sync_ms = rng.choice([8, 60, 400, 900])
-            self.trouble(machine, self.now + 10 * SECOND)
+            self.mark_troubled(machine, self.now + 10 * SECOND)
             self.at(self.now + 10 * SECOND, lambda: setattr(machine, "sync_ms", 8))
         elif kind == "pause":
             self.pause(machine, span)
@@ -512,8 +538,9 @@
                 machine.resume()
             machine.start()
 
-    def day(self, faults: int) -> None:
-        """Faults come in bunches with calm between them, while changes and reads go on; then all heals."""
+    def run_day_of_faults(self, faults: int) -> None:
+        """Injects faults in bursts with calm between them while changes and reads go on, then heals everything and
+        checks that one machine serves."""
         self.run(2 * SECOND)
         for _ in range(faults):
             self.fault()
@@ -540,8 +567,8 @@
         )
 
 
-class Wire:
-    """What a primary knows of a gateway."""
+class Subscriber:
+    """A gateway's subscription, as the primary sees it."""
 
     def __init__(self, world: World, machine: Machine) -> None:
         self._world, self._life = world, machine.life
@@ -550,7 +577,7 @@
 
     def send(self, kind: str, number: int, body: Any) -> None:
         if self._up and self._life is not None and self._life.alive:
-            self._world.news(body)
+            self._world.receive_updates(body)
 
     def ask(self, kind: str, body: Any, timeout: int, then: Callable[[Any], None]) -> None:
         self.send(kind, 1, body)
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -1,6 +1,5 @@
-"""A state that goes to a backup in pieces: against a plain model, with connections lost and machines started again at
-any of them, and of the planned size on a thin link.
-"""
+"""States sent to a backup in chunks: compared with a model while connections break and machines restart at any chunk,
+and at the planned size on slow links."""
 
 from __future__ import annotations
 
@@ -41,7 +40,7 @@
     ).encode()
 
 
-def drawn(rng: random.Random, rows: int) -> list[Entry]:
+def random_entries(rng: random.Random, rows: int) -> list[Entry]:
     sizes = (0, 10, 300, 5_000, MAX_CHUNK_BYTES - 20, MAX_CHUNK_BYTES, 3 * MAX_CHUNK_BYTES + 5)
     return [
         (f"k{n}", (1, n + 1), rng.choice((None, {"gen": n, "text": rng.randbytes(rng.choice(sizes))})))
@@ -50,9 +49,9 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_a_state_is_what_its_pieces_make(seed: int) -> None:
+def test_joined_chunks_restore_the_state(seed: int) -> None:
     rng = random.Random(seed)
-    entries = drawn(rng, rng.choice((0, 1, 7, 60)))
+    entries = random_entries(rng, rng.choice((0, 1, 7, 60)))
     made = split_state(entries)
     assert sorted(join_chunks(made.manifest(), made.chunks)) == sorted(entries)
     assert set(chunk_digests(made.manifest())) == set(made.chunks)
@@ -64,37 +63,37 @@
         join_chunks(made.manifest(), {name: piece for name, piece in made.chunks.items() if name != gone})
 
 
-def test_what_is_equal_has_equal_pieces_whatever_its_version() -> None:
+def test_equal_values_have_equal_chunks_whatever_their_version() -> None:
     rng = random.Random(1)
-    entries = drawn(rng, 60)
+    entries = random_entries(rng, 60)
     large = [e for e in entries if e[2] is not None and len(e[2]["text"]) > MAX_CHUNK_BYTES]
     made = split_state(entries)
     other = split_state(
         [(key, (2, 9) if key == large[0][0] else version, value) for key, version, value in entries[1:]], made.ranges
     )
     fresh = set(other.chunks) - set(made.chunks)
-    assert made.ranges > 1 and large and len(fresh) <= 2  # the range that lost a row, whose pieces moved on
+    assert made.ranges > 1 and large and len(fresh) <= 2  # only the range that lost a row, and the moved value
 
 
-# ---- in the world of core machines, its pieces small
+# ---- with small chunks, on simulated core machines
 
 
 @pytest.fixture
-def small(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+def small_chunks(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     monkeypatch.setattr(chunks, "MAX_CHUNK_BYTES", 64)
     monkeypatch.setattr(chunks, "MAX_INLINE_BYTES", 128)
     yield
 
 
 @pytest.mark.parametrize("seed", range(300, 312))
-def test_a_day_of_faults_with_every_state_in_pieces(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_day_of_faults_with_every_state_in_chunks(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(chunks, "MAX_CHUNK_BYTES", 3)
     monkeypatch.setattr(chunks, "MAX_INLINE_BYTES", seed % 2 * 12)
-    World(seed, *SHAPES[seed % len(SHAPES)]).day(5)
+    World(seed, *SHAPES[seed % len(SHAPES)]).run_day_of_faults(5)
 
 
-class Watched:
-    """A system with a large state, and all pieces that arrive somewhere."""
+class ChunkCounter:
+    """A system with a large state that counts the chunks that arrive."""
 
     def __init__(self, seed: int, large: int = 40) -> None:
         self.world, self.rng = World(seed), random.Random(f"watched {seed}")
@@ -145,7 +144,7 @@
         return next(m for m in self.world.machines if m.core is not None and m.core.own == view.backups[0])
 
     def changes(self, span: int) -> None:
-        """Small and large ones, ten a second."""
+        """Makes small and large changes, ten a second."""
         for _ in range(span // (100 * MS)):
             machine = self.world.serving()
             if machine is not None and machine.core is not None:
@@ -153,8 +152,8 @@
                 machine.core.change({f"w{self.rng.randrange(5)}": self.rng.randbytes(size)}, lambda done: None)
             self.world.run(100 * MS)
 
-    def alike(self) -> None:
-        """The plain model: after all has settled, each copy holds what the primary does, in memory and on disk."""
+    def check_copies_equal(self) -> None:
+        """After everything has settled, each copy holds what the primary does, in memory and on disk."""
         self.world.run(6 * SECOND)
         core, copy = self.serving(), self.copy()
         held = core.replicated_state.table.since(NOTHING)
@@ -164,84 +163,86 @@
         assert copy.disk.rows == self.machine(core).disk.rows
 
 
-@pytest.mark.usefixtures("small")
+@pytest.mark.usefixtures("small_chunks")
 @pytest.mark.parametrize("seed", range(10))
-def test_the_backup_holds_what_the_primary_has_whatever_broke_in_between(seed: int) -> None:
-    """A new backup is sent all, while connections break, machines end and changes come; what arrived stays."""
-    watched = Watched(seed)
-    world, rng = watched.world, watched.rng
-    world.down(watched.copy(), 20 * SECOND)
+def test_the_backup_equals_the_primary_after_interruptions(seed: int) -> None:
+    """A new backup receives the state while connections break, machines stop and changes come; received chunks stay."""
+    counter = ChunkCounter(seed)
+    world, rng = counter.world, counter.rng
+    world.down(counter.copy(), 20 * SECOND)
     world.run(1_500 * MS)
     for _ in range(rng.randrange(1, 5)):
         view = max(world.views.values(), key=lambda v: v.number)
-        ends = [next(m for m in world.machines if m.address[0] == seat[0].partition(":")[0]) for seat in view.copies]
+        ends = [
+            next(m for m in world.machines if m.address[0] == replica[0].partition(":")[0]) for replica in view.copies
+        ]
         how = rng.choice(("cut", "backup", "primary"))
         if how == "cut":
             world.cut([ends[0]], [ends[1]], rng.randrange(50, 600) * MS, True)
         else:
             world.down(ends[how == "backup"], rng.randrange(50, 600) * MS)
-        watched.changes(rng.randrange(200, 900) * MS)
+        counter.changes(rng.randrange(200, 900) * MS)
     world.run(3 * SECOND)
-    watched.changes(SECOND)
-    watched.alike()
+    counter.changes(SECOND)
+    counter.check_copies_equal()
 
 
-@pytest.mark.usefixtures("small")
-def test_what_arrived_is_not_sent_again_after_a_start_of_either() -> None:
-    watched = Watched(1)
-    world = watched.world
-    old = watched.copy()
+@pytest.mark.usefixtures("small_chunks")
+def test_received_chunks_are_not_sent_again_after_a_restart() -> None:
+    counter = ChunkCounter(1)
+    world = counter.world
+    old = counter.copy()
     world.down(old, 60 * SECOND)
-    while sum(watched.arrived.values()) < 100:
+    while sum(counter.arrived.values()) < 100:
         world.run(10 * MS)
     view = max(world.views.values(), key=lambda v: v.number)
-    ends = [next(m for m in world.machines if m.address[0] == seat[0].partition(":")[0]) for seat in view.copies]
+    ends = [next(m for m in world.machines if m.address[0] == replica[0].partition(":")[0]) for replica in view.copies]
     whole, before = (
         len(split_state(cast(Core, ends[0].core).replicated_state.all_entries()).chunks),
-        sum(watched.arrived.values()),
+        sum(counter.arrived.values()),
     )
     world.down(ends[1], 100 * MS)
     kept = len(ends[1].disk.pieces)
     world.run(300 * MS)
     world.down(ends[0], 100 * MS)
     world.run(5 * SECOND)
-    total = sum(watched.arrived.values())
+    total = sum(counter.arrived.values())
     assert kept > 90 and whole > 400 and total < whole + 12, (before, kept, whole, total)
-    watched.alike()
+    counter.check_copies_equal()
 
 
-@pytest.mark.usefixtures("small")
+@pytest.mark.usefixtures("small_chunks")
 def test_small_changes_pass_a_large_one_and_it_is_sent_once() -> None:
-    watched = Watched(2, large=0)
-    world, core, told = watched.world, watched.serving(), list[str]()
-    text = watched.rng.randbytes(9_000)
-    core.change({"big": text}, lambda done: told.append(f"big {done}"))
-    core.change({"small": 1}, lambda done: told.append(f"small {done}"))
-    core.change({"big": b"other"}, lambda done: told.append(f"other {done}"))
+    counter = ChunkCounter(2, large=0)
+    world, core, results = counter.world, counter.serving(), list[str]()
+    text = counter.rng.randbytes(9_000)
+    core.change({"big": text}, lambda done: results.append(f"big {done}"))
+    core.change({"small": 1}, lambda done: results.append(f"small {done}"))
+    core.change({"big": b"other"}, lambda done: results.append(f"other {done}"))
     assert core.replicated_state.latest("big") == b"other" and core.replicated_state.table.get("big") is None
     world.run(3 * SECOND)
-    assert told == ["small True", "big True", "other True"]
+    assert results == ["small True", "big True", "other True"]
     count = len(split_state([("big", (1, 1), text)]).chunks)
-    assert sum(watched.arrived.values()) == count > 100
-    watched.alike()
+    assert sum(counter.arrived.values()) == count > 100
+    counter.check_copies_equal()
 
 
-@pytest.mark.usefixtures("small")
+@pytest.mark.usefixtures("small_chunks")
 def test_a_large_change_waits_for_no_backup_that_is_away() -> None:
-    """It is in force once a copy holds it; who heard nothing of it is told so where its primary is one no longer."""
-    watched = Watched(3, large=0)
-    world, core, told = watched.world, watched.serving(), list[bool]()
-    world.down(watched.copy(), 3 * SECOND)
-    core.change({"big": watched.rng.randbytes(9_000)}, told.append)
+    """It is in force once a copy holds it; if its primary is replaced first, the requester gets a result too."""
+    counter = ChunkCounter(3, large=0)
+    world, core, results = counter.world, counter.serving(), list[bool]()
+    world.down(counter.copy(), 3 * SECOND)
+    core.change({"big": counter.rng.randbytes(9_000)}, results.append)
     world.run(4 * SECOND)
-    assert told in ([True], [False])
-    watched.alike()
+    assert results in ([True], [False])
+    counter.check_copies_equal()
 
 
-# ---- of the planned size, on the real links of a simulated world
+# ---- at the planned size, on simulated links
 
 
-def planned(rng: random.Random, gen: int = 1) -> bytes:
+def planned_size_configuration(rng: random.Random, gen: int = 1) -> bytes:
     """6,900 routes, 180 services, 25,000 tenants with two keys each: 2.3 MB."""
     routes = [
         [
@@ -271,8 +272,8 @@
     ).encode()
 
 
-class Thin:
-    """Three core machines whose links carry 2 Mbit/s, once they hold a configuration of the planned size."""
+class SlowLinkSystem:
+    """Three core machines that hold a configuration of the planned size, and then get links of 2 Mbit/s."""
 
     def __init__(self, text: bytes, seed: int = 1, gateways: int = 0) -> None:
         self.views: list[int] = []
@@ -281,24 +282,24 @@
         self.works = Works(
             Layout(edges, (("a", "x"), ("b", "y"), ("c", "z"))),
             seed,
-            noted=lambda at, name, level, event, fields: self.noted(at, name, event, fields),
+            noted=lambda at, name, level, event, fields: self.on_log_event(at, name, event, fields),
         )
         self.serves: list[tuple[int, str]] = []
-        self.gaps: Counter[str] = Counter()  # the longest between two heartbeats of a machine at another
+        self.gaps: Counter[str] = Counter()  # longest time between two heartbeats, by sender and receiver
         self.works.begin()
         self.run(4 * SECOND)
-        self.told: list[tuple[int, int, bool]] = []  # when a change was made, how long it took, whether it is in force
+        self.results: list[tuple[int, int, bool]] = []  # when requested, how long it took, whether in force
         self.change("config", {"gen": 1, "text": text})
         self.run(3 * SECOND)
-        assert [done for _, _, done in self.told] == [True]
-        self.told.clear()
+        assert [done for _, _, done in self.results] == [True]
+        self.results.clear()
         for station in self.works.stations.values():
             station.machine.link_us = 8 / 2
         self.began = self.works.events.now
         self.serves.clear()
         self.views.clear()
 
-    def noted(self, at: int, name: str, event: str, fields: Any) -> None:
+    def on_log_event(self, at: int, name: str, event: str, fields: Any) -> None:
         if event == "serving the control state":
             self.serves.append((at, name))
         if event in ("news are stale", "peer does not read", "table mended"):
@@ -317,8 +318,8 @@
         found = (self.core(station) for station in self.works.cores)
         return next((core for core in found if core is not None and core.serving()), None)
 
-    def station(self, seat: Any) -> Station:
-        return next(s for s in self.works.cores if seat[0].startswith(s.machine.ip + ":"))
+    def station(self, replica: Any) -> Station:
+        return next(s for s in self.works.cores if replica[0].startswith(s.machine.ip + ":"))
 
     def change(self, key: str, value: Any) -> None:
         core = self.serving()
@@ -328,11 +329,13 @@
         process = self.station(core.own).process
         assert process is not None
         process.post(
-            lambda: core.change({key: value}, lambda done: self.told.append((now, self.works.events.now - now, done)))
+            lambda: core.change(
+                {key: value}, lambda done: self.results.append((now, self.works.events.now - now, done))
+            )
         )
 
     def listen(self) -> None:
-        """To the heartbeats that arrive, from now on."""
+        """Starts to record the gaps between heartbeats that arrive."""
         last: dict[tuple[str, str], int] = {}
         for station in self.works.cores:
             core = self.core(station)
@@ -351,100 +354,103 @@
 
 
 @pytest.mark.parametrize("how", ["planned", "noise"])
-def test_a_new_backup_at_the_planned_size_on_a_thin_link(how: str) -> None:
-    """All of it within 20 s, with one change of view, heartbeats in time, and changes offered all the while."""
+def test_a_new_backup_at_the_planned_size_on_a_slow_link(how: str) -> None:
+    """All of it is sent in time, with one view change, heartbeats in time, and changes offered throughout."""
     rng = random.Random(1)
-    text = planned(rng) if how == "planned" else rng.randbytes(2_300_000)
-    thin = Thin(text)
-    core = thin.serving()
+    text = planned_size_configuration(rng) if how == "planned" else rng.randbytes(2_300_000)
+    system = SlowLinkSystem(text)
+    core = system.serving()
     assert core is not None and 2_200_000 < len(text) < 2_500_000
     view = core.view()
     assert view is not None
-    backup = thin.station(view.backups[0])
-    thin.listen()
+    backup = system.station(view.backups[0])
+    system.listen()
     backup.kill(down=60 * SECOND)
-    began = thin.works.events.now
+    began = system.works.events.now
     for n in range(80):
-        thin.change(f"w{n % 5}", n)
-        thin.run(250 * MS)
-    assert set(thin.views) == {view.number + 1} and len(thin.serves) == 1 and not thin.works.faults
-    took = thin.serves[0][0] - began
-    print(how, "serves after", took / SECOND, "longest gaps", dict(thin.gaps))
+        system.change(f"w{n % 5}", n)
+        system.run(250 * MS)
+    assert set(system.views) == {view.number + 1} and len(system.serves) == 1 and not system.works.faults
+    took = system.serves[0][0] - began
+    print(how, "serves after", took / SECOND, "longest gaps", dict(system.gaps))
     assert took < (6 if how == "planned" else 12) * SECOND
-    assert max(thin.gaps.values()) < SILENCE // 2
-    answered = [span for at, span, done in thin.told if done and at > thin.serves[0][0]]
+    assert max(system.gaps.values()) < SILENCE // 2
+    answered = [span for at, span, done in system.results if done and at > system.serves[0][0]]
     assert len(answered) > 20 and max(answered) < SECOND // 2
 
 
 def test_a_backup_that_missed_hundreds_of_changes_is_sent_what_it_misses() -> None:
-    """It ends in the middle of a configuration and is back at once, in the same view; 300 rows come behind that."""
+    """It restarts in the middle of a configuration, in the same view, while 300 more rows follow."""
     rng = random.Random(2)
-    thin = Thin(planned(rng))
-    core = thin.serving()
+    system = SlowLinkSystem(planned_size_configuration(rng))
+    core = system.serving()
     assert core is not None
     view = core.view()
     assert view is not None
-    thin.listen()
-    backup = thin.station(view.backups[0])
+    system.listen()
+    backup = system.station(view.backups[0])
     process = backup.process
     assert process is not None and process.works is not None
-    thin.change("config", {"gen": 2, "text": planned(rng)})
-    thin.run(1_500 * MS)  # some of it has arrived
+    system.change("config", {"gen": 2, "text": planned_size_configuration(rng)})
+    system.run(1_500 * MS)  # part of it has arrived
     backup.kill(down=10 * MS)
     for n in range(300):
-        thin.change(f"w{n}", n)
-        thin.run(10 * MS)
+        system.change(f"w{n}", n)
+        system.run(10 * MS)
     for n in range(60):
-        thin.change(f"w{n}", -n)
-        thin.run(250 * MS)
-    thin.run(SECOND)
-    other = thin.core(backup)
+        system.change(f"w{n}", -n)
+        system.run(250 * MS)
+    system.run(SECOND)
+    other = system.core(backup)
     assert other is not None and other.replicated_state.table.since(NOTHING) == core.replicated_state.table.since(
         NOTHING
     )
     assert (
         core.replicated_state.table.get("config")["gen"] == 2
-        and set(thin.views) <= {view.number}
-        and thin.serving() is core
+        and set(system.views) <= {view.number}
+        and system.serving() is core
     )
-    late = max(at + span for at, span, done in thin.told if done) - thin.began
-    print("all in force after", late / SECOND, "longest gaps", dict(thin.gaps))
-    heard = [gap for pair, gap in thin.gaps.items() if not pair.startswith(backup.machine.ip)]  # but for its start
-    assert all(done for _, _, done in thin.told) and len(thin.told) == 361 and max(heard) < SILENCE // 2
+    late = max(at + span for at, span, done in system.results if done) - system.began
+    print("all in force after", late / SECOND, "longest gaps", dict(system.gaps))
+    heard = [
+        gap for pair, gap in system.gaps.items() if not pair.startswith(backup.machine.ip)
+    ]  # except for the one that restarted
+    assert all(done for _, _, done in system.results) and len(system.results) == 361 and max(heard) < SILENCE // 2
 
 
 def test_changes_pass_a_configuration_on_its_way() -> None:
-    """Beats of backends and heartbeats go between its pieces: each is in force in half a second, not behind it."""
+    """Small changes and heartbeats are sent between its chunks, and each is in force within half a second."""
     rng = random.Random(3)
-    thin = Thin(planned(rng))
-    thin.listen()
-    thin.change("config", {"gen": 2, "text": rng.randbytes(2_300_000)})
+    system = SlowLinkSystem(planned_size_configuration(rng))
+    system.listen()
+    system.change("config", {"gen": 2, "text": rng.randbytes(2_300_000)})
     for n in range(60):
-        thin.run(250 * MS)
-        thin.change(f"w{n}", n)
-    thin.run(SECOND)
-    spans = sorted(span for _, span, _ in thin.told)
-    print("the configuration", spans[-1] / SECOND, "others at most", spans[-2] / SECOND, dict(thin.gaps))
-    assert all(done for _, _, done in thin.told) and len(spans) == 61
+        system.run(250 * MS)
+        system.change(f"w{n}", n)
+    system.run(SECOND)
+    spans = sorted(span for _, span, _ in system.results)
+    print("the configuration", spans[-1] / SECOND, "others at most", spans[-2] / SECOND, dict(system.gaps))
+    assert all(done for _, _, done in system.results) and len(spans) == 61
     assert 9 * SECOND < spans[-1] < 13 * SECOND and spans[-2] < SECOND // 2
-    assert max(thin.gaps.values()) < SILENCE // 2 and not thin.views
+    assert max(system.gaps.values()) < SILENCE // 2 and not system.views
 
 
-def test_gateways_get_a_configuration_of_the_planned_size_over_thin_links() -> None:
-    """As slowly as the links are: nobody turns to another source for what is on its way, no primary is replaced."""
-    thin = Thin(configuration(1), gateways=6)
-    thin.stalls.clear()
-    thin.listen()
-    thin.change("config", {"gen": 2, "text": planned(random.Random(4), 2)})
+def test_gateways_get_a_configuration_of_the_planned_size_over_slow_links() -> None:
+    """However slow the links: no gateway looks for another source while updates are arriving, and no primary is
+    replaced."""
+    system = SlowLinkSystem(configuration(1), gateways=6)
+    system.stalls.clear()
+    system.listen()
+    system.change("config", {"gen": 2, "text": planned_size_configuration(random.Random(4), 2)})
 
     def held() -> list[bool]:
-        feeds = [cast(Any, s.process).works.sluice.feed for s in thin.works.edges]
+        feeds = [cast(Any, s.process).works.sluice.feed for s in system.works.edges]
         return [feed.table.get("config")["gen"] == 2 and feed.fresh() for feed in feeds]
 
     spans: list[int] = []
     for second in range(1, 61):
-        thin.run(SECOND)
+        system.run(SECOND)
         spans += [second] * (sum(held()) - len(spans))
-    print("held after", spans, dict(thin.gaps))
+    print("held after", spans, dict(system.gaps))
     assert len(spans) == 6 and spans[2] <= 36 and spans[5] <= 46
-    assert not thin.stalls and not thin.views and max(thin.gaps.values()) < SILENCE
+    assert not system.stalls and not system.views and max(system.gaps.values()) < SILENCE
--- a/tests/test_drains_core.py
+++ b/tests/test_drains_core.py
@@ -43,7 +43,7 @@
         self.backends: dict[str, Backends] = {}
         self.gates = {node: Moves(node, f"life-{node}") for node in ("g1", "g2")}
         self.followed: dict[tuple[str, str], int] = {}  # gateway and move -> when it was followed first
-        super().__init__(seed, equips=self.equip)
+        super().__init__(seed, on_machine_start=self.equip)
         self.run(3 * SECOND)
         self.change_now(
             {"config": {"gen": 1, "text": CONFIG}}
--- a/tests/test_final_faults.py
+++ b/tests/test_final_faults.py
@@ -1,6 +1,5 @@
-"""The worst ends of a day for what was just acknowledged: as many disks lost as may be while all others lose power; the
-core in two halves, whatever the tolerance.
-"""
+"""Worst cases for a change that was just acknowledged: the tolerated number of disks is lost while all other machines
+lose power, and the core is partitioned in halves."""
 
 from __future__ import annotations
 
@@ -14,34 +13,34 @@
 from tests.simulated_processes import MS, SECOND
 
 SHAPES = [(3, 1), (4, 1), (5, 2)]  # core machines, and how many of their disks may be lost at once
-RECOVER = 6 * SECOND  # the operators' bound is 15 s
-DEATHS = 3  # acknowledgements in a row that are each followed by the worst
+RECOVERY_TIME_US = 6 * SECOND  # operators rely on 15 s
+LOSS_ROUNDS = 3  # acknowledgements in a row, each followed by the loss
 
 
 def settled(machines: int, tolerate: int, seed: int = 1) -> World:
     world = World(seed, machines, tolerate, min(machines, 3))
     world.run(4 * SECOND)
-    assert world.well()
+    assert world.is_fully_replicated()
     return world
 
 
 def until_acknowledged(world: World) -> None:
-    """To the very event in which a change is acknowledged: nothing that is said after it comes anywhere."""
+    """Runs to the event in which a change is acknowledged, so that no later message arrives anywhere."""
     before = world.acknowledged
     while world.acknowledged == before:
         found = world.serving()
-        if found is not None and world.asked == world.acknowledged:
+        if found is not None and world.requested == world.acknowledged:
             world.change(found)
         world.run(MS // 10)
 
 
-def all_dark(world: World, wiped: tuple[Machine, ...]) -> None:
+def power_loss(world: World, wiped: tuple[Machine, ...]) -> None:
     for number, machine in enumerate(world.machines):
         world.down(machine, 300 * MS + 170 * MS * number, wiped=machine in wiped)
 
 
 def serves_and_holds_all(world: World) -> None:
-    """The world's judge looks at what a confirmed read shows."""
+    """`World` checks what the confirmed read shows."""
     found = world.serving()
     assert found is not None, "nobody serves"
     reads = world.reads
@@ -55,39 +54,39 @@
     return itertools.combinations(range(machines), tolerate)
 
 
-def play_the_end_of_a_day(shape: tuple[int, int], lost: tuple[int, ...]) -> None:
+def lose_disks_after_each_acknowledgement(shape: tuple[int, int], lost: tuple[int, ...]) -> None:
     world = settled(*shape)
-    for _ in range(DEATHS):
+    for _ in range(LOSS_ROUNDS):
         until_acknowledged(world)
-        all_dark(world, tuple(world.machines[number] for number in lost))
-        world.asked = world.acknowledged
-        world.run(RECOVER)
+        power_loss(world, tuple(world.machines[number] for number in lost))
+        world.requested = world.acknowledged
+        world.run(RECOVERY_TIME_US)
         serves_and_holds_all(world)
 
 
 @pytest.mark.parametrize("shape, lost", [(shape, lost) for shape in SHAPES for lost in every_loss(shape)], ids=str)
 def test_disks_are_lost_while_all_others_lose_power(shape: tuple[int, int], lost: tuple[int, ...]) -> None:
-    play_the_end_of_a_day(shape, lost)
+    lose_disks_after_each_acknowledgement(shape, lost)
 
 
 @pytest.mark.parametrize("shape", SHAPES, ids=str)
 def test_power_is_lost_before_and_after_each_write_of_a_change(shape: tuple[int, int]) -> None:
-    """Also where it was not acknowledged: whatever one who serves shows once stays."""
+    """Covers unacknowledged changes too: whatever a serving primary has shown must stay."""
     world = settled(*shape)
     for number, wait in enumerate(range(0, 18, 2)):
         found = world.serving()
         assert found is not None
         world.change(found)
         world.run(wait * MS)
-        all_dark(world, tuple(world.machines[number % shape[0] : number % shape[0] + 1]))
-        world.run(RECOVER)
+        power_loss(world, tuple(world.machines[number % shape[0] : number % shape[0] + 1]))
+        world.run(RECOVERY_TIME_US)
         serves_and_holds_all(world)
 
 
 @pytest.mark.parametrize("shape", SHAPES, ids=str)
 @pytest.mark.parametrize("seed", range(4))
-def test_two_halves(shape: tuple[int, int], seed: int) -> None:
-    """Each half is asked for changes and reads all the while; then the halves meet again, twice, cut another way."""
+def test_a_partition_into_halves(shape: tuple[int, int], seed: int) -> None:
+    """Each half gets changes and reads throughout; then the partition heals, and another one follows."""
     world = settled(*shape, seed)
     for _ in range(2):
         half = world.rng.sample(world.machines, shape[0] // 2)
@@ -97,8 +96,8 @@
                 world.change(machine)
                 world.read(machine)
             world.run(100 * MS)
-        world.run(RECOVER)
-        world.asked = world.acknowledged
+        world.run(RECOVERY_TIME_US)
+        world.requested = world.acknowledged
         serves_and_holds_all(world)
 
 
@@ -107,4 +106,4 @@
     broken = next(each for each in BREAKAGES if each.name == "primary-alone")
     with broken.made(), pytest.raises(AssertionError, match="is back at|serves, and confirms nothing"):
         for lost in every_loss(shape):
-            play_the_end_of_a_day(shape, lost)
+            lose_disks_after_each_acknowledgement(shape, lost)
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Losses in a row, each at the earliest moment that docs/control-state.md states, and machines that leave."""
+"""Consecutive losses, each at the earliest moment that docs/control-state.md allows, and machines that shut down."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 ROLES = ("primary", "backup", "witness")
 
 
-def of(world: World, role: str) -> Machine:
+def machine_with_role(world: World, role: str) -> Machine:
     found = world.serving()
     assert found is not None and found.core is not None
     view = found.core.view()
     assert view is not None
-    seats = {
+    replicas = {
         "primary": (view.primary,),
         "backup": view.backups,
         "witness": tuple(w for w in view.witnesses if w not in view.copies),
     }[role]
-    return next(m for m in world.machines if m.core is not None and m.core.own == seats[-1])
+    return next(m for m in world.machines if m.core is not None and m.core.own == replicas[-1])
 
 
 def lose(world: World, machine: Machine, kind: str, x: int = SECOND, span: int = 2 * SECOND) -> int:
-    """Brings a loss about, to its end; microseconds from then until the next may come."""
+    """Causes a loss and waits for its end. Returns the microseconds until the next one may come."""
     if kind == "killed" or kind == "wiped":
         world.down(machine, span, kind == "wiped")
         busy(world, span)
-    elif kind == "replaced":  # it is gone for good, an empty one comes x later at another address
+    elif kind == "replaced":  # removed for good; an empty one starts x later at another address
         world.remove(machine)
         busy(world, x)
         world.add()
-    elif kind == "planned":  # the empty one first
+    elif kind == "planned":  # the empty machine starts first
         world.add()
         busy(world, x)
         machine.stop()
@@ -70,7 +70,7 @@
 
 
 def busy(world: World, span: int) -> None:
-    """Changes and reads on whoever serves, all the while."""
+    """Sends changes and reads to whoever serves, for the whole span."""
     until = world.now + span
     while world.now < until:
         for machine in world.machines:
@@ -92,42 +92,42 @@
 
 @pytest.mark.parametrize("shape", [(3, 1, 3), (4, 1, 3), (5, 1, 3), (5, 2, 5)], ids=str)
 @pytest.mark.parametrize("seed", range(6))
-def test_all_is_whole_when_the_next_loss_may_come(seed: int, shape: tuple[int, int, int]) -> None:
-    """Twelve losses one after the other, each as soon as the one before no longer counts: then all copies are whole
-    again and all that vote are there, and nothing that was acknowledged is missing (`world` reads it all the time)."""
+def test_all_is_complete_when_the_next_loss_may_come(seed: int, shape: tuple[int, int, int]) -> None:
+    """Twelve consecutive losses, each as soon as the one before no longer counts. Then all copies are complete again,
+    all witnesses are up, and no acknowledged change is missing (`World` reads them continuously)."""
     rng, world = random.Random(f"losses {seed} {shape}"), settled(*shape, seed=seed)
     kinds = list(KINDS) + [rng.choice(KINDS[1:5]) for _ in range(4)]
     rng.shuffle(kinds)
     for kind in kinds:
         role = rng.choice(ROLES if shape[1] == 1 else ROLES[:2])
         acknowledged = world.acknowledged
-        wait = lose(world, of(world, role), kind, rng.choice([200 * MS, SECOND, 3 * SECOND]))
+        wait = lose(world, machine_with_role(world, role), kind, rng.choice([200 * MS, SECOND, 3 * SECOND]))
         busy(world, wait)
-        assert world.well(), (kind, role)
+        assert world.is_fully_replicated(), (kind, role)
         assert world.acknowledged > acknowledged + wait // (500 * MS), (kind, role)
 
 
 @pytest.mark.parametrize("kind", ["replaced", "planned"])
 @pytest.mark.parametrize("role", ROLES)
-def test_a_replacement_is_whole_in_time_beside_a_slow_disk(kind: str, role: str) -> None:
-    """Every disk takes thirty times as long: it still comes to be before the next loss may."""
+def test_a_replacement_is_complete_in_time_beside_slow_disks(kind: str, role: str) -> None:
+    """Even with disks thirty times slower, the replacement is complete before the next loss may come."""
     world = settled()
     for machine in world.machines:
         machine.sync_ms = 30 * 8
     began = world.now
-    wait = lose(world, of(world, role), kind)
-    while not world.well():
+    wait = lose(world, machine_with_role(world, role), kind)
+    while not world.is_fully_replicated():
         busy(world, 50 * MS)
         assert world.now < began + 6 * SECOND
     assert wait == 0 or world.now < began + SECOND + SYNC_TIME - 500 * MS
 
 
-def test_forty_machines_are_replaced_in_one_life() -> None:
-    """From the thirty-second on a new address was not passed on, and those that were gone were called for ever."""
+def test_forty_machines_are_replaced_in_a_row() -> None:
+    """Guards against new addresses that are not passed on, and against contacting removed machines forever."""
     world = settled()
     for n in range(40):
-        busy(world, lose(world, of(world, ROLES[n % 3]), "planned" if n % 2 else "replaced"))
-        assert world.well(), n
+        busy(world, lose(world, machine_with_role(world, ROLES[n % 3]), "planned" if n % 2 else "replaced"))
+        assert world.is_fully_replicated(), n
     busy(world, FORGET_AFTER_US + ADVERTISE_US + SECOND)
     there = {f"{m.address[0]}:{m.address[1]}" for m in world.machines}
     assert len(there) == 3
@@ -140,13 +140,13 @@
     assert world.acknowledged > 3_000 and world.reads > 3_000
 
 
-def test_a_primary_whose_backup_is_not_whole_does_not_go() -> None:
-    """It went 0.3 s after it was told to, with the only copy."""
+def test_a_primary_whose_backup_is_incomplete_does_not_stop() -> None:
+    """Guards against a primary that shuts down with the only complete copy."""
     world = settled()
-    primary, backup, witness = (of(world, role) for role in ROLES)
+    primary, backup, witness = (machine_with_role(world, role) for role in ROLES)
     busy(world, SECOND)
     witness.disk_hangs = world.now + 4 * SECOND
-    backup.kill()  # its successor takes no state for a while, and 0.7 s of that pass for a disk that just lags
+    backup.kill()  # its successor cannot sync the state for a while
     world.run(1_200 * MS)
     primary.stop()
     world.run(2_500 * MS)
@@ -159,11 +159,11 @@
 
 
 @pytest.mark.parametrize("role, most", [("primary", 800), ("backup", 800), ("witness", 500)])
-def test_who_leaves_goes_as_soon_as_it_is_not_missed(role: str, most: int) -> None:
-    """And the copy that it held is whole elsewhere by then. It keeps its seat: it may come back."""
+def test_a_leaving_machine_stops_once_it_is_not_needed(role: str, most: int) -> None:
+    """Its copy is complete elsewhere by then. It remains a witness, as it may come back."""
     world = settled()
     busy(world, SECOND)
-    machine, view, began = of(world, role), core(of(world, "primary")).view(), world.now
+    machine, view, began = machine_with_role(world, role), core(machine_with_role(world, "primary")).view(), world.now
     own = core(machine).own
     machine.stop()
     while machine.life is not None:
@@ -177,15 +177,15 @@
     assert all(core(m).view_manager.state.complete == now.number for m in world.machines if m.life)
     machine.start()
     busy(world, SYNC_TIME)
-    assert world.well()
+    assert world.is_fully_replicated()
 
 
 @pytest.mark.parametrize("slow", [1, 30])
 @pytest.mark.parametrize("role", ROLES)
-def test_a_spare_that_stands_ready_takes_the_seat_before_its_holder_goes(role: str, slow: int) -> None:
-    """Until then a second loss would have left one of three."""
+def test_a_ready_spare_becomes_witness_before_the_leaving_one_stops(role: str, slow: int) -> None:
+    """Otherwise a second loss could leave only one of three witnesses."""
     world = settled(4, 1, 3)
-    machine = of(world, role)
+    machine = machine_with_role(world, role)
     for other in world.machines:
         other.sync_ms = 8 * slow
     machine.stop()
@@ -197,18 +197,18 @@
     view = core(others[0]).view()
     assert view is not None and sorted(view.witnesses) == sorted(core(m).own for m in others)
     world.run(SECOND)
-    world.remove(of(world, "backup"))
+    world.remove(machine_with_role(world, "backup"))
     world.run(2 * SECOND)
     assert world.serving() is not None
 
 
 @pytest.mark.parametrize("spares", [0, 1])
-def test_until_a_new_copy_is_whole_those_before_it_may_have_the_lead_back(spares: int) -> None:
-    """One that leaves, or a spare's seat, is no reason to give that up: the successor is lost with its disk before the
-    other copy has anything."""
+def test_the_lead_can_return_until_a_new_copy_is_complete(spares: int) -> None:
+    """A shutdown or a spare must not change the witnesses meanwhile: the successor may lose its disk before the other
+    copy has any data."""
     world = settled(3 + spares, 1, 3)
     busy(world, SECOND)
-    primary, backup, witness = (of(world, role) for role in ROLES)
+    primary, backup, witness = (machine_with_role(world, role) for role in ROLES)
     witness.disk_hangs = world.now + 2 * SECOND
     world.run(100 * MS)
     primary.stop()
@@ -220,31 +220,31 @@
     assert found is not None and found is not backup and world.acknowledged > 30
 
 
-def test_one_that_leaves_holds_a_copy_while_there_is_nobody_else() -> None:
+def test_a_leaving_machine_holds_a_copy_while_there_is_nobody_else() -> None:
     world = settled()
-    backup, witness = of(world, "backup"), of(world, "witness")
+    backup, witness = machine_with_role(world, "backup"), machine_with_role(world, "witness")
     backup.kill()
     world.run(SECOND - 50 * MS)
     witness.stop()
     world.run(2 * SECOND)
-    assert witness.life is not None and of(world, "backup") is witness
+    assert witness.life is not None and machine_with_role(world, "backup") is witness
     backup.start()
     world.run(1_500 * MS)
-    assert witness.life is None and of(world, "backup") is backup
+    assert witness.life is None and machine_with_role(world, "backup") is backup
 
 
-def test_a_spare_that_was_there_all_along_waits_for_who_is_just_restarted() -> None:
+def test_a_long_standing_spare_leaves_a_witness_time_to_restart() -> None:
     world = settled(4, 1, 3)
-    machine, view = of(world, "witness"), core(of(world, "primary")).view()
+    machine, view = machine_with_role(world, "witness"), core(machine_with_role(world, "primary")).view()
     lose(world, machine, "killed", span=5 * SECOND)
-    assert core(of(world, "primary")).view() == view
+    assert core(machine_with_role(world, "primary")).view() == view
     machine.kill()
     world.run(8 * SECOND)
-    assert core(world.machines[3]).own in core(of(world, "primary")).view().witnesses  # type: ignore[union-attr]
+    assert core(world.machines[3]).own in core(machine_with_role(world, "primary")).view().witnesses  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("machines", [1, 2, 3, 5])
-def test_when_all_are_told_to_end_nobody_waits(machines: int) -> None:
+def test_nobody_waits_when_all_shut_down(machines: int) -> None:
     world = settled(machines)
     for machine in world.machines:
         machine.stop()
@@ -256,9 +256,9 @@
     assert world.serving() is not None
 
 
-def test_one_of_two_goes_once_the_other_holds_all() -> None:
+def test_one_of_two_stops_once_the_other_is_complete() -> None:
     world = settled(2)
-    primary, backup = of(world, "primary"), of(world, "backup")
+    primary, backup = machine_with_role(world, "primary"), machine_with_role(world, "backup")
     primary.stop()
     world.run(500 * MS)
     assert primary.life is None and core(backup).view_manager.state.complete == 1
@@ -267,10 +267,10 @@
     assert world.serving() is not None
 
 
-def test_who_is_missed_to_the_end_goes_before_it_is_killed() -> None:
-    """Its backup is lost and there is nobody else: it holds on, but not into SIGKILL."""
+def test_a_machine_that_stays_needed_stops_before_it_is_killed() -> None:
+    """Its backup is lost and nobody can replace it: it waits, but stops before SIGKILL."""
     world = settled()
-    primary, backup, witness = (of(world, role) for role in ROLES)
+    primary, backup, witness = (machine_with_role(world, role) for role in ROLES)
     witness.kill()
     world.run(2 * SECOND)
     backup.kill()
@@ -283,24 +283,25 @@
 
 
 @pytest.mark.parametrize("patch", ["_released", "whole", "successor"])
-def test_without_each_part_losses_in_a_row_are_found_out(patch: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What the tests above hold is due to the parts that are named here."""
+def test_without_each_part_a_test_of_consecutive_losses_fails(patch: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without each of these parts one of the tests above fails."""
     if patch == "_released":
         monkeypatch.setattr(Replicator, "may_leave", lambda self, now: True)
         with pytest.raises(AssertionError):
-            test_a_primary_whose_backup_is_not_whole_does_not_go()
+            test_a_primary_whose_backup_is_incomplete_does_not_stop()
     elif patch == "whole":
         monkeypatch.setattr(ViewManager, "mark_leaving", lambda self, peer: None)
         with pytest.raises(AssertionError):
-            test_who_leaves_goes_as_soon_as_it_is_not_missed("backup", 800)
+            test_a_leaving_machine_stops_once_it_is_not_needed("backup", 800)
     else:
         monkeypatch.setattr("oakvale.controlplane.view_change.SUCCESSOR_WAIT_SILENCES", 1_000)
         with pytest.raises(AssertionError):
-            test_all_is_whole_when_the_next_loss_may_come(0, (3, 1, 3))
+            test_all_is_complete_when_the_next_loss_may_come(0, (3, 1, 3))
 
 
-def test_addresses_that_are_gone_are_forgotten_by_who_is_in_touch() -> None:
-    """What two told each other went round for ever; who is cut off forgets nobody, and goes back to the seeds."""
+def test_stale_addresses_are_forgotten_with_a_majority_reachable() -> None:
+    """Guards against peers that keep telling each other a stale address. A machine without a majority forgets nothing
+    and returns to the seeds."""
     one, other, now = PeerAddresses(["s"]), PeerAddresses(["s"]), 0
     one.heartbeat_received(0, "x", ())
     for now in range(0, FORGET_AFTER_US + ADVERTISE_US + SECOND, 200 * MS):
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -43,7 +43,7 @@
         self.refused: set[tuple[int, int]] = set()
         self.answers: list[int] = []
         self.rng = random.Random(f"orders {seed}")
-        self.world = World(seed, equips=self._equip)
+        self.world = World(seed, on_machine_start=self._equip)
         self.world.run(SECOND)
 
     def _equip(self, machine: Machine, loop: Loop) -> None:
@@ -97,7 +97,7 @@
         others = [m for m in world.machines if m is not machine]
         span = rng.choice([50, 400, 1_400]) * MS
         kind = rng.choice(["down", "cut", "half", "friend", "all", "wipe", "pause"])
-        if kind == "wipe" and world.lost() <= {machine}:
+        if kind == "wipe" and world.troubled_machines() <= {machine}:
             world.down(machine, span, wiped=True)
         elif kind == "all":
             for each in world.machines:
--- a/tests/test_view_change.py
+++ b/tests/test_view_change.py
@@ -1,4 +1,4 @@
-"""The control state in simulated time: faults drawn by seed, and what each bug that was found once would break."""
+"""The control state in simulated time: seeded random faults, and a regression test for each protocol bug found."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_a_day_of_faults(seed: int) -> None:
-    """All that was acknowledged is read later, and somebody serves 10 s after all heals: the judge is in `world`."""
-    World(seed, *SHAPES[seed % len(SHAPES)]).day(5)
+    """Acknowledged changes are read later, and 10 s after all faults heal a machine serves; `World` checks both."""
+    World(seed, *SHAPES[seed % len(SHAPES)]).run_day_of_faults(5)
 
 
 @pytest.mark.parametrize("seed", range(100, 108))
-def test_a_day_of_faults_with_much_that_is_forgotten(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Markers and graves go from all copies, disks and gateways, whoever is primary."""
+def test_a_day_of_faults_with_compaction(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Markers and tombstones disappear from all copies, disks and gateways, whoever is primary."""
     monkeypatch.setattr("oakvale.dissemination.table.GRAVES", 3)
-    world = World(seed, *SHAPES[seed % len(SHAPES)], prunes=(200 * MS, 600 * MS))
-    world.day(5)
+    world = World(seed, *SHAPES[seed % len(SHAPES)], compaction_intervals=(200 * MS, 600 * MS))
+    world.run_day_of_faults(5)
     world.run(4 * SECOND)
     for core in roles(world)[1:]:
         assert core.replicated_state.table.floor > NOTHING
@@ -56,9 +56,9 @@
         }
 
 
-def test_a_pruned_state_survives_a_takeover(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_compacted_state_survives_a_failover(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("oakvale.dissemination.table.GRAVES", 3)
-    world = World(1, prunes=(200 * MS, 600 * MS))
+    world = World(1, compaction_intervals=(200 * MS, 600 * MS))
     world.run(2 * SECOND)
     for _ in range(30):
         world.change(roles(world)[0])
@@ -84,7 +84,7 @@
     assert world.gateway.since(NOTHING) == roles(world)[1].replicated_state.table.since(NOTHING)
 
 
-def test_rows_whose_forgetting_was_cut_short_go_at_the_next_start() -> None:
+def test_rows_of_an_interrupted_compaction_are_deleted_at_the_next_start() -> None:
     world = settled()
     machine = roles(world)[0]
     machine.kill()
@@ -102,7 +102,7 @@
 
 
 def roles(world: World) -> tuple[Machine, Core, Core]:
-    """The primary's machine and part, and the part of its backup."""
+    """The primary's machine and core, and the core of its backup."""
     machine = world.serving()
     assert machine is not None and machine.core is not None
     view = machine.core.view()
@@ -112,7 +112,7 @@
     return machine, machine.core, backup.core
 
 
-def test_everything_killed_comes_back_with_its_view() -> None:
+def test_the_view_survives_a_restart_of_all_machines() -> None:
     world = settled()
     view = roles(world)[1].view()
     for machine in world.machines:
@@ -123,7 +123,8 @@
 
 @pytest.mark.parametrize("wiped", [True, False])
 def test_a_view_whose_primary_died_before_it_was_decided(wiped: bool) -> None:
-    """Another seat had to finish its ballot. No copy was complete in that view, and the system stood for good."""
+    """Guards against a permanent stop: another replica finishes the ballot, no copy is complete in that view, and it
+    has to be voided."""
     world = settled()
     machine, _, backup = roles(world)
     world.change(machine)
@@ -153,7 +154,7 @@
 
 
 def test_more_witnesses_than_seeds_where_the_tolerance_needs_them() -> None:
-    """Three witnesses, as many as there are seeds, do not outlive the loss of two."""
+    """Three witnesses, as many as there are seeds, do not survive the loss of two."""
     world = settled(5, 2, 3)
     world.run(3 * SECOND)
     for machine in world.machines[1:3]:
@@ -162,9 +163,9 @@
     assert world.serving() is not None
 
 
-def test_an_older_state_that_comes_late_undoes_nothing() -> None:
-    """Bytes of a connection that was given up are read behind those of the next; the backup took them, and what
-    it had vouched for was gone."""
+def test_a_delayed_older_state_is_refused() -> None:
+    """Bytes of an abandoned connection may be read after those of the next one; accepting them would undo acknowledged
+    changes."""
     world = World(1)
     bodies: list[Any] = []
     for machine in world.machines:
@@ -187,8 +188,8 @@
     assert answers == [False] and backup.replicated_state.table.high == high
 
 
-def test_pulses_of_a_primary_that_starts_again_are_newer() -> None:
-    """They began at one again, in the same view: all gateways held the news for stale."""
+def test_heartbeats_of_a_restarted_primary_are_newer() -> None:
+    """If heartbeat numbers restarted at one in the same view, all gateways would take the state updates for stale."""
     world = settled()
     machine, core, _ = roles(world)
     before = core._next_pulse()
@@ -198,8 +199,8 @@
     assert again.own == core.own and again is not core and again._next_pulse() > before
 
 
-def test_founders_keep_what_they_founded() -> None:
-    """All stop before anything else is on disk, and the lists of seeds differ at the next start."""
+def test_seeds_keep_their_bootstrap_view() -> None:
+    """All seeds stop before anything else is on disk, and the lists of seeds differ at the next start."""
     world = World(1, 4, 1, 3)
     world.run(9 * MS)
     for machine in world.machines:
@@ -210,41 +211,42 @@
 
 
 def test_a_primary_that_was_replaced_takes_no_change_before_that_is_on_its_disk() -> None:
-    """And whoever waits for a change is told when the state is replaced under it."""
+    """Also, whoever waits for a change gets a result when the state is replaced."""
     world = settled()
     machine, core, backup = roles(world)
     machine.disk_hangs = world.now + 5 * SECOND
-    told: list[bool] = []
-    core.change({"a": 1}, told.append)
+    results: list[bool] = []
+    core.change({"a": 1}, results.append)
     view = View(2, backup.own, (core.own,), ABC.witnesses)
     assert machine.life is not None
     body = [view.pack(), list(backup.own), [1, 1], [0, [], []], []]
     core.transport.handlers["sync"](cast(Any, Link(machine.life, None)), body, print)
-    assert told == [False]
-    core.change({"a": 2}, told.append)
-    assert told == [False, False]
+    assert results == [False]
+    core.change({"a": 2}, results.append)
+    assert results == [False, False]
 
 
-def test_what_is_given_up_stays_as_it_does_on_disk() -> None:
-    """Gone from memory alone, it came back with the next start, behind what others had been told."""
-    replicated_state, told = ReplicatedState(), list[bool]()
+def test_an_abandoned_change_stays_in_memory_as_on_disk() -> None:
+    """Removed from memory alone, an abandoned change would come back at the next start, after others were told
+    otherwise."""
+    replicated_state, results = ReplicatedState(), list[bool]()
     replicated_state.start(1)
-    replicated_state.propose({"a": 1}, {A, B}, told.append)
+    replicated_state.propose({"a": 1}, {A, B}, results.append)
     for then in replicated_state.abandon():
         then(False)
-    assert told == [False] and replicated_state.table.get("a") == 1 and not replicated_state.has_pending()
+    assert results == [False] and replicated_state.table.get("a") == 1 and not replicated_state.has_pending()
 
 
-# ---- one seat alone
+# ---- a single view manager
 
 
-class Alone:
-    """Tells a seat that the others are up or down, and keeps what it says."""
+class SingleViewManager:
+    """Drives a single view manager with heartbeats of peers, and collects what it returns."""
 
     def __init__(self, own: Replica, state: DurableState) -> None:
         self.part = ViewManager(own, state, 2, 900 * MS, 7 * SECOND)
         self.now = 1_000 * SECOND
-        self.keeps: list[PersistState] = []
+        self.unsynced: list[PersistState] = []
 
     def run(self, span: int, up: tuple[Replica, ...]) -> list[ElectionMessage]:
         said: list[ElectionMessage] = []
@@ -257,106 +259,113 @@
         return said
 
     def sort(self, out: list[Any]) -> list[ElectionMessage]:
-        self.keeps += [item for item in out if isinstance(item, PersistState)]
+        self.unsynced += [item for item in out if isinstance(item, PersistState)]
         return [item for item in out if isinstance(item, ElectionMessage)]
 
     def kept(self) -> list[ElectionMessage]:
         said: list[ElectionMessage] = []
-        while self.keeps:
-            said += self.sort(self.part.persisted(self.keeps.pop(0).number))
+        while self.unsynced:
+            said += self.sort(self.part.persisted(self.unsynced.pop(0).number))
         return said
 
 
 def test_a_ballot_goes_out_once_its_own_promise_is_on_disk() -> None:
-    """After a crash the same ballot went out again, with another successor: both could be decided."""
-    seat = Alone(B, bootstrap_state(ABC, B))
-    assert not seat.run(2 * SECOND, (C,)) and seat.part.state.promised[0] == 1
-    assert [(item.to, item.kind) for item in seat.kept()] == [(A, "prepare"), (C, "prepare")]
+    """Otherwise a crash could send the same ballot again with another successor, and both could be decided."""
+    replica = SingleViewManager(B, bootstrap_state(ABC, B))
+    assert not replica.run(2 * SECOND, (C,)) and replica.part.state.promised[0] == 1
+    assert [(item.to, item.kind) for item in replica.kept()] == [(A, "prepare"), (C, "prepare")]
 
 
 def test_nobody_proposes_behind_a_view_that_is_not_on_its_disk() -> None:
-    """Back in the view before after a crash, it was not complete in the one it had won, and nobody else was."""
-    seat = Alone(B, bootstrap_state(ABC, B))
-    moved = seat.part.learn(View(2, B, (C,), ABC.witnesses))
+    """After a crash it would be back in the previous view and incomplete in the one it had won, as would everybody
+    else."""
+    replica = SingleViewManager(B, bootstrap_state(ABC, B))
+    moved = replica.part.learn(View(2, B, (C,), ABC.witnesses))
     assert not any(isinstance(item, ViewAdopted) for item in moved)
-    seat.sort(moved)
-    assert not seat.run(2 * SECOND, (A,)) and seat.part.state.promised[0] == 0
-    seat.kept()
-    seat.run(SECOND // 2, (A,))
-    assert seat.part.state.promised[0] == 1
+    replica.sort(moved)
+    assert not replica.run(2 * SECOND, (A,)) and replica.part.state.promised[0] == 0
+    replica.kept()
+    replica.run(SECOND // 2, (A,))
+    assert replica.part.state.promised[0] == 1
 
 
 def test_a_slow_disk_gets_the_time_to_answer() -> None:
-    """A new ballot every 0.9 s overtook the answers to the one before, and nobody was ever elected."""
-    seat = Alone(B, bootstrap_state(ABC, B))
-    seat.run(1_200 * MS, (C,))
-    assert seat.part.state.promised[0] == 1 and len(seat.kept()) == 2
-    again = seat.run(SECOND, (C,))
+    """A new ballot every 0.9 s would invalidate answers to the one before, and nobody would ever be elected."""
+    replica = SingleViewManager(B, bootstrap_state(ABC, B))
+    replica.run(1_200 * MS, (C,))
+    assert replica.part.state.promised[0] == 1 and len(replica.kept()) == 2
+    again = replica.run(SECOND, (C,))
     assert [(item.to, item.kind, item.body[1][0]) for item in again] == [(A, "prepare", 1), (C, "prepare", 1)]
-    seat.sort(seat.part.message(seat.now, C, "promise", [1, [1, list(B)], None]))
-    assert [item.kind for item in seat.run(SECOND, (C,))] == ["accept", "accept"]
-    seat.part.message(seat.now, C, "accepted", [1, [1, list(B)]])
-    seat.part.persisted(99)
-    assert seat.part.is_primary()
-
-
-def test_a_dead_primary_is_not_given_its_turn() -> None:
-    """The backup waited for the primary's turn to propose, after it had found that primary dead."""
-    seat = Alone(B, bootstrap_state(ABC, B))
-    seat.run(SECOND, (C,))
-    assert seat.part.state.promised[0] == 0
-    seat.run(100 * MS, (C,))
-    assert seat.part.state.promised[0] == 1
-    third = Alone(C, bootstrap_state(bootstrap_view([A[0], B[0], C[0]], 3), C))
-    third.run(1_200 * MS, (B,))  # the copy before it is up and has its turn
+    replica.sort(replica.part.message(replica.now, C, "promise", [1, [1, list(B)], None]))
+    assert [item.kind for item in replica.run(SECOND, (C,))] == ["accept", "accept"]
+    replica.part.message(replica.now, C, "accepted", [1, [1, list(B)]])
+    replica.part.persisted(99)
+    assert replica.part.is_primary()
+
+
+def test_a_backup_does_not_wait_for_a_dead_primary_to_propose() -> None:
+    """A backup must not wait for the proposal of a primary that it knows to be down."""
+    replica = SingleViewManager(B, bootstrap_state(ABC, B))
+    replica.run(SECOND, (C,))
+    assert replica.part.state.promised[0] == 0
+    replica.run(100 * MS, (C,))
+    assert replica.part.state.promised[0] == 1
+    third = SingleViewManager(C, bootstrap_state(bootstrap_view([A[0], B[0], C[0]], 3), C))
+    third.run(1_200 * MS, (B,))  # the copy before it is up and proposes first
     assert third.part.state.promised[0] == 0
 
 
 def test_a_primary_that_comes_back_without_its_disk_is_not_waited_for() -> None:
-    """After all were killed the others gave it 0.9 s to be heard, though another seat spoke from its address."""
-    fresh = (A[0], "0011")
-    seat = Alone(B, bootstrap_state(ABC, B))
-    seat.run(300 * MS, (C, fresh))
-    assert seat.part.state.promised[0] == 1
-    for up in ((fresh,), (A, C), (C,), (C, ("10.0.0.9:7340", "0011"))):  # too few, all well, late, a stranger
-        seat = Alone(B, bootstrap_state(ABC, B))
-        seat.run(800 * MS, up)
-        assert seat.part.state.promised[0] == 0, up
-
-
-def test_a_promise_binds_and_is_told() -> None:
-    seat = Alone(C, bootstrap_state(ABC, C))
+    """After a restart of all machines, another replica responding at the primary's address shows that its disk is
+    lost."""
+    new_replica = (A[0], "0011")
+    replica = SingleViewManager(B, bootstrap_state(ABC, B))
+    replica.run(300 * MS, (C, new_replica))
+    assert replica.part.state.promised[0] == 1
+    for up in (
+        (new_replica,),
+        (A, C),
+        (C,),
+        (C, ("10.0.0.9:7340", "0011")),
+    ):  # too few, all up, not yet timed out, unknown address
+        replica = SingleViewManager(B, bootstrap_state(ABC, B))
+        replica.run(800 * MS, up)
+        assert replica.part.state.promised[0] == 0, up
+
+
+def test_a_promise_is_binding_and_reported() -> None:
+    replica = SingleViewManager(C, bootstrap_state(ABC, C))
     value = View(2, B, (C,), ABC.witnesses)
 
-    def told(sender: Replica, kind: str, round_: int, *more: Any) -> list[ElectionMessage]:
+    def send(sender: Replica, kind: str, round_: int, *more: Any) -> list[ElectionMessage]:
         body = [ABC.pack(), [round_, list(sender)], *more]
-        return seat.sort(seat.part.message(seat.now, sender, kind, body)) + seat.kept()
+        return replica.sort(replica.part.message(replica.now, sender, kind, body)) + replica.kept()
 
-    assert [s.kind for s in told(B, "prepare", 2)] == ["promise"]
-    [refused] = told(A, "prepare", 1)
+    assert [s.kind for s in send(B, "prepare", 2)] == ["promise"]
+    [refused] = send(A, "prepare", 1)
     assert refused.kind == "refused" and refused.body[1] == 2
-    assert [s.kind for s in told(B, "accept", 2, value.pack())] == ["accepted"]
-    [promise] = told(A, "prepare", 3)
+    assert [s.kind for s in send(B, "accept", 2, value.pack())] == ["accepted"]
+    [promise] = send(A, "prepare", 3)
     assert promise.kind == "promise" and promise.body[2] == [[2, list(B)], value.pack()]
-    assert [s.kind for s in told(B, "accept", 2, value.pack())] == ["refused"]
+    assert [s.kind for s in send(B, "accept", 2, value.pack())] == ["refused"]
 
 
-def test_a_seat_that_lost_its_disk_neither_votes_nor_counts() -> None:
-    """It comes back under its address with another incarnation, and is let in by the next view."""
-    fresh = (A[0], "0011")
-    seat = Alone(fresh, DurableState())
-    out = seat.part.message(seat.now, B, "prepare", [ABC.pack(), [1, list(B)]])
-    assert not seat.sort(out) + seat.kept()
-    other = Alone(B, bootstrap_state(ABC, B))
-    other.run(2 * SECOND, (C, fresh))
+def test_a_replica_without_its_disk_neither_votes_nor_counts() -> None:
+    """It returns at its address with another incarnation, and is admitted by the next view."""
+    new_replica = (A[0], "0011")
+    replica = SingleViewManager(new_replica, DurableState())
+    out = replica.part.message(replica.now, B, "prepare", [ABC.pack(), [1, list(B)]])
+    assert not replica.sort(out) + replica.kept()
+    other = SingleViewManager(B, bootstrap_state(ABC, B))
+    other.run(2 * SECOND, (C, new_replica))
     other.kept()
     said = other.sort(other.part.message(other.now, C, "promise", [1, [1, list(B)], None])) + other.kept()
     assert {s.kind for s in said} == {"accept"}
-    assert said[0].body[2] == View(2, B, (fresh,), (fresh, B, C)).pack()
+    assert said[0].body[2] == View(2, B, (new_replica,), (new_replica, B, C)).pack()
 
 
-def test_a_primary_that_is_told_to_end_is_not_waited_for() -> None:
-    """A planned end cost as long a stop of all changes as a crash: nine tenths of a second of silence first."""
+def test_nobody_waits_for_a_primary_that_is_shutting_down() -> None:
+    """A planned shutdown must not stop changes for a whole heartbeat timeout, as a crash does."""
     world = settled()
     machine, core, _ = roles(world)
     core.leave(lambda: None)
