--- a/oakvale/controlplane/replication.py
+++ b/oakvale/controlplane/replication.py
@@ -332,8 +332,8 @@
             return self._released_in_view == view.number and self.self_id not in view.copies
         if self.self_id == view.primary:
             return self._serves_in(view)
-        whole = self.self_id not in view.copies or view_manager.state.complete == view.number
-        return whole and (view_manager.alive(view.primary, now) or view_manager.is_leaving(view.primary))
+        copies_complete = self.self_id not in view.copies or view_manager.state.complete == view.number
+        return copies_complete and (view_manager.alive(view.primary, now) or view_manager.is_leaving(view.primary))
 
     def written(self, number: int) -> list[Action]:
         """The write with this number is on disk."""
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -197,7 +197,7 @@
         world.run(10 * MS)
     view = max(world.views.values(), key=lambda v: v.number)
     ends = [next(m for m in world.machines if m.address[0] == replica[0].partition(":")[0]) for replica in view.copies]
-    whole, before = (
+    chunk_count, before = (
         len(split_state(cast(Core, ends[0].core).replicated_state.all_entries()).chunks),
         sum(counter.arrived.values()),
     )
@@ -207,7 +207,7 @@
     world.down(ends[0], 100 * MS)
     world.run(5 * SECOND)
     total = sum(counter.arrived.values())
-    assert kept > 90 and whole > 400 and total < whole + 12, (before, kept, whole, total)
+    assert kept > 90 and chunk_count > 400 and total < chunk_count + 12, (before, kept, chunk_count, total)
     counter.check_copies_equal()
 
 
@@ -342,7 +342,7 @@
             assert core is not None
             handlers = core.transport.handlers
 
-            def heard(
+            def on_heartbeat(
                 conn: Any, body: Any, answer: Any, name: str = station.name, real: Any = handlers["core"]
             ) -> None:
                 now, pair = self.works.events.now, (str(body[0][0]), name)
@@ -350,7 +350,7 @@
                 last[pair] = now
                 real(conn, body, answer)
 
-            handlers["core"] = heard
+            handlers["core"] = on_heartbeat
 
 
 @pytest.mark.parametrize("how", ["planned", "noise"])
@@ -412,10 +412,12 @@
     )
     late = max(at + span for at, span, done in system.results if done) - system.began
     print("all in force after", late / SECOND, "longest gaps", dict(system.gaps))
-    heard = [
+    heartbeat_gaps = [
         gap for pair, gap in system.gaps.items() if not pair.startswith(backup.machine.ip)
     ]  # except for the one that restarted
-    assert all(done for _, _, done in system.results) and len(system.results) == 361 and max(heard) < SILENCE // 2
+    assert (
+        all(done for _, _, done in system.results) and len(system.results) == 361 and max(heartbeat_gaps) < SILENCE // 2
+    )
 
 
 def test_changes_pass_a_configuration_on_its_way() -> None:
