--- a/oakvale/settings.py
+++ b/oakvale/settings.py
@@ -1,4 +1,4 @@
-"""Decodes 'the settings', the same object on the simulator's wire and in a gateway's configuration.
+"""Decodes the settings object, which is the same on the simulator's wire and in a gateway's configuration.
 
 No decisions live here.
 """
@@ -20,13 +20,15 @@
 }
 
 
-def part(data: dict[str, Any], name: str) -> dict[str, Any]:
+def section(data: dict[str, Any], name: str) -> dict[str, Any]:
+    """A table of the settings; empty where it is missing."""
     return data.get(name) or {}
 
 
 def decode(data: dict[str, Any]) -> i.Settings:
-    limits, rules, extra = part(data, "limits"), part(data, "rules"), part(data, "specifics")
-    report, prices = part(data, "report"), part(data, "prices")
+    """The settings as the policy takes them; what is missing gets its default."""
+    limits, rules, extra = section(data, "limits"), section(data, "rules"), section(data, "specifics")
+    report, prices = section(data, "report"), section(data, "prices")
     classes = tuple(
         i.RequestClass(
             aim=int(c.get("targetUs") or c.get("giveUpUs") or 1_000_000),
@@ -82,8 +84,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Names:
-    """What the settings call their classes, plans, zones and kinds: each one's place is its number."""
+class NameIndexes:
+    """Indexes of classes, plans, zones and kinds by their names in the settings."""
 
     classes: dict[str, int]
     plans: dict[str, int]
@@ -91,13 +93,15 @@
     kinds: dict[str, int]
 
 
-def names(data: dict[str, Any]) -> Names:
-    def places(rows: list[Any]) -> dict[str, int]:
+def decode_names(data: dict[str, Any]) -> NameIndexes:
+    """The indexes by order in the settings, as the policy's events use them."""
+
+    def indexes(rows: list[Any]) -> dict[str, int]:
         return {str(r["name"] if isinstance(r, dict) else r): k for k, r in enumerate(rows)}
 
-    return Names(
-        places(data.get("classes") or []),
-        places(data.get("tiersOfService") or []),
-        places(data.get("zones") or []),
-        places(data.get("kinds") or []),
+    return NameIndexes(
+        indexes(data.get("classes") or []),
+        indexes(data.get("tiersOfService") or []),
+        indexes(data.get("zones") or []),
+        indexes(data.get("kinds") or []),
     )
--- a/tests/test_request_accounting.py
+++ b/tests/test_request_accounting.py
@@ -1,19 +1,19 @@
-"""The module's picture of what is out, owed and in hand is what the sockets hold, whatever ends how."""
+"""The policy's records of attempts, counter calls and requests match those of the sockets, whatever ends how."""
 
 from collections import Counter
 
 from oakvale.wire.clients import ClientConnection
 from oakvale.wire.counter import Call, CounterConnection
-from tests.node import MS, Node, StandIn, answer, row
+from tests.node import MS, Node, StubConnection, answer, row
 
 
-class Watched(Node):
-    """A gateway with its real module and a counter that answers; the picture is compared after each step."""
+class CheckedNode(Node):
+    """A gateway with the real policy and a counter that answers; the records are compared after each step."""
 
     def __init__(self) -> None:
         super().__init__(script=False)
-        self.sides: list[StandIn] = []
-        self.backends: list[StandIn] = []
+        self.sides: list[StubConnection] = []
+        self.backends: list[StubConnection] = []
         self.totals: Counter[str] = Counter()
 
     def step(self, turns: int = 4) -> None:
@@ -30,34 +30,38 @@
             self.compare()
 
     def compare(self) -> None:
-        host, module = self.host, self.host.gateway
+        host, policy = self.host, self.host.gateway
         in_hand = list(host.requests._by_id.values())
         out = Counter(a.backend for r in in_hand for a in r.out.values())
-        assert out == Counter({k: len(b.inflight) for k, b in module.desk.backends.items() if b.inflight})
+        assert out == Counter(
+            {number: len(backend.in_flight) for number, backend in policy.context.backends.items() if backend.in_flight}
+        )
         assert sum(out.values()) == host.backend_connections - host.idle.count
-        assert sum(c.out for c in module.desk.customers.values()) == sum(out.values())
+        assert sum(c.in_flight for c in policy.context.customers.values()) == sum(out.values())
         assert host.counter is not None
         owed = {name: len(calls) for name, calls in host.counter._by_name.items()}
-        assert owed == {name: len(calls) for name, calls in module.counter.calls.items()}
+        assert owed == {name: len(calls) for name, calls in policy.counter.calls.items()}
         written = [c for connection in host.counter.connections for c in held(connection) if c.ending is None]
         assert len(written) == sum(owed.values())
-        assert {r.id for r in in_hand if not r.over} == {rid for rid, h in module.desk.held.items() if not h.over}
+        assert {r.id for r in in_hand if not r.over} == {
+            request_id for request_id, pending in policy.context.pending.items() if not pending.finished
+        }
         asked = {c.request for c in host.clients.all if isinstance(c, ClientConnection)}
         waiting = {request.id for request in asked if request is not None}
         assert waiting == {r.id for r in in_hand if not r.over}
 
-    def sent(self, rid: str) -> tuple[StandIn, StandIn]:
+    def sent(self, request_id: str) -> tuple[StubConnection, StubConnection]:
         client = self.client()
-        self.ask(client, rid, X_Call_Terms="units=1,spread=1,first=0")
+        self.ask(client, request_id, X_Call_Terms="units=1,spread=1,first=0")
         self.step()
-        return client, self.until(lambda: self.backend_with(rid.encode()))
+        return client, self.until(lambda: self.backend_with(request_id.encode()))
 
-    def backend_with(self, rid: bytes) -> StandIn | None:
-        """The connection on which the attempt came: a new one, or one that is used again."""
+    def backend_with(self, request_id: bytes) -> StubConnection | None:
+        """The connection, new or reused, on which an attempt arrived."""
         while (side := self.backend.take()) is not None:
             self.backends.append(self._kept(side))
         for side in self.backends:
-            if rid in side.read():
+            if request_id in side.read():
                 side.came = b""
                 return side
         return None
@@ -68,7 +72,7 @@
 
 
 def test_every_ending_leaves_the_same_picture_in_module_and_host() -> None:
-    node = Watched()
+    node = CheckedNode()
     endings = [
         answer(),
         answer("500 Oops"),
@@ -83,34 +87,34 @@
         node.compare()
         backend.send(reply)
         node.step()
-        while not client.read():  # tried again, and served then
+        while not client.read():  # retried, and then served
             again = node.until(lambda: node.backend_with(f"a{n}".encode()))  # noqa: B023
             again.send(answer())
             node.step()
         assert client.came.startswith(b"HTTP/1.1 ")
-        node.clock.now += 2_500 * MS  # what was left alone for its failure is tried again
+        node.clock.now += 2_500 * MS  # past the ejection of the backend
         node.step()
     client, backend = node.sent("b1")
     client.close(reset=True)
     node.step()
-    node.until_ended(backend)  # called off, in module and host
-    assert not any(b.inflight for b in node.host.gateway.desk.backends.values()) and not node.host.requests._by_id
+    node.until_ended(backend)  # cancelled, in policy and host
+    assert not any(b.in_flight for b in node.host.gateway.context.backends.values()) and not node.host.requests._by_id
     client, backend = node.sent("b2")
     node.host.discovery.take({"index": 50, "snapshot": True, "endpoints": [row("s-9", node.backend.text)]})
     node.step()
-    assert set(node.host.gateway.desk.backends) == {1, 2}  # what is out at the one that left is still owed an end
+    assert set(node.host.gateway.context.backends) == {1, 2}  # its attempt has not ended yet
     backend.send(answer())
     node.step()
     node.host.discovery.take({"index": 51, "snapshot": False, "endpoints": []})
     node.host.discovery.take({"index": 52, "snapshot": False, "endpoints": [row("s-9", node.backend.text)]})
     node.step()
-    assert set(node.host.gateway.desk.backends) == set(node.host.backend_names._addresses) == {2}
-    assert not node.host.requests._by_id and not node.host.gateway.desk.held
+    assert set(node.host.gateway.context.backends) == set(node.host.backend_names._addresses) == {2}
+    assert not node.host.requests._by_id and not node.host.gateway.context.pending
     node.close()
 
 
 def test_calls_lost_with_their_connection_are_lost_in_both() -> None:
-    node = Watched()
+    node = CheckedNode()
     client = node.client()
     node.ask(client, "a1", X_Call_Terms="units=1,spread=1,first=0")
     node.until(lambda: node.host.gateway.counter.calls)
