--- a/oakvale/election/__init__.py
+++ b/oakvale/election/__init__.py
@@ -1,3 +1,3 @@
-"""Elections: voters grant the holder of a duty a time-limited lease by majority. It must know no clock and no
+"""Elections: voters grant the holder of a duty a time-limited lease by majority. It must not read a clock or open a
 socket. Begin with `voting`.
 """
