--- a/oakvale/controlplane/compaction.py
+++ b/oakvale/controlplane/compaction.py
@@ -46,6 +46,6 @@
         floor = min(table.next_horizon(), last)
         if floor > table.horizon:
             changes[HORIZON_KEY] = list(floor)
-        if changes and not self._core.replicated_state.waits():
+        if changes and not self._core.replicated_state.has_pending():
             log_event("forgets", left=len(old), up_to="/".join(map(str, floor)))
             self._core.change(changes, lambda done: None)
--- a/oakvale/controlplane/status.py
+++ b/oakvale/controlplane/status.py
@@ -35,7 +35,7 @@
             "complete": core.view_manager.state.complete,
             "gen": held["gen"] if held else -1,
             "news": "/".join(map(str, table.highest_version)),
-            "waits": core.replicated_state.waits(),
+            "waits": core.replicated_state.has_pending(),
             "disk_waits_ms": 0 if since is None else (now - since) // US_PER_MS,
             "relays": len(core.outlet),
             "gateways": ",".join(sorted(node for node, _ in table.items("gate/"))),
