--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -16,7 +16,7 @@
 from oakvale.dataplane.routes import parse_configuration, update_backends, update_members
 from oakvale.dissemination.feed import Feed
 from oakvale.dissemination.table import Table
-from oakvale.dissemination.tree import Member, Members, sources, watched, watchers
+from oakvale.dissemination.tree import Member, Members, heartbeat_senders, heartbeat_targets, update_sources
 from oakvale.failover.chains import unpack
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.eventlog import EventLogger
@@ -81,7 +81,7 @@
         self.incarnation = loop.net.token(6)
         # a machine's control plane process has the first port
         self.transport = Transport(self.loop, (settings.ip, settings.ports[0] + 1))
-        self.self_address = spelled(self.transport.own)
+        self.self_address = spelled(self.transport.self_address)
         self.table = Table()
         self.shared = SharedResources(self.loop, limits)
         self._core_addresses = [
@@ -119,7 +119,7 @@
             self._on_state_update,
         )
         if bounds_settings.strict_revoke:  # half of it, as a heartbeat may take the rest of the time through the relays
-            self.router.revocations_current = lambda: self.feed.fresh(bounds_settings.revoke // 2)
+            self.router.revocations_current = lambda: self.feed.is_fresh(bounds_settings.revoke // 2)
         self.drain_agent = DrainAgent(
             self.loop,
             self.transport,
@@ -190,14 +190,14 @@
         return known.quota if known else Quota()
 
     def _state_sources(self, failed: dict[str, int]) -> list[str]:
-        return sources(
+        return update_sources(
             self.router.snapshot.members, self.settings.node, self.settings.zone, self._core_addresses, failed
         )
 
     def _check_membership(self, _: Any) -> None:
         """Sends join requests until the member list has this gateway, and again if it is removed."""
         member = self.router.snapshot.members.get(self.settings.node)
-        listed = member is not None and member.life == self.incarnation
+        listed = member is not None and member.incarnation == self.incarnation
         self.loop.at(
             self.loop.now + (MEMBERSHIP_CHECK_INTERVAL_US if listed else JOIN_RETRY_US), self._check_membership
         )
@@ -245,7 +245,7 @@
         self.loop.at(now + HEARTBEAT_INTERVAL_US, self._send_heartbeats)
         members = self.router.snapshot.members
         member = members.get(self.settings.node)
-        if member is None or member.life != self.incarnation:
+        if member is None or member.incarnation != self.incarnation:
             self._joined = False
             return
         for member in self._watchers:
@@ -253,13 +253,18 @@
             if address is not None:
                 self.transport.tell(address, "alive", [self.settings.node, self.incarnation])
         watched = self._watched
-        last_heartbeat = {f"{m.node} {m.life}": self._last_heartbeat.get(f"{m.node} {m.life}", now) for m in watched}
+        last_heartbeat = {
+            f"{m.node} {m.incarnation}": self._last_heartbeat.get(f"{m.node} {m.incarnation}", now) for m in watched
+        }
         self._last_heartbeat = last_heartbeat
         primary = parse_address(self._core_addresses[0]) if self._core_addresses else None
         for member in watched:
-            if now - last_heartbeat[f"{member.node} {member.life}"] > HEARTBEAT_TIMEOUT_US and primary is not None:
+            if (
+                now - last_heartbeat[f"{member.node} {member.incarnation}"] > HEARTBEAT_TIMEOUT_US
+                and primary is not None
+            ):
                 self.transport.tell(
-                    primary, "missing", {"node": member.node, "life": member.life, "watcher": self.settings.node}
+                    primary, "missing", {"node": member.node, "life": member.incarnation, "watcher": self.settings.node}
                 )
 
     def _on_heartbeat(self, conn: Connection, body: Any, _: Answer) -> None:
@@ -307,10 +312,10 @@
             zones = {member.zone for member in members.values()}
             self._zones_ever_with_gateway |= zones
             self._zones_without_gateway = frozenset(self._zones_ever_with_gateway - zones)
-            self._watchers = watchers(members, self.settings.node, WATCHERS_PER_GATEWAY)
-            self._watched = watched(members, self.settings.node, WATCHERS_PER_GATEWAY)
+            self._watchers = heartbeat_targets(members, self.settings.node, WATCHERS_PER_GATEWAY)
+            self._watched = heartbeat_senders(members, self.settings.node, WATCHERS_PER_GATEWAY)
             self.rate_limiter.members_changed()
-            self.feed.reconsider()
+            self.feed.reselect_source()
 
     def _failure_evidence(self, service: str, zone: str) -> frozenset[str]:
         """Which sources, besides failed attempts, indicate that a location is down; none while the state is stale."""
@@ -319,7 +324,7 @@
             evidence.add("beats")
         if zone in self._zones_without_gateway:
             evidence.add("members")
-        return frozenset(evidence) if evidence and self.feed.fresh(MAX_STATE_AGE_US) else frozenset()
+        return frozenset(evidence) if evidence and self.feed.is_fresh(MAX_STATE_AGE_US) else frozenset()
 
     def _send_flows(self) -> None:
         """Sends the traffic flows to the primary, which computes the failover chains from them."""
@@ -333,5 +338,5 @@
         if self.router.boards.chains is not None and self._sweep_count % 2 == 0:
             self._send_flows()
         self.shared.idle.sweep(self.loop.now)
-        self.transport.sweep()
+        self.transport.close_idle_links()
         self.loop.at(self.loop.now + SWEEP_INTERVAL_US, self._sweep)
--- a/oakvale/dataplane/process.py
+++ b/oakvale/dataplane/process.py
@@ -18,7 +18,7 @@
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
 from oakvale.lifecycle.status import Status
-from oakvale.transport.status_service import offer
+from oakvale.transport.status_service import serve_status
 
 log_event = EventLogger(__name__)
 
@@ -30,7 +30,7 @@
         """Creates the gateway and its status service. Raises OSError."""
         self.gateway = gateway = EdgeGateway(settings, listeners, loop)
         self.shutdown = Shutdown(gateway)
-        offer(gateway.transport, "sluice", settings.node, lambda: status_fields(gateway))
+        serve_status(gateway.transport, "sluice", settings.node, lambda: status_fields(gateway))
         gateway.transport.handlers["chains"] = lambda conn, body, answer: answer({"held": gateway.table.get("chains")})
         self.know = gateway.know
         Status(gateway.shared).begin()
--- a/oakvale/dataplane/routes.py
+++ b/oakvale/dataplane/routes.py
@@ -197,4 +197,4 @@
         if key.startswith("gate/"):
             node, value = key.removeprefix("gate/"), table.get(key)
             changes[node] = value and Member(node, str(value["addr"]), str(value["az"]), str(value["life"]))
-    return previous.changed(changes)
+    return previous.with_changes(changes)
--- a/oakvale/dataplane/status.py
+++ b/oakvale/dataplane/status.py
@@ -6,7 +6,7 @@
 
 from oakvale.base.address import spelled
 from oakvale.dataplane.gateway import EdgeGateway
-from oakvale.transport.status_service import MS, by_service
+from oakvale.transport.status_service import US_PER_MS, count_by_service
 
 
 def status_fields(gateway: EdgeGateway) -> dict[str, Any]:
@@ -18,14 +18,14 @@
             "own": gateway.self_address,
             "life": gateway.incarnation,
             "ready": gateway.ready(),
-            "listed": member is not None and member.life == gateway.incarnation,
+            "listed": member is not None and member.incarnation == gateway.incarnation,
             "gen": snapshot.generation,
             "gateways": ",".join(sorted(snapshot.members)),
             "source": spelled(source) if source else "",
-            "pulse": "/".join(map(str, feed.pulse)),
-            "news": "/".join(map(str, gateway.table.high)),
-            "news_age_ms": (now - feed.fresh_at) // MS if feed.fresh_at else -1,
-            "relays": len(feed.outlet),
+            "pulse": "/".join(map(str, feed.heartbeat)),
+            "news": "/".join(map(str, gateway.table.highest_version)),
+            "news_age_ms": (now - feed.last_fresh_at) // US_PER_MS if feed.last_fresh_at else -1,
+            "relays": len(feed.publisher),
             "duties": ",".join(gateway.rate_limiter.held_duties()),
             "clients": len(router.clients.all),
             "in_hand": len(router.requests),
@@ -33,5 +33,7 @@
             "idle_connections": gateway.shared.idle.count,
         }
         | router.tally.fields()
-        | by_service((backend.service, "ready" if backend.ready else "drain") for backend in snapshot.backends.values())
+        | count_by_service(
+            (backend.service, "ready" if backend.ready else "drain") for backend in snapshot.backends.values()
+        )
     )
--- a/oakvale/dissemination/__init__.py
+++ b/oakvale/dissemination/__init__.py
@@ -1,4 +1,3 @@
-"""Penstock: how news of the control state reaches the data plane, down a tree of relays that the gateways
-form among themselves; it owns the table of news and its way. It must never decide what is true. Begin with
-`table`.
+"""Dissemination of control state updates to the data plane, along a tree of relays that the gateways form: it owns the
+table of state entries and their delivery. It must never decide what the state is. Begin with `table`.
 """
--- a/oakvale/loadbalancing/load_board.py
+++ b/oakvale/loadbalancing/load_board.py
@@ -15,7 +15,7 @@
 from math import exp, sqrt
 from operator import itemgetter
 
-from oakvale.dissemination.tree import place
+from oakvale.dissemination.tree import ring_position
 from oakvale.loadbalancing.idle_timeout import IdleTimeoutEstimate
 
 SAMPLE_WEIGHT = 0.15  # of the newest sample in moving averages
@@ -66,7 +66,7 @@
 @lru_cache(32768)
 def affinity(gateway: str, backend: str) -> float:
     """0 to 1, by a hash of the two names."""
-    return place(f"{gateway} {backend}") / 2.0**64
+    return ring_position(f"{gateway} {backend}") / 2.0**64
 
 
 class LoadBoard:
--- a/tests/test_wire_snapshots.py
+++ b/tests/test_wire_snapshots.py
@@ -1,4 +1,4 @@
-"""What goes over the mains, byte by byte: processes of two versions talk to each other while one is replaced."""
+"""Wire and storage formats, byte by byte: during an upgrade, processes of two versions communicate."""
 
 from __future__ import annotations
 
@@ -8,12 +8,21 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from oakvale.controlplane.view_change import FOUNDER, Durable, View, founding, unpack, unpack_durable
+from oakvale.controlplane.view_change import (
+    BOOTSTRAP_INCARNATION,
+    DurableState,
+    View,
+    bootstrap_view,
+    unpack_durable_state,
+    unpack_view,
+)
 from oakvale.dissemination import table
-from oakvale.transport.frames import LENGTH, LONGEST, BadFrame, decode, encode
+from oakvale.transport.frames import LENGTH_PREFIX, MAX_FRAME_BYTES, BadFrame, decode, encode
 
-VIEW = founding(["10.1.0.33:7340", "10.2.0.25:7340", "10.3.0.16:7340"], 2)
-DURABLE = Durable(VIEW, (3, VIEW.primary), ((2, VIEW.backups[0]), View(2, VIEW.backups[0], (), VIEW.witnesses)), 1, 0)
+VIEW = bootstrap_view(["10.1.0.33:7340", "10.2.0.25:7340", "10.3.0.16:7340"], 2)
+DURABLE = DurableState(
+    VIEW, (3, VIEW.primary), ((2, VIEW.backups[0]), View(2, VIEW.backups[0], (), VIEW.witnesses)), 1, 0
+)
 ENTRIES: list[table.Entry] = [("config", (1, 4), {"gen": 7, "text": b"{}"}), ("backend/i-1", (1, 5), None)]
 
 
@@ -29,18 +38,18 @@
 
 def test_views_and_what_a_seat_keeps(snapshot: SnapshotAssertion) -> None:
     assert [orjson.dumps(part.pack()).decode() for part in (VIEW, DURABLE)] == snapshot
-    assert unpack(VIEW.pack()) == VIEW and unpack_durable(DURABLE.pack()) == DURABLE
-    assert unpack_durable(Durable().pack()) == Durable() and VIEW.primary[1] == FOUNDER
+    assert unpack_view(VIEW.pack()) == VIEW and unpack_durable_state(DURABLE.pack()) == DURABLE
+    assert unpack_durable_state(DurableState().pack()) == DurableState() and VIEW.primary[1] == BOOTSTRAP_INCARNATION
 
 
 def test_digests(snapshot: SnapshotAssertion) -> None:
-    held = table.Table()
-    held.put(ENTRIES)
-    assert [digest.hex() for digest in held.digests()] == snapshot
+    held_table = table.Table()
+    held_table.put(ENTRIES)
+    assert [digest.hex() for digest in held_table.digests()] == snapshot
     assert table.unpack(table.pack(ENTRIES)) == ENTRIES
 
 
-def test_frames_come_in_any_pieces() -> None:
+def test_frames_are_decoded_from_any_fragments() -> None:
     data, buffer, found = encode("a", 1, {"x": b"y" * 300}) + encode("", 1, None), bytearray(), list[Any]()
     for byte in data:
         buffer.append(byte)
@@ -51,14 +60,14 @@
 @pytest.mark.parametrize(
     "data",
     [
-        LENGTH.pack(LONGEST + 1),
-        LENGTH.pack(1) + b"\xff",
-        LENGTH.pack(1) + b"\x01",
+        LENGTH_PREFIX.pack(MAX_FRAME_BYTES + 1),
+        LENGTH_PREFIX.pack(1) + b"\xff",
+        LENGTH_PREFIX.pack(1) + b"\x01",
         encode("a", 1, 2)[:4] + b"\x83" * 9,
-        LENGTH.pack(4) + b"\x83\x01\x01\x01",
-        LENGTH.pack(0),
+        LENGTH_PREFIX.pack(4) + b"\x83\x01\x01\x01",
+        LENGTH_PREFIX.pack(0),
     ],
 )
-def test_what_is_no_frame(data: bytes) -> None:
+def test_invalid_frames_are_rejected(data: bytes) -> None:
     with pytest.raises(BadFrame):
         decode(bytearray(data))
