--- a/oakvale/dataplane/backend_protocol.py
+++ b/oakvale/dataplane/backend_protocol.py
@@ -20,9 +20,10 @@
 class SystemDialect:
     """The `Dialect` of backends that register with the control plane."""
 
-    part_may_run = True
+    part_may_run = True  # a partly written request may have run
 
     def headers(self, attempt: AttemptOut, left: int) -> Headers:
+        """The client's end-to-end headers and those that identify the attempt; `left` is in microseconds."""
         request = attempt.request
         routed = request.event
         added = [
@@ -40,6 +41,7 @@
         return all(value == attempt.request.id.encode("latin-1") for value in ids) and bool(ids or status >= 300)
 
     def named(self, headers: Headers) -> bool:
+        """Whether the answer names its attempt."""
         return any(name == b"attempt-id" for name, _ in headers)
 
     def waits(self, attempt: AttemptOut) -> bool:
@@ -49,10 +51,12 @@
         return not routed.route.safe or routed.driver.stopping
 
     def check(self, headers: Headers) -> None:
+        """Raises Spoilt if the answer has a content encoding."""
         if any(name == b"content-encoding" and value.lower() != b"identity" for name, value in headers):
             raise Spoilt("answer has a content encoding, which backends never use")
 
     def ending(self, answer: Answer) -> Ending:
+        """A success without a Seal is incomplete; Not-Run and 421 mean that the request never ran."""
         names = {name for name, _ in answer.headers}
         if 200 <= answer.status < 300:
             return Ending.SERVED if b"seal" in names else Ending.RESET
@@ -69,6 +73,7 @@
         return None
 
     def report(self, headers: Headers) -> tuple[float, ...]:
+        """Empty, as these backends report no load with an answer."""
         return ()
 
     def passes(self, attempt: AttemptOut, ending: Ending, answer: Answer) -> Answer | None:
--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -84,9 +84,8 @@
         self.self_address = spelled(self.transport.self_address)
         self.table = Table()
         self.shared = SharedResources(self.loop, limits)
-        self._core_addresses = [
-            f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds
-        ]  # the primary first once it is known
+        # the primary comes first once it is known
+        self._core_addresses = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]
         self._voters: list[str] = []
         bounds_settings = settings.bounds
         terms = QuotaTerms(bounds_settings.quota_win, bounds_settings.quota_excess, bounds_settings.quota_slack)
@@ -118,7 +117,8 @@
             self._state_sources,
             self._on_state_update,
         )
-        if bounds_settings.strict_revoke:  # half of it, as a heartbeat may take the rest of the time through the relays
+        if bounds_settings.strict_revoke:
+            # half of the allowed delay: a heartbeat may take the other half on its way through the relays
             self.router.revocations_current = lambda: self.feed.is_fresh(bounds_settings.revoke // 2)
         self.drain_agent = DrainAgent(
             self.loop,
@@ -132,9 +132,8 @@
         self._watchers: list[Member] = []  # gateways that monitor this one
         self._watched: list[Member] = []  # gateways that this one monitors
         self._last_heartbeat: dict[str, int] = {}  # "node incarnation" -> when it arrived
-        self._silent_backends: frozenset[tuple[str, str]] = (
-            frozenset()
-        )  # (service, zone) whose backends stopped sending heartbeats
+        # (service, zone) whose backends stopped sending heartbeats
+        self._silent_backends: frozenset[tuple[str, str]] = frozenset()
         self._zones_ever_with_gateway: set[str] = set()
         self._zones_without_gateway: frozenset[str] = frozenset()  # that had one before
         self._sweep_count = 0
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -104,7 +104,7 @@
         super().__init__(shared, settings, seed, budget)
         self.budget = budget
         self.dialect = SystemDialect()
-        self._ids: dict[int, str] = {}
+        self._ids: dict[int, str] = {}  # by the policy's backend number
         self._numbers: dict[str, int] = {}
         self._addresses: dict[int, Address] = {}
         self._ready: set[int] = set()
@@ -131,14 +131,17 @@
         return known[0]
 
     def request_received(self, request: InHand, event: i.Request) -> None:
+        """Also records the request in the retry budget, which allows retries in proportion."""
         self.budget.record_request(self.loop.now)
         super().request_received(request, event)
 
     def final(self, request: InHand, answer: Answer) -> None:
+        """Answers the client; also refunds a request that was never attempted."""
         super().final(request, answer)
         self._refund_if_not_attempted(request)
 
     def client_gone(self, request: InHand) -> None:
+        """Withdraws the request; also refunds one that was never attempted."""
         super().client_gone(request)
         self._refund_if_not_attempted(request)
 
@@ -269,6 +272,7 @@
         return routed.max_connection_idle_us
 
     def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
+        """An earlier error of a backend if there is one; else 502 if the request may have run, or 503 if not."""
         routed: RoutedRequest = request.event
         if routed.fallback_answer is not None:
             return routed.fallback_answer
@@ -522,6 +526,7 @@
         self.rate_limiter.refund(request.event.receipt)
 
     def client_gone(self, request: InHand) -> None:
+        """Abandons a request whose client has left; its driver, if it has one, does the rest."""
         routed: RoutedRequest = request.event
         if routed.handed_to_driver:
             return routed.driver.client_gone(request)
--- a/tests/data_plane.py
+++ b/tests/data_plane.py
@@ -67,6 +67,8 @@
 
 
 class FakeTransport:
+    """Accepts the registration of handlers, and never calls them."""
+
     def __init__(self) -> None:
         self.handlers: dict[str, Any] = {}
 
@@ -142,6 +144,7 @@
         return name, self._kept(peer), self.reads(peer)
 
     def status(self, client: StubConnection) -> int:
+        """Waits for an answer's head; returns its status."""
         return int(self.reads(client).split()[1])
 
     def close(self) -> None:
--- a/tests/test_drain_agent.py
+++ b/tests/test_drain_agent.py
@@ -18,6 +18,7 @@
 
 
 def move(tenant: str = "t1", node: str = "i-1", kind: str = "backend", **changes: Any) -> tuple[str, dict[str, Any]]:
+    """Key and record of a move that has begun, as the replicated state holds them."""
     return f"o/{node}/{tenant}", {
         "order": "o",
         "kind": kind,
@@ -31,6 +32,8 @@
 
 
 class DrainHarness(GatewayHarness):
+    """A gateway with a drain agent; it stands in for the transport, and collects the reports to the primary."""
+
     def __init__(self) -> None:
         super().__init__()
         self.reports: list[Any] = []
@@ -57,6 +60,7 @@
         return next(report[1:] for report in self.reports[-1] if report[0] == key)
 
     def served(self, request_id: str, key: str, path: str = "/r/x") -> str:
+        """Sends a request and answers it; returns the backend that got it."""
         client = self.send_request(path, request_id, key)
         name, backend, _ = self.next_backend_request()
         backend.send(success_answer(request_id))
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -295,6 +295,7 @@
 
 
 def zone_of(name: str) -> str:
+    """The zone of a backend after `place_backends_in_two_zones`."""
     return "y" if name == "i-2" else "z"
 
 
@@ -310,9 +311,7 @@
     assert gateway.backend_1.take() is None and gateway.backend_2.take() is None
 
 
-def test_closing_a_zone_moves_a_safe_request_and_later_ones_elsewhere(
-    gateway: GatewayHarness,
-) -> None:
+def test_closing_a_zone_moves_a_safe_request_and_later_ones_elsewhere(gateway: GatewayHarness) -> None:
     place_backends_in_two_zones(gateway)
     client = gateway.send_request()
     name, _, _ = gateway.next_backend_request()
@@ -328,9 +327,8 @@
         assert there == other
         backend.send(success_answer(f"c{n}"))
         assert gateway.status(again) == 200
-    gateway.router.boards.on_zones_closed(
-        "one", frozenset({"y", "z"})
-    )  # all closed: an attempt is better than a refusal
+    # with all zones closed an attempt is better than a refusal
+    gateway.router.boards.on_zones_closed("one", frozenset({"y", "z"}))
     again = gateway.send_request(request_id="d")
     _, backend, _ = gateway.next_backend_request()
     backend.send(success_answer("d"))
--- a/tests/test_split.py
+++ b/tests/test_split.py
@@ -16,6 +16,7 @@
 
 
 def route_of(weights: dict[str, float]) -> Route:
+    """A route whose `split` has these weights."""
     rows = [["r", "a.example", "/r/", "safe", "1s", 2, [{"svc": name, "wt": wt} for name, wt in weights.items()], True]]
     text = {
         "gen": 1,
