--- a/oakvale/controlplane/compaction.py
+++ b/oakvale/controlplane/compaction.py
@@ -19,7 +19,7 @@
 log_event = EventLogger(__name__)
 
 
-class Pruning:
+class Compactor:
     def __init__(self, core: Core, loop: Loop, round_: int = ROUND, left: int = LEFT) -> None:
         self._core, self._loop, self._round, self._kept = core, loop, round_, left
         self._since: dict[str, int] = {}  # backend that left -> since when this primary has known it
--- a/oakvale/controlplane/control_server.py
+++ b/oakvale/controlplane/control_server.py
@@ -6,26 +6,26 @@
 
 from oakvale.config.settings import Settings
 from oakvale.controlplane.core import Core
-from oakvale.controlplane.resources import JSON, Backends, Config, Reply, primary_url
+from oakvale.controlplane.resources import JSON, BackendsHandler, ConfigHandler, Reply, primary_url
 from oakvale.memory.requests import Answer, InHand
 from oakvale.shared import Owner, Shared
 from oakvale.wire.clients import Incoming, plain
 
 if TYPE_CHECKING:
-    from oakvale.controlplane.drains import Drains
+    from oakvale.controlplane.drains import DrainManager
 
 PREFIX = "/oakvale/"
 READYZ = b"/oakvale/readyz"
 
 
-class Ctl(Owner):
+class ControlServer(Owner):
     """The owner of `ctl` connections."""
 
     def __init__(self, shared: Shared, core: Core, settings: Settings) -> None:
         super().__init__(shared)
         self.core = core
         self._port = settings.bind["ctl"][1]
-        config, self.backends = Config(core), Backends(core, shared.loop, settings)
+        config, self.backends = ConfigHandler(core), BackendsHandler(core, shared.loop, settings)
         self._calls = {
             (b"POST", "Config.Replace"): config.replace,
             (b"GET", "Config.Read"): config.read,
@@ -33,12 +33,12 @@
             (b"POST", "Backends.Leave"): self.backends.leave,
         }
 
-    def offer(self, drains: Drains) -> None:
+    def enable_drains(self, drains: DrainManager) -> None:
         """Drains can be ordered: there are contracts."""
         from oakvale.controlplane import resources
 
-        self.backends.leaves = drains.leaves
-        handler = resources.Drains(self.core, drains)
+        self.backends.departure_changes = drains.departure_changes
+        handler = resources.DrainsHandler(self.core, drains)
         self._calls |= {
             (b"POST", "Drains.Order"): handler.order,
             (b"POST", "Drains.Plan"): handler.plan,
@@ -59,7 +59,7 @@
         if not self.core.serving():
             primary = self.core.primary()
             to = primary_url(self.core.view(), self._port)
-            if primary is not None and primary != self.core.own and to is not None:
+            if primary is not None and primary != self.core.self_id and to is not None:
                 return Answer(307, [(b"location", f"http://{to}{incoming.target.decode('latin-1')}".encode())])
             return Answer(503, [(b"retry-after", b"0.3"), JSON], b'{"error":"no primary is known"}')
         request = InHand("", client, incoming.method, incoming.target, [], incoming.body, 0, (call, rest))
--- a/oakvale/controlplane/core.py
+++ b/oakvale/controlplane/core.py
@@ -13,7 +13,7 @@
 from oakvale.config.settings import Settings
 from oakvale.controlplane import replication
 from oakvale.controlplane.failure_domains import Domains
-from oakvale.controlplane.leases import Leases, Waiting
+from oakvale.controlplane.leases import Leases, PendingCallbacks
 from oakvale.controlplane.peers import Peers
 from oakvale.controlplane.replicated_state import ReplicatedState, Then
 from oakvale.controlplane.replication import Replicator
@@ -25,7 +25,7 @@
 from oakvale.transport.links import Answer, Connection, Transport
 
 BEAT = 200_000  # microseconds between two heartbeats of core machines
-SILENCE = 900_000  # a core machine that was not heard for this counts as down
+PEER_TIMEOUT_US = 900_000  # a core machine that was not heard for this counts as down
 SICK = 700_000  # a write that waits longer: this disk is not to be relied on
 AGAIN = 150_000  # before a backup that failed is sent the state once more
 WAIT = 10_000_000  # an author waits so long at most: a large order on a thin link takes as much
@@ -47,7 +47,7 @@
 class Core:
     def __init__(self, loop: Loop, transport: Transport, settings: Settings, storage: Storage) -> None:
         self.loop, self.transport, self.settings, self.storage = loop, transport, settings, storage
-        self.on_change: list[Callable[[bool], None]] = []  # hears when this seat begins or ends to serve
+        self.on_serving_change: list[Callable[[bool], None]] = []  # hears when this seat begins or ends to serve
         self._tick_number = 0
         seeds = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]
         copies = 1 + max(1, settings.tolerate, settings.tolerate_zones, settings.tolerate_regions)
@@ -62,29 +62,31 @@
         )
         patience = settings.bounds.sync_time + settings.bounds.contact
         self.replicator = Replicator(
-            start, storage.rows(), copies, SILENCE, patience, storage.pieces(), settings.zone, domains
+            start, storage.rows(), copies, PEER_TIMEOUT_US, patience, storage.pieces(), settings.zone, domains
         )
-        self.own: Seat = start.own
+        self.self_id: Seat = start.own
         served = storage.fact("served")
-        self._leases = Leases(start.own, SILENCE, loop.clock(), start.durable.view, int(served) if served else 0)
-        self._waiting = Waiting(WAIT)
+        self._leases = Leases(
+            start.own, PEER_TIMEOUT_US, loop.clock(), start.durable.view, int(served) if served else 0
+        )
+        self._waiting = PendingCallbacks(WAIT)
         self._served: int | None = None  # when it was last seen to serve in this view
         self._looks = False  # a look at those who wait is due
-        self._lives: dict[Seat, int] = {}  # the latest start of each peer that was heard
-        self.outlet = Publisher(self.replicated_state.table)
+        self._latest_incarnation: dict[Seat, int] = {}  # the latest start of each peer that was heard
+        self.publisher = Publisher(self.replicated_state.table)
         self.peers = Peers(seeds)
         for kind in ("prepare", "promise", "accept", "accepted", "decided", "refused", "void", "voided"):
             transport.handlers[kind] = self._council(kind)
-        transport.handlers["core"] = self._heard
-        transport.handlers["leaving"] = self._leaving
+        transport.handlers["core"] = self._on_heartbeat
+        transport.handlers["leaving"] = self._on_leaving
         transport.handlers["released"] = lambda conn, body, answer: self.replicator.released(int(body[1][0]))
-        transport.handlers["gone"] = self._gone
+        transport.handlers["gone"] = self._on_gone
         transport.handlers["append"] = lambda conn, body, answer: self._do(self.replicator.append(body, answer))
         transport.handlers["sync"] = lambda conn, body, answer: self._do(self.replicator.sync(body, answer))
         transport.handlers["offer"] = lambda conn, body, answer: self._do(self.replicator.offer(body, answer))
         transport.handlers["piece"] = lambda conn, body, answer: self._do(self.replicator.piece(body, answer))
         transport.handlers["subscribe"] = self._subscribe
-        transport.handlers["leave"] = lambda conn, body, answer: self.outlet.leave(conn)
+        transport.handlers["leave"] = lambda conn, body, answer: self.publisher.leave(conn)
         transport.handlers["digests"] = self._digests
         self._do(self.replicator.flush())
         loop.at(loop.now, self._beat)
@@ -110,7 +112,7 @@
     def is_witness(self) -> bool:
         """Whether the view that is known here names this seat as a witness."""
         view = self.view()
-        return view is not None and self.own in view.witnesses
+        return view is not None and self.self_id in view.witnesses
 
     def primary(self) -> Seat | None:
         """Who serves, as far as known here and lately heard of."""
@@ -125,16 +127,16 @@
         return (
             self.active
             and view is not None
-            and view.primary == self.own
+            and view.primary == self.self_id
             and self._leases.holds(view, self.loop.clock())
         )
 
-    def confirm(self, then: Then, behind: bool = False) -> None:
-        """Calls with True once all backups of the view have said that they are still in it; `behind`: and all that was
-        asked for before is in force."""
-        self.change({}, then, behind)
+    def confirm(self, then: Then, after_pending: bool = False) -> None:
+        """Calls `then` with True once all backups of the view have confirmed that they are still in it; with
+        `after_pending` also only after all earlier changes are in force."""
+        self.change({}, then, after_pending)
 
-    def know(self, seeds: tuple[Address, ...]) -> None:
+    def update_seeds(self, seeds: tuple[Address, ...]) -> None:
         """Other core machines, from a settings file that changed."""
         self.peers.seeds = {f"{ip}:{self.settings.ports[0]}" for ip, _ in seeds}
 
@@ -147,25 +149,25 @@
         self._say()
         earliest = self.loop.now + LEAST
         latest = max(earliest, self.loop.now + self.settings.bounds.grace - LAST)
-        self.loop.at(earliest, self._look_whether_missed, (latest, then))
+        self.loop.at(earliest, self._check_departure, (latest, then))
 
-    def _look_whether_missed(self, leaving: tuple[int, Callable[[], None]]) -> None:
+    def _check_departure(self, leaving: tuple[int, Callable[[], None]]) -> None:
         now, may = self.loop.now, self.replicator.may_go(self.loop.now)
         if not may and now < leaving[0]:
-            self.loop.at(now + LOOK, self._look_whether_missed, leaving)
+            self.loop.at(now + LOOK, self._check_departure, leaving)
             return
         number = view.number if (view := self.view()) else 0
         log_event("goes" if may else "goes while it is missed", "info" if may else "warning", view=number)
-        self._leases.give_up()
+        self._leases.relinquish()
         for address in self._others():
-            self.transport.tell(address, "gone", [*self.own, self.replicator.life])
+            self.transport.tell(address, "gone", [*self.self_id, self.replicator.life])
         leaving[1]()
 
-    def change(self, changes: dict[str, Any], then: Then, behind: bool = False) -> None:
+    def change(self, changes: dict[str, Any], then: Then, after_pending: bool = False) -> None:
         """Makes a change; `then` hears True once it is in force and the news of it are on their way, or False as soon
         as the lease is lost, or after `WAIT`: it may still come into force, but nobody hears a yes of it."""
         told = self._waiting.add(then, self.loop.clock())
-        self._do(self.replicator.change(changes or {"confirmed": None}, told, behind))
+        self._do(self.replicator.change(changes or {"confirmed": None}, told, after_pending))
         self._look_later()
 
     def when_settled(self, then: Then) -> None:
@@ -196,7 +198,7 @@
                         ),
                     )
                 case replication.Tell(to, kind, body):
-                    self.transport.tell(address_of(to), kind, [list(self.own), body])
+                    self.transport.tell(address_of(to), kind, [list(self.self_id), body])
                 case replication.Reply(answer, said):
                     answer(said)
                 case replication.Again(backup, view):
@@ -209,7 +211,7 @@
                 case replication.Told(then, done):
                     then(done)
                 case replication.News(entries):
-                    self.outlet.publish(self._next_pulse(), entries)
+                    self.publisher.publish(self._next_pulse(), entries)
                 case replication.Entered(view):
                     self._served = None
                     self._say()  # a primary asks for its lease, one that was replaced tells the other so
@@ -219,14 +221,14 @@
                         primary=view.primary[0],
                         backups=_names(view.backups),
                         witnesses=_names(view.witnesses),
-                        own=self.own[0],
+                        own=self.self_id[0],
                     )
                 case replication.Turned(serves):
                     self._turned(serves)
                 case replication.Resigned():
-                    self.outlet.drop()
+                    self.publisher.drop()
                 case replication.Replaced():
-                    self.outlet = Publisher(self.replicated_state.table)
+                    self.publisher = Publisher(self.replicated_state.table)
                     current = self.view()
                     if current is not None:  # its primary may have granted a lease just before
                         self._leases.grant(current, current.primary, self.loop.clock())
@@ -234,7 +236,7 @@
     def _turned(self, serves: bool) -> None:
         if serves:
             return self._watch()
-        for call in self.on_change:
+        for call in self.on_serving_change:
             call(False)
 
     # ---- the lease
@@ -247,13 +249,13 @@
                 self._leases.answered(backup, int(answer), sent)
                 self._watch()
 
-        self.transport.ask(address_of(backup), kind, body, SILENCE, answered)
+        self.transport.ask(address_of(backup), kind, body, PEER_TIMEOUT_US, answered)
 
     def _watch(self) -> None:
         """Looks whether this seat serves now: who waits is not kept waiting without a lease."""
         now, view = self.loop.clock(), self.view()
         serves = self.serving()
-        for then in self._waiting.over(now, not serves):
+        for then in self._waiting.take_expired(now, not serves):
             then(False)
         if not serves or view is None:
             return
@@ -261,7 +263,7 @@
         if begins:
             self.storage.write(("fact", ("served", str(view.number).encode())), lambda: None)
             log_event("serving the control state", view=view.number, backups=_names(view.backups))
-            for call in self.on_change:
+            for call in self.on_serving_change:
                 call(True)
 
     def _look_later(self) -> None:
@@ -269,7 +271,7 @@
         view = self.view()
         if not self._looks and self._waiting and view is not None:
             self._looks = True
-            due = min(self._leases.until(view), self._waiting.due())
+            due = min(self._leases.expires_at(view), self._waiting.next_deadline())
             self.loop.at(max(self.loop.now + SOON, due), self._look_at_waiting)
 
     def _look_at_waiting(self, _: Any) -> None:
@@ -304,14 +306,14 @@
         """A heartbeat; one that leaves says so with each."""
         view = self.view()
         body = [
-            list(self.own),
+            list(self.self_id),
             self.settings.zone,
             view.pack() if view else None,
             self.peers.lively(self.loop.now),
             self.replicator.life,
         ]
         kind = "leaving" if self.view_manager.leaves else "core"
-        backups = {address_of(peer): peer for peer in view.backups} if view and view.primary == self.own else {}
+        backups = {address_of(peer): peer for peer in view.backups} if view and view.primary == self.self_id else {}
         for address in self._others():
             if address in backups:
                 self._ask_for_lease(backups[address], kind, body)
@@ -322,33 +324,35 @@
         """Whom it speaks to."""
         now, view = self.loop.now, self.view()
         members = {peer[0] for peer in view.witnesses} if view else set()
-        known = self.peers.called(now, members, self.view_manager.in_touch(now)) - {self.own[0]}
+        known = self.peers.called(now, members, self.view_manager.in_touch(now)) - {self.self_id[0]}
         return [address for address in map(parse_address, sorted(known)) if address is not None]
 
-    def _heard(self, conn: Connection, body: Any, answer: Answer, leaves: bool = False) -> None:
+    def _on_heartbeat(self, conn: Connection, body: Any, answer: Answer, leaves: bool = False) -> None:
         peer, zone, now = seat(body[0]), str(body[1]), self.loop.clock()
-        if int(body[4]) < self._lives.get(peer, 0):
+        if int(body[4]) < self._latest_incarnation.get(peer, 0):
             return  # of an earlier life, that was long on its way
-        if peer not in self._lives and len(self._lives) >= MOST_LIVES:
-            self._lives.clear()  # of seats that are gone, mostly
-        self._lives[peer] = int(body[4])
+        if peer not in self._latest_incarnation and len(self._latest_incarnation) >= MOST_LIVES:
+            self._latest_incarnation.clear()  # of seats that are gone, mostly
+        self._latest_incarnation[peer] = int(body[4])
         self.peers.heard(now, peer[0], map(str, body[3]))
         view = unpack(body[2]) if body[2] is not None else None
-        self._leases.speaks(peer, view.number if view is not None else 0)
+        self._leases.peer_reported_view(peer, view.number if view is not None else 0)
         self._carry(self.view_manager.heard(now, peer, zone, view, leaves))
         answer(self._leases.grant(self.view(), peer, now))
         if leaves:
             self._do(self.replicator.leaving(now, peer))
 
-    def _leaving(self, conn: Connection, body: Any, answer: Answer) -> None:
-        self._heard(conn, body, answer, leaves=True)
+    def _on_leaving(self, conn: Connection, body: Any, answer: Answer) -> None:
+        self._on_heartbeat(conn, body, answer, leaves=True)
 
-    def _gone(self, conn: Connection, body: Any, _: Answer) -> None:
+    def _on_gone(self, conn: Connection, body: Any, _: Answer) -> None:
         peer = seat(body[:2])
-        if int(body[2]) >= self._lives.get(peer, 0):  # else it was long on its way, and has begun anew since
+        if int(body[2]) >= self._latest_incarnation.get(
+            peer, 0
+        ):  # else it was long on its way, and has begun anew since
             self.peers.gone(peer[0])
             self.view_manager.gone(peer)
-            self._leases.ended(peer)
+            self._leases.peer_ended(peer)
 
     def _next_pulse(self) -> Version:
         """Above those of earlier lives: a primary that starts again in its view would give stale ones for hours."""
@@ -359,13 +363,13 @@
     def _pulse(self, _: Any) -> None:
         self._watch()
         if self.serving():
-            self.outlet.publish(self._next_pulse(), [])
+            self.publisher.publish(self._next_pulse(), [])
         self.loop.at(self.loop.now + PULSE, self._pulse)
 
     def _digests(self, conn: Connection, body: Any, answer: Answer) -> None:
         """A copy that does not serve may hold what is not in force, or was replaced."""
         if self.serving():
-            self.outlet.mend(conn, body, answer)
+            self.publisher.mend(conn, body, answer)
         else:
             answer(None)
 
@@ -373,10 +377,10 @@
         """Only the primary gives news; others name it."""
         if self.serving():
             answer({})
-            self.outlet.subscribe(conn, (int(body["high"][0]), int(body["high"][1])), self._next_pulse())
+            self.publisher.subscribe(conn, (int(body["high"][0]), int(body["high"][1])), self._next_pulse())
             return
         primary = self.primary()
-        answer({"primary": primary[0] if primary and primary != self.own else None})
+        answer({"primary": primary[0] if primary and primary != self.self_id else None})
 
 
 def _names(seats: tuple[Seat, ...]) -> str:
--- a/oakvale/controlplane/drains.py
+++ b/oakvale/controlplane/drains.py
@@ -32,7 +32,7 @@
 log_event = EventLogger(__name__)
 
 
-class Drains:
+class DrainManager:
     def __init__(
         self, core: Core, loop: Loop, transport: Transport, path: str, pace: int, wall: Callable[[], int] | None = None
     ) -> None:
@@ -50,15 +50,15 @@
         self._stamp: tuple[int, int] | None = None
         transport.handlers["clock"] = self._clock
         transport.handlers["towed"] = self._towed
-        core.on_change.append(self._turned)
-        self.again()
+        core.on_serving_change.append(self._turned)
+        self.reload()
         loop.at(loop.now, self._tell)
         loop.at(loop.now + STEP, self._step)
         loop.at(loop.now + LOOK, self._look)
 
     # ---- the file
 
-    def again(self) -> None:
+    def reload(self) -> None:
         """Reads the file anew. One that can't be used changes nothing; at the start it leaves all hours closed."""
         self._stamp = self._stamped()
         try:
@@ -82,19 +82,19 @@
     def _look(self, _: Any) -> None:
         self._loop.at(self._loop.now + LOOK, self._look)
         if self._stamped() not in (None, self._stamp):
-            self.again()
+            self.reload()
 
     # ---- the clock
 
     def _tell(self, _: Any) -> None:
         now, wall, view = self._loop.now, self._wall(), self._core.view()
         self._loop.at(now + TELL, self._tell)
-        self.clock.hear(self._core.own[0], wall, now)
+        self.clock.hear(self._core.self_id[0], wall, now)
         if view is not None:
             for peer in view.witnesses:
-                if peer[0] != self._core.own[0]:
-                    self._transport.tell(address_of(peer), "clock", [self._core.own[0], wall])
-            self.clock.look(now, len({peer[0] for peer in view.witnesses} | {self._core.own[0]}))
+                if peer[0] != self._core.self_id[0]:
+                    self._transport.tell(address_of(peer), "clock", [self._core.self_id[0], wall])
+            self.clock.look(now, len({peer[0] for peer in view.witnesses} | {self._core.self_id[0]}))
 
     def _clock(self, conn: Connection, body: Any, _: Answer) -> None:
         self.clock.hear(str(body[0]), int(body[1]), self._loop.now)
@@ -133,7 +133,7 @@
         self._writing, self._serves_since = False, self._loop.now if serves else None
         self.course = Course(self.hours)
 
-    def entry(self, given: dict[str, Any], now: int) -> tuple[dict[str, Any], Plan]:
+    def order_entry(self, given: dict[str, Any], now: int) -> tuple[dict[str, Any], Plan]:
         """An order as it is kept, if its plan has no obstacle."""
         plan, facts = self.plan(given | {"at": now}, now), self.facts(now)
         nodes = targets(facts, given["kind"], given["target"])
@@ -160,7 +160,7 @@
                 or self._core.replicated_state.latest(f"drain/{order.name}") is not None
             ):
                 continue
-            entry, plan = self.entry(
+            entry, plan = self.order_entry(
                 {
                     "kind": order.kind,
                     "target": order.target,
@@ -215,7 +215,7 @@
             for key, away, began, left, ends in body[2]:
                 self.course.hear(str(key), node, life, bool(away), int(began), int(left), dict(ends))
 
-    def leaves(self, name: str, why: str) -> dict[str, Any]:
+    def departure_changes(self, name: str, why: str) -> dict[str, Any]:
         """What is to be written with a backend's own leaving: whose hours it did not ask."""
         if self.contracts is None or self._core.replicated_state.latest(f"outside/{name}") is not None:
             return {}
@@ -225,7 +225,7 @@
         log_event("moved outside hours", "warning", backend=name, why=why, tenants=",".join(record["tenants"]))
         return {f"outside/{name}": record}
 
-    def told(self, only: str = "") -> dict[str, Any]:
+    def status(self, only: str = "") -> dict[str, Any]:
         table, now = self._core.replicated_state.table, self.now()
         return {"time": report.stamp(now) if now is not None else "unknown: the clocks don't agree"} | report.told(
             table.items("drain/"), table.items("move/"), table.items("outside/"), only
--- a/oakvale/controlplane/failover_planning.py
+++ b/oakvale/controlplane/failover_planning.py
@@ -11,7 +11,7 @@
 from oakvale.base.loop import Loop
 from oakvale.config.settings import Settings
 from oakvale.controlplane.core import Core
-from oakvale.controlplane.resources import Backends
+from oakvale.controlplane.resources import BackendsHandler
 from oakvale.failover.chains import Chains, Load, apart, pack, plan, unpack
 from oakvale.failover.places import hierarchy
 from oakvale.lifecycle.eventlog import EventLogger
@@ -33,9 +33,15 @@
 Key = tuple[str, str]  # zone and service
 
 
-class Planning:
+class FailoverPlanner:
     def __init__(
-        self, core: Core, backends: Backends, loop: Loop, transport: Transport, settings: Settings, given: Given | None
+        self,
+        core: Core,
+        backends: BackendsHandler,
+        loop: Loop,
+        transport: Transport,
+        settings: Settings,
+        given: Given | None,
     ) -> None:
         self._core, self._backends, self._loop, self._given, self._settings = core, backends, loop, given, settings
         self._capacity: dict[Key, float] = {}  # as keepers measured
@@ -43,7 +49,7 @@
         self._planned: tuple[dict[Key, float], dict[Key, float], frozenset[str]] | None = None
         self._before: list[tuple[int, Chains]] = []  # versions, and until when a gateway may go by each
         self._last = -LEAST
-        core.on_change.append(self._turned)
+        core.on_serving_change.append(self._turned)
         transport.handlers["chains"] = lambda conn, body, answer: answer(
             {"held": core.replicated_state.table.get("chains")}
         )
@@ -79,7 +85,7 @@
             if value["state"] == "ready":
                 key = str(value["az"]), str(value["svc"])
                 told[key] = told.get(key, 0.0) + float(value["slots"])
-        silent = set(self._backends.silent(int(QUIET * self._settings.beat)))
+        silent = set(self._backends.silent_for(int(QUIET * self._settings.beat)))
         gone: dict[Key, float] = {}
         for name in silent & {name for name, value in listed.items() if value["state"] == "ready"}:
             key = str(listed[name]["az"]), str(listed[name]["svc"])
--- a/oakvale/controlplane/leases.py
+++ b/oakvale/controlplane/leases.py
@@ -16,8 +16,8 @@
 from oakvale.controlplane.replicated_state import Then
 from oakvale.controlplane.view_change import Seat, View
 
-MARGIN = 50_000  # microseconds, for what clocks differ by and for what is sent just after a look at the lease
-NEVER = 1 << 62
+CLOCK_MARGIN_US = 50_000  # microseconds, for what clocks differ by and for what is sent just after a look at the lease
+NEVER_US = 1 << 62
 
 
 class Leases:
@@ -27,7 +27,7 @@
         """`view` is the one on disk, `served` the newest in which this seat is known there to have served. What it
         granted before its start it no longer knows: it may have been just now, unless it leads the first view, or has
         served in this one."""
-        self._own, self._silence, self._lasts = own, silence, silence - MARGIN
+        self._own, self._silence, self._lasts = own, silence, silence - CLOCK_MARGIN_US
         self._heard: dict[Seat, tuple[int, int]] = {}  # backup -> the view that it was in, when it was asked that
         self._given_up = False
         knows = view is None or view.primary == own and view.number in (1, served)
@@ -40,22 +40,22 @@
         """A backup says which view it was in, to a question that was sent then."""
         self._heard[backup] = max(self._heard.get(backup, (0, 0)), (view, sent))
 
-    def until(self, view: View) -> int:
+    def expires_at(self, view: View) -> int:
         """When the lease runs out unless it is renewed."""
         heard = [self._heard.get(backup, (0, 0)) for backup in view.backups]
         if any(number != view.number for number, _ in heard):
             return 0
-        return min((sent + self._lasts for _, sent in heard), default=NEVER)
+        return min((sent + self._lasts for _, sent in heard), default=NEVER_US)
 
     def holds(self, view: View, now: int) -> bool:
         """Whether this seat, primary of the view, may serve at this moment."""
-        return not self._given_up and self.free(now) and now < self.until(view)
+        return not self._given_up and self.grants_expired(now) and now < self.expires_at(view)
 
-    def free(self, now: int) -> bool:
+    def grants_expired(self, now: int) -> bool:
         """Whether all that it granted has run out."""
         return all(now - granted >= self._silence for _, granted in self._granted.values())
 
-    def give_up(self) -> None:
+    def relinquish(self) -> None:
         """This machine ends."""
         self._given_up = True
 
@@ -69,19 +69,19 @@
         self._granted[to] = view.number, now
         return view.number
 
-    def ended(self, peer: Seat) -> None:
+    def peer_ended(self, peer: Seat) -> None:
         """This seat has ended, or given its lease up."""
         if peer != self._own:
             self._granted.pop(peer, None)
 
-    def speaks(self, peer: Seat, view: int) -> None:
+    def peer_reported_view(self, peer: Seat, view: int) -> None:
         """It knows this view, so it serves in none before; a former seat of its address has ended."""
         for other, (number, _) in [*self._granted.items()]:
             if other == peer and view > number or other != peer and other[0] == peer[0]:
-                self.ended(other)
+                self.peer_ended(other)
 
 
-class Waiting:
+class PendingCallbacks:
     """Authors of changes who have not heard yet. Each hears once: it is in force, or it is not known to be."""
 
     def __init__(self, longest: int) -> None:
@@ -99,14 +99,14 @@
         self._since.append((now, once))
         return once
 
-    def due(self) -> int:
+    def next_deadline(self) -> int:
         """When the first has waited long enough."""
-        return self._since[0][0] + self._longest if self else NEVER
+        return self._since[0][0] + self._longest if self else NEVER_US
 
-    def over(self, now: int, all_: bool) -> list[Then]:
+    def take_expired(self, now: int, all_: bool) -> list[Then]:
         """Those that are to hear now that it is not known; what they wait for may still come into force."""
         found: list[Then] = []
-        while self and (all_ or self.due() <= now):
+        while self and (all_ or self.next_deadline() <= now):
             found.append(self._since.popleft()[1])
         return found
 
--- a/oakvale/controlplane/membership.py
+++ b/oakvale/controlplane/membership.py
@@ -19,12 +19,12 @@
 log_event = EventLogger(__name__)
 
 
-class Gates:
+class GatewayRegistry:
     def __init__(self, core: Core, voter_service: VoterService, loop: Loop, transport: Transport) -> None:
         self._voter_service = voter_service
         self._core, self._loop, self._transport = core, loop, transport
         self._missed: dict[str, dict[str, int]] = {}  # gateway's node and life -> watcher -> when
-        core.on_change.append(self._turned)
+        core.on_serving_change.append(self._turned)
         transport.handlers["join"] = self._join
         transport.handlers["missing"] = self._missing
 
@@ -35,7 +35,7 @@
         addresses = [parse_address(str(gate["addr"])) for _, gate in self._core.replicated_state.table.items("gate/")]
         for address in addresses[:CALLED] if serves else ():
             if address is not None:
-                self._transport.tell(address, "serves", self._core.own[0])
+                self._transport.tell(address, "serves", self._core.self_id[0])
         if serves and view is not None:
             told = {"copies": [seat[0] for seat in view.copies], "witnesses": [seat[0] for seat in view.witnesses]}
             if self._core.replicated_state.latest("core") != told:
@@ -45,7 +45,7 @@
         core = self._core
         if not core.serving():
             primary = core.primary()
-            return answer({"primary": primary[0] if primary and primary != core.own else None})
+            return answer({"primary": primary[0] if primary and primary != core.self_id else None})
         entry = {"addr": str(body["addr"]), "az": str(body["az"]), "life": str(body["life"])}
         key = f"gate/{body['node']}"
         if core.replicated_state.latest(key) == entry:
@@ -68,7 +68,7 @@
         core = self._core
         before = core.replicated_state.latest(key)
         if before is not None and before["life"] != entry["life"]:
-            self._voter_service.ended(before["life"])
+            self._voter_service.incarnation_ended(before["life"])
         log_event("gateway joins", gateway=key.partition("/")[2], addr=entry["addr"])
         core.change({key: entry}, lambda done: answer({"joined": done}))
 
--- a/oakvale/controlplane/process.py
+++ b/oakvale/controlplane/process.py
@@ -17,12 +17,12 @@
 from oakvale.config.settings import Settings
 from oakvale.config.settings_watch import SettingsWatch
 from oakvale.config.toml_table import BadFile
-from oakvale.controlplane.compaction import Pruning
-from oakvale.controlplane.control_server import Ctl
+from oakvale.controlplane.compaction import Compactor
+from oakvale.controlplane.control_server import ControlServer
 from oakvale.controlplane.core import Core
-from oakvale.controlplane.failover_planning import Planning
-from oakvale.controlplane.membership import Gates
-from oakvale.controlplane.status import standing
+from oakvale.controlplane.failover_planning import FailoverPlanner
+from oakvale.controlplane.membership import GatewayRegistry
+from oakvale.controlplane.status import core_status
 from oakvale.controlplane.voter import VoterService
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.eventlog import EventLogger
@@ -34,11 +34,13 @@
 
 if TYPE_CHECKING:
     from oakvale.config.chains import Given
-    from oakvale.controlplane.drains import Drains
+    from oakvale.controlplane.drains import DrainManager
 
 log_event = EventLogger(__name__)
 SWEEP = 1_000_000
-BROKEN = 3  # the status to end with: the next start puts the file aside, and is let in as a seat without state
+EXIT_STORAGE_BROKEN = (
+    3  # the status to end with: the next start puts the file aside, and is let in as a seat without state
+)
 READY = 3_000_000  # after it began to serve; by then, who waited for it has been served
 OPENS, PAUSE = 50, 0.2  # tries at the disk at the start, and seconds between them
 
@@ -76,34 +78,34 @@
         self.storage = opened()
         self.core = core = Core(loop, self.transport, settings, self.storage)
         voter_service = VoterService(loop, self.transport, self.storage, settings.bootstrap, core.is_witness)
-        Gates(core, voter_service, loop, self.transport)
-        Pruning(core, loop)
-        offer(self.transport, "headworks", settings.node, lambda: standing(core))
+        GatewayRegistry(core, voter_service, loop, self.transport)
+        Compactor(core, loop)
+        offer(self.transport, "headworks", settings.node, lambda: core_status(core))
         self.shared = Shared(loop, bounds(settings))
-        self._ctl = Ctl(self.shared, core, settings)
+        self._ctl = ControlServer(self.shared, core, settings)
         self.acceptor = Acceptor(self._ctl, listeners["ctl"], loop)
-        self._drains: Drains | None = None
-        self.know = core.know
+        self._drains: DrainManager | None = None
+        self.know = core.update_seeds
         loop.at(loop.now + SWEEP, self._sweep)
-        log_event("headworks", node=settings.node, own=core.own[0], incarnation=core.own[1])
+        log_event("headworks", node=settings.node, own=core.self_id[0], incarnation=core.self_id[1])
 
     def _sweep(self, _: object) -> None:
         self.transport.sweep()
         self.loop.at(self.loop.now + SWEEP, self._sweep)
 
-    def plan(self, settings: Settings, given: Given | None) -> None:
+    def plan_failover(self, settings: Settings, given: Given | None) -> None:
         """Works out failover chains, where they are wanted."""
-        Planning(self.core, self._ctl.backends, self.loop, self.transport, settings, given)
+        FailoverPlanner(self.core, self._ctl.backends, self.loop, self.transport, settings, given)
 
-    def contracts(self, settings: Settings) -> None:
+    def load_contracts(self, settings: Settings) -> None:
         """At the start and on SIGHUP; a file that is there is looked at anew by itself."""
         if self._drains is not None:
-            self._drains.again()
+            self._drains.reload()
         elif os.path.exists(settings.contracts):
-            from oakvale.controlplane.drains import Drains  # its imports cost, and most systems have no contracts
+            from oakvale.controlplane.drains import DrainManager  # its imports cost, and most systems have no contracts
 
-            self._drains = Drains(self.core, self.loop, self.transport, settings.contracts, settings.bounds.apply)
-            self._ctl.offer(self._drains)
+            self._drains = DrainManager(self.core, self.loop, self.transport, settings.contracts, settings.bounds.apply)
+            self._ctl.enable_drains(self._drains)
 
     def stop(self) -> None:
         self.shared.stopping = True
@@ -123,17 +125,17 @@
         raise BadFile("headworks needs [self] datadir and [network.bind] ctl")
     loop = Loop(Clock(), bounds(settings))
     process = Process(settings, listeners, loop, lambda: _opened(loop, datadir))
-    process.plan(settings, given)
+    process.plan_failover(settings, given)
     watch = SettingsWatch(loop, os.environ, settings, lambda fresh: process.know(fresh.seeds))
-    process.core.on_change.append(lambda serves: _ready_for_operators(loop) if serves else None)
+    process.core.on_serving_change.append(lambda serves: _ready_for_operators(loop) if serves else None)
 
-    def again() -> None:
+    def reload() -> None:
         watch.again()
-        process.contracts(settings)
+        process.load_contracts(settings)
 
-    process.contracts(settings)
+    process.load_contracts(settings)
     process.storage.on_broken = loop.stop
-    loop.start(signals.run(process.stop, again), signals.fileno(), Rank.DISCOVERY)
+    loop.start(signals.run(process.stop, reload), signals.fileno(), Rank.DISCOVERY)
     gc.collect()
     gc.freeze()
     try:
@@ -145,6 +147,6 @@
         signals.close()
     if process.storage.broken:
         log_event("ends, its file is broken", "error", node=settings.node)
-        return BROKEN
+        return EXIT_STORAGE_BROKEN
     log_event("stopped", node=settings.node)
     return 0
--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -26,13 +26,16 @@
 
 if TYPE_CHECKING:  # of use only with contracts, or to a primary
     from oakvale.config.model import Configuration, Read
-    from oakvale.controlplane.drains import Drains as Hand
+    from oakvale.controlplane.drains import DrainManager
 
 JSON = (b"content-type", b"application/json")
 ID = re.compile(r"[!-~]{1,128}")
 NAME = re.compile(r"[0-9A-Za-z._-]{1,64}")  # of an order
-TAKEN, FORGOTTEN = PRIVATE, "up-to"  # of entries on numbers; of that on the highest number that is known no longer
-MOST = 1_000  # numbers whose content is remembered, the highest
+CONFIG_DIGESTS, FORGOTTEN = (
+    PRIVATE,
+    "up-to",
+)  # of entries on numbers; of that on the highest number that is known no longer
+MAX_REMEMBERED_CONFIGS = 1_000  # numbers whose content is remembered, the highest
 CHECKED = 64  # texts that need not be checked again
 QUEUE = 16  # texts that wait to be checked; beyond, the caller is sent on
 LOST_BEATS = 4  # without so many a backend counts as crashed
@@ -48,7 +51,7 @@
     headers: tuple[tuple[bytes, bytes], ...] = ()
 
 
-Give = Callable[[Reply], None]
+ReplyCallback = Callable[[Reply], None]
 
 
 def _remember(known: dict[int, tuple[str, bytes]], gen: int, digest: bytes) -> dict[str, Any]:
@@ -56,25 +59,25 @@
     first, so that nothing has to be pruned and no graves are left. Where the new number is the lowest, it is forgotten
     at once: nothing more is said of it."""
     place, changes = str(len(known)), dict[str, Any]()
-    if len(known) >= MOST:
+    if len(known) >= MAX_REMEMBERED_CONFIGS:
         lowest = min(*known, gen)
-        changes[TAKEN + FORGOTTEN] = lowest
+        changes[CONFIG_DIGESTS + FORGOTTEN] = lowest
         if lowest == gen:
             return changes
         place = known.pop(lowest)[0]
     known[gen] = (place, digest)
-    return changes | {TAKEN + place: [gen, digest]}
+    return changes | {CONFIG_DIGESTS + place: [gen, digest]}
 
 
-def problem(status: int, why: str) -> Reply:
+def error_reply(status: int, why: str) -> Reply:
     return Reply(status, orjson.dumps({"error": why}))
 
 
-UNSURE = Reply(503, orjson.dumps({"error": "not known to be kept"}), ((b"retry-after", b"0.2"),))
+UNCONFIRMED = Reply(503, orjson.dumps({"error": "not known to be kept"}), ((b"retry-after", b"0.2"),))
 
 
 @dataclass(slots=True, frozen=True)
-class Checked:
+class CheckedConfig:
     """What is known of a text that was read as a configuration."""
 
     gen: int
@@ -82,7 +85,7 @@
     routes: int
 
 
-class Config:
+class ConfigHandler:
     """The operator's configuration: `Replace` and `Read`.
 
     At most one content is confirmed under a number. The change that takes a configuration also writes its number and
@@ -93,11 +96,11 @@
 
     def __init__(self, core: Core) -> None:
         self._core = core
-        self._checked: dict[bytes, Checked] = {}  # by the digest of the text; the latest that were valid
-        self._queue: dict[bytes, tuple[bytes, list[Give]]] = {}  # texts to be checked, and who waits for each
+        self._checked: dict[bytes, CheckedConfig] = {}  # by the digest of the text; the latest that were valid
+        self._queue: dict[bytes, tuple[bytes, list[ReplyCallback]]] = {}  # texts to be checked, and who waits for each
         self._steps: Generator[None, None, Read] | None = None  # of the check of the first of them
 
-    def replace(self, rest: str, body: bytes, give: Give) -> None:
+    def replace(self, rest: str, body: bytes, give: ReplyCallback) -> None:
         text = blake2b(body, digest_size=16).digest()
         checked = self._checked.get(text)
         if checked is not None:
@@ -105,7 +108,7 @@
         if text in self._queue:
             return self._queue[text][1].append(give)
         if len(self._queue) >= QUEUE:
-            return give(UNSURE)
+            return give(UNCONFIRMED)
         if not self._queue:
             self._soon()
         self._queue[text] = (body, [give])
@@ -129,7 +132,7 @@
             checked = self._keep(text, *ended.value)
         except model.Invalid as error:
             log_event("configuration refused", why=str(error)[:200])
-            refused = problem(400, str(error))
+            refused = error_reply(400, str(error))
         finally:
             if not goes_on:
                 self._steps = None
@@ -142,13 +145,13 @@
             elif refused is not None:
                 give(refused)
 
-    def _keep(self, text: bytes, config: Configuration, digest: bytes) -> Checked:
+    def _keep(self, text: bytes, config: Configuration, digest: bytes) -> CheckedConfig:
         while len(self._checked) >= CHECKED:
             del self._checked[next(iter(self._checked))]
-        checked = self._checked[text] = Checked(config.gen, digest, len(config.routes))
+        checked = self._checked[text] = CheckedConfig(config.gen, digest, len(config.routes))
         return checked
 
-    def _judge(self, order: Checked, body: bytes, give: Give) -> None:
+    def _judge(self, order: CheckedConfig, body: bytes, give: ReplyCallback) -> None:
         held = self._core.replicated_state.latest("config")
         known, forgotten = self._taken()
         changes: dict[str, Any] = {}
@@ -156,17 +159,17 @@
             changes |= _remember(known, held["gen"], self._digest(bytes(held["text"])))
 
         def told(reply: Reply) -> Callable[[bool], None]:
-            return lambda done: give(reply if done else UNSURE)
+            return lambda done: give(reply if done else UNCONFIRMED)
 
         if order.gen in known:
             if known[order.gen][1] == order.digest:
-                return self._core.confirm(told(Reply(200)), behind=True)
+                return self._core.confirm(told(Reply(200)), after_pending=True)
             log_event("configuration refused", why=f"another content of gen {order.gen}")
-            no = problem(409, f"gen {order.gen}: taken with another content, which stays")
-            return self._core.confirm(told(no), behind=True)
+            no = error_reply(409, f"gen {order.gen}: taken with another content, which stays")
+            return self._core.confirm(told(no), after_pending=True)
         if forgotten is not None and order.gen <= forgotten:
             why = f"gen {order.gen}: what was taken up to {forgotten} is no longer known"
-            return give(Reply(503, orjson.dumps({"error": why}), UNSURE.headers))
+            return give(Reply(503, orjson.dumps({"error": why}), UNCONFIRMED.headers))
         changes |= _remember(known, order.gen, order.digest)
         # what gateways are sent as well comes last, so that when all is still they are as far as the core
         if held is None or order.gen > held["gen"]:
@@ -174,11 +177,11 @@
             changes["config"] = {"gen": order.gen, "text": body}
         else:
             changes["confirmed"] = None
-        self._core.change(changes, told(Reply(200)), behind=True)
+        self._core.change(changes, told(Reply(200)), after_pending=True)
 
     def _taken(self) -> tuple[dict[int, tuple[str, bytes]], int | None]:
         """Number -> its place and digest, with what waits to come into force; and up to which numbers are forgotten."""
-        taken = self._core.replicated_state.latest_items(TAKEN)
+        taken = self._core.replicated_state.latest_items(CONFIG_DIGESTS)
         forgotten = taken.pop(FORGOTTEN, None)
         return {int(gen): (place, digest) for place, (gen, digest) in taken.items()}, forgotten
 
@@ -191,20 +194,20 @@
         except model.Invalid:  # taken when the rules were others: nothing that is valid now is the same
             return b""
 
-    def read(self, rest: str, body: bytes, give: Give) -> None:
+    def read(self, rest: str, body: bytes, give: ReplyCallback) -> None:
         def confirmed(done: bool) -> None:
             held = self._core.replicated_state.table.get("config")
             if not done:
-                give(UNSURE)
+                give(UNCONFIRMED)
             elif held is None:
-                give(problem(404, "no configuration yet"))
+                give(error_reply(404, "no configuration yet"))
             else:
                 give(Reply(200, bytes(held["text"])))
 
         self._core.confirm(confirmed)
 
 
-class Backends:
+class BackendsHandler:
     """Backends' own reports: `Heartbeat` and `Leave`."""
 
     def __init__(self, core: Core, loop: Loop, settings: Settings) -> None:
@@ -212,11 +215,13 @@
         self._url = spelled(settings.bind["ctl"]) if "ctl" in settings.bind else ""
         self._seen: dict[str, int] = {}
         self._calls: dict[str, int] = {}
-        self.leaves: Callable[[str, str], dict[str, Any]] = lambda name, why: {}  # is written with a backend's leaving
-        core.on_change.append(self._turned)
+        self.departure_changes: Callable[[str, str], dict[str, Any]] = (
+            lambda name, why: {}
+        )  # is written with a backend's leaving
+        core.on_serving_change.append(self._turned)
         loop.at(loop.now + self._beat, self._sweep)
 
-    def heartbeat(self, name: str, body: bytes, give: Give) -> None:
+    def heartbeat(self, name: str, body: bytes, give: ReplyCallback) -> None:
         try:
             report = orjson.loads(body)
             said = {
@@ -230,9 +235,9 @@
             calls = int(report.get("calls") or 0)
             warm = micros(report["warmup_time"]) if report.get("warmup_time") else 0
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError) as error:
-            return give(problem(400, f"beat is not understood: {error!r}"[:200]))
+            return give(error_reply(400, f"beat is not understood: {error!r}"[:200]))
         if not ID.fullmatch(name) or parse_address(said["addr"]) is None:
-            return give(problem(400, "no id or no address"))
+            return give(error_reply(400, "no id or no address"))
         key = f"backend/{name}"
         held = self._core.replicated_state.latest(key)
         self._seen[name] = self._loop.now
@@ -246,29 +251,29 @@
             return (
                 give(yes)
                 if not self._core.replicated_state.waits()
-                else self._core.when_settled(lambda done: give(yes if done else UNSURE))
+                else self._core.when_settled(lambda done: give(yes if done else UNCONFIRMED))
             )
         changes: dict[str, Any] = {key: said | {"calls": calls, "warm": warm}}
         for other, value in self._core.replicated_state.table.items("backend/"):
             if other != name and value["addr"] == said["addr"]:
                 changes[f"backend/{other}"] = None  # its address has another's life now
-                changes |= self.leaves(other, "replaced")
+                changes |= self.departure_changes(other, "replaced")
         if held is not None and held["state"] == "ready" != said["state"]:
-            changes |= self.leaves(name, "drain")
+            changes |= self.departure_changes(name, "drain")
         log_event("backend", backend=name, svc=said["svc"], state=said["state"], addr=said["addr"])
-        self._core.change(changes, lambda done: give(yes if done else UNSURE))
+        self._core.change(changes, lambda done: give(yes if done else UNCONFIRMED))
 
-    def leave(self, name: str, body: bytes, give: Give) -> None:
+    def leave(self, name: str, body: bytes, give: ReplyCallback) -> None:
         self._seen.pop(name, None)
         if self._core.replicated_state.latest(f"backend/{name}") is None:
-            return self._core.confirm(lambda done: give(Reply(200) if done else UNSURE))
+            return self._core.confirm(lambda done: give(Reply(200) if done else UNCONFIRMED))
         log_event("backend leaves", backend=name)
         self._core.change(
-            {f"backend/{name}": None, f"left/{name}": 1} | self.leaves(name, "left"),
-            lambda done: give(Reply(200) if done else UNSURE),
+            {f"backend/{name}": None, f"left/{name}": 1} | self.departure_changes(name, "left"),
+            lambda done: give(Reply(200) if done else UNCONFIRMED),
         )
 
-    def silent(self, span: int) -> list[str]:
+    def silent_for(self, span: int) -> list[str]:
         """Those on the list that have not beaten for so long."""
         now = self._loop.now
         return [
@@ -306,47 +311,47 @@
             log_event("backends are silent", "warning", backends=",".join(silent))
             changes: dict[str, Any] = {f"backend/{name}": None for name in silent}
             for name in silent:
-                changes |= self.leaves(name, "silent")
+                changes |= self.departure_changes(name, "silent")
             self._core.change(changes, lambda done: None)
 
 
-class Drains:
+class DrainsHandler:
     """Drain orders: `Order`, `Plan` (an order that is not kept), `Show` and `Cancel`. Off without contracts."""
 
-    def __init__(self, core: Core, drains: Hand) -> None:
+    def __init__(self, core: Core, drains: DrainManager) -> None:
         self._core, self._drains = core, drains
 
-    def order(self, name: str, body: bytes, give: Give) -> None:
+    def order(self, name: str, body: bytes, give: ReplyCallback) -> None:
         """Taken if its plan has no obstacle; sent again unchanged, it is answered as before."""
         self._judge(name, body, give, keep=True)
 
-    def plan(self, name: str, body: bytes, give: Give) -> None:
+    def plan(self, name: str, body: bytes, give: ReplyCallback) -> None:
         self._judge(name, body, give, keep=False)
 
-    def _judge(self, name: str, body: bytes, give: Give, keep: bool) -> None:
+    def _judge(self, name: str, body: bytes, give: ReplyCallback, keep: bool) -> None:
         from oakvale.config import contracts  # here, as what they import is needed with contracts alone
         from oakvale.drains import report
 
         now = self._drains.now()
         if keep and not NAME.fullmatch(name):
-            return give(problem(400, "no name of the order: letters, digits, dot, dash, up to 64"))
+            return give(error_reply(400, "no name of the order: letters, digits, dot, dash, up to 64"))
         try:
             form = contracts.order(contracts.Order, body)
         except contracts.BadOrder as error:
-            return give(problem(400, str(error)))
+            return give(error_reply(400, str(error)))
         if self._drains.contracts is None:
-            return give(problem(409, "the file of contracts can't be used: see the log"))
+            return give(error_reply(409, "the file of contracts can't be used: see the log"))
         if now is None:
-            return give(problem(503, "the clocks of the core machines don't agree on the time yet"))
+            return give(error_reply(503, "the clocks of the core machines don't agree on the time yet"))
         given = {"kind": form.kind, "target": form.target, "by": form.by, "why": form.why, "due": form.due_at()}
         held = self._core.replicated_state.latest(f"drain/{name}") if keep else None
         if held is not None:
             if any(held[field] != value for field, value in given.items()):
-                return give(problem(409, "another order has this name"))
-            return self._core.confirm(lambda done: give(Reply(200) if done else UNSURE))
+                return give(error_reply(409, "another order has this name"))
+            return self._core.confirm(lambda done: give(Reply(200) if done else UNCONFIRMED))
         if keep and any(key.startswith("drain/") for key in self._core.replicated_state.waiting()):
-            return give(UNSURE)  # another order is being kept: this one's plan has to know it
-        entry, plan = self._drains.entry(given, now)
+            return give(UNCONFIRMED)  # another order is being kept: this one's plan has to know it
+        entry, plan = self._drains.order_entry(given, now)
         told = report.of_plan(plan)
         if not keep:
             return give(Reply(200, orjson.dumps(told)))
@@ -354,22 +359,22 @@
             return give(Reply(409, orjson.dumps({"error": "; ".join(plan.obstacles), "plan": told})))
         log_event("drain ordered", order=name, kind=form.kind, target=form.target, by=form.by)
         self._core.change(
-            {f"drain/{name}": entry}, lambda done: give(Reply(200, orjson.dumps(told)) if done else UNSURE)
+            {f"drain/{name}": entry}, lambda done: give(Reply(200, orjson.dumps(told)) if done else UNCONFIRMED)
         )
 
-    def cancel(self, name: str, body: bytes, give: Give) -> None:
+    def cancel(self, name: str, body: bytes, give: ReplyCallback) -> None:
         """What has moved comes back, each tenant in its hours."""
         from oakvale.config import contracts
 
         try:
             form = contracts.order(contracts.Cancelled, body)
         except contracts.BadOrder as error:
-            return give(problem(400, str(error)))
+            return give(error_reply(400, str(error)))
         held = self._core.replicated_state.latest(f"drain/{name}")
         if held is None:
-            return give(problem(404, "no such order"))
+            return give(error_reply(404, "no such order"))
         if held["cancelled"] or held["state"] == "done":
-            return self._core.confirm(lambda done: give(Reply(200) if done else UNSURE))
+            return self._core.confirm(lambda done: give(Reply(200) if done else UNCONFIRMED))
         log_event("drain cancelled", order=name, by=form.by)
         entry = held | {
             "state": "cancelled",
@@ -377,16 +382,16 @@
             "why_state": f"cancelled by {form.by}: {form.why}",
             "over": held["over"] or self._drains.now() or held["at"],
         }
-        self._core.change({f"drain/{name}": entry}, lambda done: give(Reply(200) if done else UNSURE))
+        self._core.change({f"drain/{name}": entry}, lambda done: give(Reply(200) if done else UNCONFIRMED))
 
-    def show(self, name: str, body: bytes, give: Give) -> None:
+    def show(self, name: str, body: bytes, give: ReplyCallback) -> None:
         def confirmed(done: bool) -> None:
             if not done:
-                give(UNSURE)
+                give(UNCONFIRMED)
             elif name and self._core.replicated_state.table.get(f"drain/{name}") is None:
-                give(problem(404, "no such order"))
+                give(error_reply(404, "no such order"))
             else:
-                give(Reply(200, orjson.dumps(self._drains.told(name))))
+                give(Reply(200, orjson.dumps(self._drains.status(name))))
 
         self._core.confirm(confirmed)
 
--- a/oakvale/controlplane/status.py
+++ b/oakvale/controlplane/status.py
@@ -8,17 +8,21 @@
 from oakvale.transport.status_service import MS, by_service
 
 
-def standing(core: Core) -> dict[str, Any]:
+def core_status(core: Core) -> dict[str, Any]:
     now, view, table = core.loop.now, core.view(), core.replicated_state.table
     held, since = table.get("config"), core.storage.waiting_since()
-    fields: dict[str, Any] = {"own": core.own[0], "incarnation": core.own[1], "view": view.number if view else 0}
+    fields: dict[str, Any] = {
+        "own": core.self_id[0],
+        "incarnation": core.self_id[1],
+        "view": view.number if view else 0,
+    }
     if view is not None:
         place = (
             "primary"
-            if view.primary == core.own
+            if view.primary == core.self_id
             else "backup"
-            if core.own in view.backups
-            else ("witness" if core.own in view.witnesses else "none")
+            if core.self_id in view.backups
+            else ("witness" if core.self_id in view.witnesses else "none")
         )
         silent = [peer[0] for peer in view.witnesses if not core.view_manager.alive(peer, now)]
         fields |= {
@@ -37,7 +41,7 @@
             "news": "/".join(map(str, table.high)),
             "waits": core.replicated_state.waits(),
             "disk_waits_ms": 0 if since is None else (now - since) // MS,
-            "relays": len(core.outlet),
+            "relays": len(core.publisher),
             "gateways": ",".join(sorted(node for node, _ in table.items("gate/"))),
         }
         | by_service((str(value["svc"]), str(value["state"])) for _, value in table.items("backend/"))
--- a/oakvale/controlplane/voter.py
+++ b/oakvale/controlplane/voter.py
@@ -52,7 +52,7 @@
         transport.handlers["who"] = self._who
         transport.handlers["ended"] = lambda conn, body, answer: self._voter.ended(str(body), loop.now)
 
-    def ended(self, life: str) -> None:
+    def incarnation_ended(self, life: str) -> None:
         self._voter.ended(life, self._loop.now)
 
     def _span_over(self, _: Any) -> None:
@@ -62,7 +62,7 @@
     def _now_known(self) -> None:
         self._known = True
 
-    def _may_speak(self) -> bool:
+    def _may_vote(self) -> bool:
         """Whether no vote that this machine doesn't know of may still bind its place among the voters."""
         if not self._is_voter():
             self._voter_since = None
@@ -72,7 +72,7 @@
         return self._known and self._loop.now - self._voter_since >= SPAN
 
     def _ballot(self, conn: Connection, body: Any, answer: Answer) -> None:
-        if not self._may_speak():
+        if not self._may_vote():
             return
         duty, kind, number, where = str(body[0]), str(body[1]), (int(body[2][0]), str(body[2][1])), str(body[3])
         # the clock of this moment: a process that stood still in its turn would bind itself to a time that is over
@@ -119,7 +119,7 @@
     def _who(self, conn: Connection, body: Any, answer: Answer) -> None:
         """Who asks may live where the holder did, which then has ended; but the question may be one that was long on
         its way, so it is asked back."""
-        if not self._may_speak():
+        if not self._may_vote():
             return
         duty, where, life = str(body[0]), str(body[1]), str(body[2])
         held = self._voter.holder(duty, self._loop.now)
--- a/oakvale/lab/modelcheck/breakages.py
+++ b/oakvale/lab/modelcheck/breakages.py
@@ -387,7 +387,7 @@
     Breakage(
         "grant-not-waited-for",
         "who granted a lease serves in the next view before it has run out",
-        ((Leases, "free", lambda self, now: True),),
+        ((Leases, "grants_expired", lambda self, now: True),),
         replace(QUIET, wakes=1, beats=1),
     ),
     Breakage(
--- a/oakvale/lab/modelcheck/machine.py
+++ b/oakvale/lab/modelcheck/machine.py
@@ -169,7 +169,7 @@
     def _heartbeat(self, sender: Seat, view: Any, sent: int, life: int) -> None:
         """As `core` does: it is heard first, and learned from, then answered."""
         assert self.part is not None and self.leases is not None
-        self.leases.speaks(seat(sender), view[0])
+        self.leases.peer_reported_view(seat(sender), view[0])
         self._do(self.part.carry(self.part.view_manager.heard(NOW, seat(sender), self._zone(sender[0]), unpack(view))))
         number = self.leases.grant(self.part.view(), seat(sender), self.now)
         if number:
--- a/oakvale/lab/modelcheck/model.py
+++ b/oakvale/lab/modelcheck/model.py
@@ -605,7 +605,7 @@
                         and then.leads
                         and then.leads.number > own.leads.number
                         and then.leases
-                        and then.leases.free(time * SILENCE)
+                        and then.leases.grants_expired(time * SILENCE)
                     ):
                         raise Broken(
                             "one serves at a time",
--- a/oakvale/lab/undone.py
+++ b/oakvale/lab/undone.py
@@ -8,7 +8,7 @@
 
 from oakvale.base.address import parse_address
 from oakvale.controlplane.replicated_state import ReplicatedState
-from oakvale.controlplane.resources import UNSURE, Checked, Config, Give, Reply
+from oakvale.controlplane.resources import UNCONFIRMED, CheckedConfig, ConfigHandler, Reply, ReplyCallback
 from oakvale.controlplane.view_change import LASTS, Campaign, Say, Seat, View, ViewManager, _packed
 from oakvale.dissemination.feed import Feed, log_event
 from oakvale.policy.limits import Limits
@@ -71,19 +71,19 @@
     """A primary that was told to end did not say so, or nobody listened: its backup found out by its end."""
 
 
-def any_below(self: Config, order: Checked, body: bytes, give: Give) -> None:
+def any_below(self: ConfigHandler, order: CheckedConfig, body: bytes, give: ReplyCallback) -> None:
     """As `Config._judge`, but whatever is not above the number held was confirmed: two contents under one number."""
     held = self._core.replicated_state.latest("config")
 
     def told(done: bool) -> None:
-        give(Reply(200) if done else UNSURE)
+        give(Reply(200) if done else UNCONFIRMED)
 
     if held is not None and order.gen <= held["gen"]:
         return self._core.confirm(told)
     self._core.change({"config": {"gen": order.gen, "text": body}}, told)
 
 
-def taken_in_memory(self: Config) -> Any:
+def taken_in_memory(self: ConfigHandler) -> Any:
     """As `Config._taken`, with the next: what was taken is known to the process that took it, until it ends."""
     return self.__dict__.setdefault("_memory", {}), None
 
--- a/tests/control_plane_simulation.py
+++ b/tests/control_plane_simulation.py
@@ -14,7 +14,7 @@
 import cbor2
 
 from oakvale.config.settings import Bounds, Settings
-from oakvale.controlplane.compaction import Pruning
+from oakvale.controlplane.compaction import Compactor
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.view_change import View, unpack_durable
 from oakvale.dissemination.table import NOTHING, Table, Version, unpack
@@ -154,11 +154,11 @@
             settings,
             cast(Any, Storage(self.world, self.life)),
         )
-        self.core.on_change.append(lambda serves: self.world.turned(self, serves))
+        self.core.on_serving_change.append(lambda serves: self.world.turned(self, serves))
         if self.world.equips is not None:
             self.world.equips(self, Loop(self.world, self.life))
         if self.world.prunes:
-            Pruning(self.core, cast(Any, Loop(self.world, self.life)), *self.world.prunes)
+            Compactor(self.core, cast(Any, Loop(self.world, self.life)), *self.world.prunes)
 
     def stop(self) -> None:
         """SIGTERM, and SIGKILL after `grace`."""
@@ -317,7 +317,7 @@
         """A gateway of the day takes news from whoever serves."""
         core = machine.core
         if serves and core is not None:
-            core.outlet.subscribe(cast(Any, Wire(self, machine)), self.gateway.high, (core.view().number, 0))  # type: ignore[union-attr]
+            core.publisher.subscribe(cast(Any, Wire(self, machine)), self.gateway.high, (core.view().number, 0))  # type: ignore[union-attr]
 
     def news(self, body: Any) -> None:
         pulse, entries = tuple(body[0]), unpack(body[1])
@@ -398,7 +398,7 @@
         """Whatever one machine is lost now: all that were to hold copies do, all that vote are up, as they all know."""
         found = self.serving()
         view = found.core.view() if found is not None and found.core is not None else None
-        cores = {m.core.own: m.core for m in self.machines if m.core is not None and not m.paused}
+        cores = {m.core.self_id: m.core for m in self.machines if m.core is not None and not m.paused}
         return (
             view is not None
             and len(view.witnesses) > 2 * self.tolerate
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -14,7 +14,7 @@
 
 from oakvale.controlplane import chunks
 from oakvale.controlplane.chunks import PIECE, cut, join, names
-from oakvale.controlplane.core import SILENCE, Core
+from oakvale.controlplane.core import PEER_TIMEOUT_US, Core
 from oakvale.dissemination.table import NOTHING, Entry
 from oakvale.lab.simulation.works import Layout, Station, Works
 from tests.control_plane_simulation import Machine, World
@@ -140,7 +140,7 @@
         """The backup's machine."""
         view = self.serving().view()
         assert view is not None
-        return next(m for m in self.world.machines if m.core is not None and m.core.own == view.backups[0])
+        return next(m for m in self.world.machines if m.core is not None and m.core.self_id == view.backups[0])
 
     def changes(self, span: int) -> None:
         """Small and large ones, ten a second."""
@@ -323,7 +323,7 @@
         if core is None:
             return
         now = self.works.events.now
-        process = self.station(core.own).process
+        process = self.station(core.self_id).process
         assert process is not None
         process.post(
             lambda: core.change({key: value}, lambda done: self.told.append((now, self.works.events.now - now, done)))
@@ -369,7 +369,7 @@
     took = thin.serves[0][0] - began
     print(how, "serves after", took / SECOND, "longest gaps", dict(thin.gaps))
     assert took < (6 if how == "planned" else 12) * SECOND
-    assert max(thin.gaps.values()) < SILENCE // 2
+    assert max(thin.gaps.values()) < PEER_TIMEOUT_US // 2
     answered = [span for at, span, done in thin.told if done and at > thin.serves[0][0]]
     assert len(answered) > 20 and max(answered) < SECOND // 2
 
@@ -408,7 +408,7 @@
     late = max(at + span for at, span, done in thin.told if done) - thin.began
     print("all in force after", late / SECOND, "longest gaps", dict(thin.gaps))
     heard = [gap for pair, gap in thin.gaps.items() if not pair.startswith(backup.machine.ip)]  # but for its start
-    assert all(done for _, _, done in thin.told) and len(thin.told) == 361 and max(heard) < SILENCE // 2
+    assert all(done for _, _, done in thin.told) and len(thin.told) == 361 and max(heard) < PEER_TIMEOUT_US // 2
 
 
 def test_changes_pass_a_configuration_on_its_way() -> None:
@@ -425,7 +425,7 @@
     print("the configuration", spans[-1] / SECOND, "others at most", spans[-2] / SECOND, dict(thin.gaps))
     assert all(done for _, _, done in thin.told) and len(spans) == 61
     assert 9 * SECOND < spans[-1] < 13 * SECOND and spans[-2] < SECOND // 2
-    assert max(thin.gaps.values()) < SILENCE // 2 and not thin.views
+    assert max(thin.gaps.values()) < PEER_TIMEOUT_US // 2 and not thin.views
 
 
 def test_gateways_get_a_configuration_of_the_planned_size_over_thin_links() -> None:
@@ -445,4 +445,4 @@
         spans += [second] * (sum(held()) - len(spans))
     print("held after", spans, dict(thin.gaps))
     assert len(spans) == 6 and spans[2] <= 36 and spans[5] <= 46
-    assert not thin.stalls and not thin.views and max(thin.gaps.values()) < SILENCE
+    assert not thin.stalls and not thin.views and max(thin.gaps.values()) < PEER_TIMEOUT_US
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -13,7 +13,7 @@
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
 from oakvale.config.bounds import bounds
-from oakvale.controlplane.control_server import Ctl
+from oakvale.controlplane.control_server import ControlServer
 from oakvale.controlplane.resources import Reply
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.memory.requests import Answer
@@ -65,9 +65,9 @@
         given = replace(bounds_of(cast(Any, SETTINGS)), timer_slack=0, wake_slack=0)
         self.loop = Loop(lambda: self.now, given, cast(Any, self.net))
         replicated_state = SimpleNamespace(table=SimpleNamespace(items=lambda prefix: []))
-        core = SimpleNamespace(on_change=[], serving=lambda: True, replicated_state=replicated_state)
+        core = SimpleNamespace(on_serving_change=[], serving=lambda: True, replicated_state=replicated_state)
         bound = SimpleNamespace(bind={"ctl": ADDRESS}, beat=SECOND)
-        self.ctl = Ctl(Shared(self.loop, given), cast(Any, core), cast(Any, bound))
+        self.ctl = ControlServer(Shared(self.loop, given), cast(Any, core), cast(Any, bound))
         self.taken: list[str] = []
         self.gives: list[tuple[str, Callable[[Reply], None]]] = []
         self.ctl._calls[(b"POST", "Test.Order")] = self._order
--- a/tests/test_drains_core.py
+++ b/tests/test_drains_core.py
@@ -8,9 +8,8 @@
 import orjson
 import pytest
 
-from oakvale.controlplane.drains import Drains
-from oakvale.controlplane.resources import Backends, Reply
-from oakvale.controlplane.resources import Drains as Handler
+from oakvale.controlplane.drains import DrainManager
+from oakvale.controlplane.resources import BackendsHandler, DrainsHandler, Reply
 from oakvale.drains import report
 from oakvale.drains.moves import Moves
 from oakvale.drains.planning import MARGIN
@@ -39,8 +38,8 @@
     def __init__(self, seed: int, path: Path) -> None:
         path.write_text(FILE)
         self.path, self.steps = path, dict[str, int]()
-        self.drains: dict[str, Drains] = {}
-        self.backends: dict[str, Backends] = {}
+        self.drains: dict[str, DrainManager] = {}
+        self.backends: dict[str, BackendsHandler] = {}
         self.gates = {node: Moves(node, f"life-{node}") for node in ("g1", "g2")}
         self.followed: dict[tuple[str, str], int] = {}  # gateway and move -> when it was followed first
         super().__init__(seed, equips=self.equip)
@@ -68,13 +67,13 @@
     def equip(self, machine: Machine, loop: Loop) -> None:
         core, ip = machine.core, machine.address[0]
         assert core is not None
-        self.drains[ip] = Drains(
+        self.drains[ip] = DrainManager(
             core, cast(Any, loop), core.transport, str(self.path), PACE, lambda: DAY0 + self.now + self.steps.get(ip, 0)
         )
         settings = self.settings(machine, False)
-        self.backends[ip] = Backends(core, cast(Any, loop), settings)
+        self.backends[ip] = BackendsHandler(core, cast(Any, loop), settings)
         self.backends[ip]._sweep = lambda _: None  # type: ignore[method-assign]
-        self.backends[ip].leaves = self.drains[ip].leaves
+        self.backends[ip].departure_changes = self.drains[ip].departure_changes
 
     @property
     def wall(self) -> int:
@@ -92,7 +91,7 @@
         found = self.serving()
         assert found is not None and found.core is not None
         out: list[Reply] = []
-        handler = Handler(found.core, self.drains[found.address[0]])
+        handler = DrainsHandler(found.core, self.drains[found.address[0]])
         getattr(handler, verb)(name, b"" if body is None else orjson.dumps(body), out.append)
         self.run(300 * MS)
         return out[0].status, orjson.loads(out[0].body)
@@ -229,7 +228,7 @@
         drains.contracts = None
     assert cores.order("o1")[0] == 409
     for drains in cores.drains.values():
-        drains.again()
+        drains.reload()
         drains.clock._offset = None
         drains.clock.look = lambda now, machines: None  # type: ignore[method-assign]
     assert cores.order("o1")[0] == 503
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -15,7 +15,7 @@
 from oakvale.config.chains import Given, load
 from oakvale.config.settings import decode
 from oakvale.config.toml_table import BadFile
-from oakvale.controlplane.failover_planning import Planning
+from oakvale.controlplane.failover_planning import FailoverPlanner
 from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.failover import report
 from oakvale.failover.chains import Chains, Load, pack, plan, unpack
@@ -435,7 +435,7 @@
 class Beats:
     quiet: list[str] = []
 
-    def silent(self, span: int) -> list[str]:
+    def silent_for(self, span: int) -> list[str]:
         return self.quiet
 
 
@@ -444,7 +444,7 @@
 
     def __init__(self) -> None:
         self.now, self.replicated_state, self.handlers, self.loop = 0, ReplicatedState(), dict[str, Any](), self
-        self.on_change: list[Any] = []
+        self.on_serving_change: list[Any] = []
         self.due: list[tuple[int, Any]] = []
         self.changes: list[dict[str, Any]] = []
 
@@ -478,7 +478,7 @@
     core.change(backends | {"gate/g": {"addr": "x:1", "az": "a", "life": "1"}}, None)
     settings = decode({"self": {"node": "n", "ip": "1.1.1.1"}, "network": {"port-range": [1, 9], "azs": ZONES}})
     made: Any = core
-    Planning(made, beats, made, made, settings, given)  # type: ignore[arg-type]
+    FailoverPlanner(made, beats, made, made, settings, given)  # type: ignore[arg-type]
     return core, beats
 
 
@@ -515,7 +515,7 @@
     core.run(9)
     assert len(core.changes) == 1 and "flows" not in core.handlers
     core.replicated_state.take([("chains", (2, 1), {"version": 4})])
-    core.on_change[0](True)
+    core.on_serving_change[0](True)
     assert core.changes[1:] == [{"chains": None}]
 
 
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from oakvale.controlplane.core import SILENCE
+from oakvale.controlplane.core import PEER_TIMEOUT_US
 from oakvale.dissemination.feed import STALE
 from oakvale.lab.models.orders import Books
 from oakvale.lab.models.ways import Reply, ask
@@ -153,8 +153,8 @@
     assert any(map(play.serves, play.others))
     said = play.during(play.leader, began, began + CUT - 6 * SECOND)
     assert len(said) > 150 and {status for _, status, _ in said} <= {200, 307, 503}
-    assert max(took for _, _, took in said) <= SILENCE + LATE
-    late = play.during(play.leader, began + SILENCE, began + CUT - 6 * SECOND)
+    assert max(took for _, _, took in said) <= PEER_TIMEOUT_US + LATE
+    late = play.during(play.leader, began + PEER_TIMEOUT_US, began + CUT - 6 * SECOND)
     assert {status for _, status, _ in late} <= {307, 503} and max(took for _, _, took in late) < LATE
     assert {status for _, status, _ in play.during(play.backup, began + 3 * SECOND, began + CUT)} == {200}
     ends_well(play)
@@ -184,7 +184,7 @@
     play.cut([play.leader], play.others)
     cut = play.works.events.now
     play.works.run_for(12 * SECOND)
-    late = play.during(play.leader, cut + SILENCE, cut + 10 * SECOND)
+    late = play.during(play.leader, cut + PEER_TIMEOUT_US, cut + 10 * SECOND)
     assert {status for _, status, _ in late} <= {307, 503} and max(took for _, _, took in late) < LATE
     play.works.run_for(8 * SECOND)
     ends_well(play)
@@ -202,7 +202,7 @@
     assert any(map(play.serves, play.others)) is not backup_too and not play.serves(play.leader)
     thawed, heard = play.works.events.now + 1, len(play.said)
     play.works.run_for(LATE)
-    early = [said for said in play.said[heard:] if said[1] == play.leader.name and said[3] < thawed - SILENCE]
+    early = [said for said in play.said[heard:] if said[1] == play.leader.name and said[3] < thawed - PEER_TIMEOUT_US]
     assert {said[2] for said in early} & {307, 503} and {said[2] for said in early} <= {0, 200, 307, 503}
     between = 2 * play.works.layout.between  # a yes takes a question sent after the thaw, and its answer
     assert all(said[4] >= thawed + between for said in early if said[2] == 200)
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -12,7 +12,7 @@
 
 from oakvale.config import model
 from oakvale.controlplane.core import Core
-from oakvale.controlplane.resources import UNSURE, Backends, Config, Give, Reply
+from oakvale.controlplane.resources import UNCONFIRMED, BackendsHandler, ConfigHandler, Reply, ReplyCallback
 from oakvale.dataplane import routes
 from oakvale.dataplane.backend_protocol import SystemDialect
 from oakvale.dataplane.gateway import EdgeGateway, Readyz
@@ -122,42 +122,44 @@
 
 
 def acknowledged_before_it_is_kept(
-    core: Core, changes: Any, then: Callable[[bool], None], behind: bool = False, real: Any = Core.change
+    core: Core, changes: Any, then: Callable[[bool], None], after_pending: bool = False, real: Any = Core.change
 ) -> None:
     if "config" not in changes or core.replicated_state.table.get("config") is None:
-        real(core, changes, then, behind)
+        real(core, changes, then, after_pending)
     else:
         then(True)
-        core.loop.at(core.loop.now + 20 * MS, lambda _: real(core, changes, lambda done: None, behind))
+        core.loop.at(core.loop.now + 20 * MS, lambda _: real(core, changes, lambda done: None, after_pending))
 
 
 def another_content_is_confirmed(
-    config: Config, order: Any, body: bytes, give: Give, real: Any = Config._judge
+    config: ConfigHandler, order: Any, body: bytes, give: ReplyCallback, real: Any = ConfigHandler._judge
 ) -> None:
     """Any number that is not above the one held gets a yes, whatever content it comes with."""
     held = config._core.replicated_state.latest("config")
     if held is not None and order.gen <= held["gen"]:
-        return config._core.confirm(lambda done: give(Reply(200) if done else UNSURE))
+        return config._core.confirm(lambda done: give(Reply(200) if done else UNCONFIRMED))
     real(config, order, body, give)
 
 
-def sent_again_is_refused(config: Config, rest: str, body: bytes, give: Give, real: Any = Config.replace) -> None:
+def sent_again_is_refused(
+    config: ConfigHandler, rest: str, body: bytes, give: ReplyCallback, real: Any = ConfigHandler.replace
+) -> None:
     held = config._core.replicated_state.latest("config")
     if held is not None and model.parse(body).gen <= held["gen"]:
         return give(Reply(409))
     real(config, rest, body, give)
 
 
-def read_unconfirmed(config: Config, rest: str, body: bytes, give: Give) -> None:
+def read_unconfirmed(config: ConfigHandler, rest: str, body: bytes, give: ReplyCallback) -> None:
     held = config._core.replicated_state.table.get("config")
-    give(Reply(200, bytes(held["text"])) if held is not None else UNSURE)
+    give(Reply(200, bytes(held["text"])) if held is not None else UNCONFIRMED)
 
 
 def leaving_is_not_heard(
-    backends: Backends, name: str, body: bytes, give: Give, real: Any = Backends.heartbeat
+    backends: BackendsHandler, name: str, body: bytes, give: ReplyCallback, real: Any = BackendsHandler.heartbeat
 ) -> None:
     if b'"drain"' in body:
-        give(UNSURE)
+        give(UNCONFIRMED)
     else:
         real(backends, name, body, give)
 
@@ -176,25 +178,25 @@
     "an order sent again is refused": Break(
         "CONFIG",
         day(("ack_lost", 1.0, {"for_s": 5, "x": 0.7}), ("config_change", 2.0, {"count": 3, "how": "timeout"})),
-        {"oakvale.controlplane.resources.Config.replace": sent_again_is_refused},
+        {"oakvale.controlplane.resources.ConfigHandler.replace": sent_again_is_refused},
     ),
     "a second content is confirmed": Break(
         "CONFIG",
         day(("config_race", 2.0, {"how": "number"})),
-        {"oakvale.controlplane.resources.Config._judge": another_content_is_confirmed},
+        {"oakvale.controlplane.resources.ConfigHandler._judge": another_content_is_confirmed},
     ),
     "what is cut off is read": Break(
         "CONFIG",
         day(("core_cut", 2.0, {"for_s": 5, "how": "leader meet"}), ("config_change", 4.0, {"how": "timeout"})),
         {
-            "oakvale.controlplane.resources.Config.read": read_unconfirmed,
+            "oakvale.controlplane.resources.ConfigHandler.read": read_unconfirmed,
             "oakvale.controlplane.core.Core.serving": lambda core: core.active,
         },
     ),
     "leaving is not heard": Break(
         "ACKS",
         day(("scale_in", 1.0, {"share": 0.5, "on": "one"}), seconds=9),
-        {"oakvale.controlplane.resources.Backends.heartbeat": leaving_is_not_heard},
+        {"oakvale.controlplane.resources.BackendsHandler.heartbeat": leaving_is_not_heard},
     ),
     "a kind is starved": Break(
         "STARVED", day(), {"oakvale.dataplane.request_router.RequestRouter.open": unsafe_ones_are_turned_away}
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -5,8 +5,8 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from oakvale.controlplane.core import SILENCE
-from oakvale.controlplane.leases import MARGIN, Leases, Waiting
+from oakvale.controlplane.core import PEER_TIMEOUT_US
+from oakvale.controlplane.leases import CLOCK_MARGIN_US, Leases, PendingCallbacks
 from oakvale.controlplane.replication import Replaced
 from oakvale.controlplane.view_change import FOUNDER, Seat, View, founding
 from oakvale.controlplane.voter import VoterService
@@ -18,11 +18,11 @@
 ONE = founding([A[0], B[0], C[0]], 2)
 TWO = View(2, B, (C,), ONE.witnesses)
 T = 10**9
-SECOND, LASTS = 1_000_000, SILENCE - MARGIN
+SECOND, LASTS = 1_000_000, PEER_TIMEOUT_US - CLOCK_MARGIN_US
 
 
 def leases(own: Seat, view: View = ONE, served: int = 0, now: int = T) -> Leases:
-    return Leases(own, SILENCE, now, view, served)
+    return Leases(own, PEER_TIMEOUT_US, now, view, served)
 
 
 def test_a_lease_counts_from_when_the_question_was_sent() -> None:
@@ -32,9 +32,9 @@
     held.answered(B, 1, T)
     assert held.holds(ONE, T + LASTS - 1) and not held.holds(ONE, T + LASTS)
     held.answered(B, 1, T - SECOND)
-    assert held.until(ONE) == T + LASTS
+    assert held.expires_at(ONE) == T + LASTS
     held.answered(B, 1, T + 5)
-    assert held.until(ONE) == T + LASTS + 5
+    assert held.expires_at(ONE) == T + LASTS + 5
 
 
 def test_a_lease_is_of_one_view_and_of_all_its_backups() -> None:
@@ -42,17 +42,17 @@
     held.answered(B, 1, T)
     assert not held.holds(both, T) and not held.holds(View(2, A, (B,), ONE.witnesses), T)
     held.answered(C, 1, T - 10)
-    assert held.until(both) == T - 10 + LASTS
+    assert held.expires_at(both) == T - 10 + LASTS
     held.answered(B, 2, T)
     assert not held.holds(both, T)
-    assert leases(A).until(View(1, A, (), (A,))) > T + 10**12  # nobody else could
+    assert leases(A).expires_at(View(1, A, (), (A,))) > T + 10**12  # nobody else could
 
 
 def test_who_granted_a_lease_waits_until_it_has_run_out() -> None:
     held = leases(B)
     assert held.grant(ONE, A, T) == 1 and held.grant(ONE, C, T) == 0 and held.grant(TWO, A, T) == 0
-    held.answered(C, 2, T + SILENCE - 1)
-    assert not held.holds(TWO, T + SILENCE - 1) and held.holds(TWO, T + SILENCE)
+    held.answered(C, 2, T + PEER_TIMEOUT_US - 1)
+    assert not held.holds(TWO, T + PEER_TIMEOUT_US - 1) and held.holds(TWO, T + PEER_TIMEOUT_US)
 
 
 def test_what_was_granted_before_a_start_is_not_known() -> None:
@@ -66,36 +66,40 @@
         (C, TWO, 2, False),
     ):
         held = leases(own, view, served)
-        assert held.free(T) is free and held.free(T + SILENCE), (view, served)
+        assert held.grants_expired(T) is free and held.grants_expired(T + PEER_TIMEOUT_US), (view, served)
 
 
 def test_who_has_ended_holds_nothing_any_more() -> None:
     held = leases(B)
     held.grant(ONE, A, T)
-    held.speaks(A, 1)
-    held.ended(C)
-    assert not held.free(T)
-    held.speaks((A[0], "0011"), 0)
-    assert held.free(T)
+    held.peer_reported_view(A, 1)
+    held.peer_ended(C)
+    assert not held.grants_expired(T)
+    held.peer_reported_view((A[0], "0011"), 0)
+    assert held.grants_expired(T)
     held.grant(ONE, A, T)
-    held.speaks(A, 2)  # it knows that it was replaced
-    assert held.free(T)
+    held.peer_reported_view(A, 2)  # it knows that it was replaced
+    assert held.grants_expired(T)
     held.grant(ONE, A, T)
-    held.ended(A)
-    assert held.free(T)
+    held.peer_ended(A)
+    assert held.grants_expired(T)
     own = leases(A)
     own.answered(B, 1, T)
-    own.give_up()
+    own.relinquish()
     assert not own.holds(ONE, T)
 
 
 def test_an_author_hears_once_and_soon() -> None:
-    waiting, told = Waiting(SECOND), list[tuple[str, bool]]()
+    waiting, told = PendingCallbacks(SECOND), list[tuple[str, bool]]()
     first = waiting.add(lambda done: told.append(("first", done)), T)
     second = waiting.add(lambda done: told.append(("second", done)), T + 5)
     first(True), first(True)
-    assert told == [("first", True)] and waiting.due() == T + 5 + SECOND and not waiting.over(T + SECOND, False)
-    for then in waiting.over(T + 6, True):
+    assert (
+        told == [("first", True)]
+        and waiting.next_deadline() == T + 5 + SECOND
+        and not waiting.take_expired(T + SECOND, False)
+    )
+    for then in waiting.take_expired(T + 6, True):
         then(False)
     second(True)
     assert told == [("first", True), ("second", False)] and not waiting
@@ -109,7 +113,7 @@
     world = settled()
     machine, core, backup = roles(world)
     told: list[bool] = []
-    core.on_change.append(told.append)
+    core.on_serving_change.append(told.append)
     other = next(m for m in world.machines if m.core is backup)
     for span, began in ((600 * MS, []), (20 * SECOND, [True])):
         world.pause(machine, span)
@@ -135,14 +139,14 @@
     world.run(2 * SECOND)
     core = roles(world)[1]
     assert core.replicator.life > before
-    backup._gone(cast(Any, None), [*core.own, before], print)
-    assert backup.view_manager.alive(core.own, world.now) and not backup._leases.free(world.now)
+    backup._on_gone(cast(Any, None), [*core.self_id, before], print)
+    assert backup.view_manager.alive(core.self_id, world.now) and not backup._leases.grants_expired(world.now)
     answers: list[int] = []
-    body = [list(core.own), "z0", core.view().pack(), [], before]  # type: ignore[union-attr]
-    backup._heard(cast(Any, None), body, answers.append)
+    body = [list(core.self_id), "z0", core.view().pack(), [], before]  # type: ignore[union-attr]
+    backup._on_heartbeat(cast(Any, None), body, answers.append)
     assert answers == []
-    backup._gone(cast(Any, None), [*core.own, core.replicator.life], print)
-    assert not backup.view_manager.alive(core.own, world.now) and backup._leases.free(world.now)
+    backup._on_gone(cast(Any, None), [*core.self_id, core.replicator.life], print)
+    assert not backup.view_manager.alive(core.self_id, world.now) and backup._leases.grants_expired(world.now)
 
 
 def test_a_vote_binds_from_when_it_is_given() -> None:
@@ -166,7 +170,7 @@
     backup = roles(world)[2]
     backup._leases._granted.clear()
     backup._do([Replaced()])
-    assert not backup._leases.free(world.now)
+    assert not backup._leases.grants_expired(world.now)
 
 
 def test_who_served_in_its_view_does_not_wait_after_a_start() -> None:
@@ -184,5 +188,5 @@
     """Its backup takes over at once, without the silence; the process may have a moment left."""
     core = roles(settled())[1]
     assert core.serving()
-    core._look_whether_missed((0, lambda: None))
+    core._check_departure((0, lambda: None))
     assert not core.serving()
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -29,7 +29,7 @@
         "backup": view.backups,
         "witness": tuple(w for w in view.witnesses if w not in view.copies),
     }[role]
-    return next(m for m in world.machines if m.core is not None and m.core.own == seats[-1])
+    return next(m for m in world.machines if m.core is not None and m.core.self_id == seats[-1])
 
 
 def lose(world: World, machine: Machine, kind: str, x: int = SECOND, span: int = 2 * SECOND) -> int:
@@ -133,7 +133,7 @@
     assert len(there) == 3
     for machine in world.machines:
         part = core(machine)
-        known = {parsed[0] + f":{parsed[1]}" for parsed in part._others()} | {part.own[0]}
+        known = {parsed[0] + f":{parsed[1]}" for parsed in part._others()} | {part.self_id[0]}
         view_manager = part.view_manager
         assert known == there and {peer[0] for peer in view_manager._heard} <= there
         assert not view_manager._spares and not view_manager._leaving and len(part.peers._heard) <= 3
@@ -164,7 +164,7 @@
     world = settled()
     busy(world, SECOND)
     machine, view, began = of(world, role), core(of(world, "primary")).view(), world.now
-    own = core(machine).own
+    own = core(machine).self_id
     machine.stop()
     while machine.life is not None:
         world.run(10 * MS)
@@ -195,7 +195,7 @@
     others = [m for m in world.machines if m is not machine]
     assert world.now - began < (SECOND if slow == 1 else 3_500 * MS)
     view = core(others[0]).view()
-    assert view is not None and sorted(view.witnesses) == sorted(core(m).own for m in others)
+    assert view is not None and sorted(view.witnesses) == sorted(core(m).self_id for m in others)
     world.run(SECOND)
     world.remove(of(world, "backup"))
     world.run(2 * SECOND)
@@ -240,7 +240,7 @@
     assert core(of(world, "primary")).view() == view
     machine.kill()
     world.run(8 * SECOND)
-    assert core(world.machines[3]).own in core(of(world, "primary")).view().witnesses  # type: ignore[union-attr]
+    assert core(world.machines[3]).self_id in core(of(world, "primary")).view().witnesses  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("machines", [1, 2, 3, 5])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from oakvale.controlplane.membership import Gates
+from oakvale.controlplane.membership import GatewayRegistry
 
 
 class Primary:
@@ -15,12 +15,17 @@
         self.now, self.serves, self.ended = 0, True, list[str]()
         self.held: dict[str, Any] = {}
         self.changes = 0
-        self.on_change: list[Any] = []
+        self.on_serving_change: list[Any] = []
         self.handlers: dict[str, Any] = {}
         self.asked: list[Callable[[Any], None]] = []
         self.replicated_state = self
         whole = cast(Any, self)
-        Gates(whole, cast(Any, type("Votes", (), {"ended": lambda _, life: self.ended.append(life)})()), whole, whole)
+        GatewayRegistry(
+            whole,
+            cast(Any, type("Votes", (), {"incarnation_ended": lambda _, life: self.ended.append(life)})()),
+            whole,
+            whole,
+        )
 
     def serving(self) -> bool:
         return self.serves
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -16,7 +16,7 @@
 from oakvale.config import model
 from oakvale.controlplane import chunks, resources
 from oakvale.controlplane.replicated_state import ReplicatedState
-from oakvale.controlplane.resources import TAKEN, Config, Reply
+from oakvale.controlplane.resources import CONFIG_DIGESTS, ConfigHandler, Reply
 from oakvale.dissemination.table import NOTHING
 from oakvale.lab import undone
 from tests.control_plane_simulation import Machine, World
@@ -38,7 +38,7 @@
 
 class Operators:
     def __init__(self, seed: int) -> None:
-        self.configs: dict[Machine, Config] = {}
+        self.configs: dict[Machine, ConfigHandler] = {}
         self.confirmed: dict[int, int] = {}
         self.refused: set[tuple[int, int]] = set()
         self.answers: list[int] = []
@@ -48,7 +48,7 @@
 
     def _equip(self, machine: Machine, loop: Loop) -> None:
         assert machine.core is not None
-        self.configs[machine] = Config(machine.core)
+        self.configs[machine] = ConfigHandler(machine.core)
 
     def send(self, machine: Machine | None, gen: int, content: int, spelling: int = 0) -> None:
         """To a machine that takes orders; others send the caller on."""
@@ -159,15 +159,15 @@
 def test_what_is_remembered_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """In the table and on the disks, without graves, and gateways hold none of it. A number that is known no longer is
     neither confirmed nor refused."""
-    monkeypatch.setattr(resources, "MOST", 20)
+    monkeypatch.setattr(resources, "MAX_REMEMBERED_CONFIGS", 20)
     operators = Operators(1)
     assert [operators.now(gen, gen % 3) for gen in range(2, 402, 2)] == [200] * 200
     machine = operators.world.serving()
     assert machine is not None and machine.core is not None
     table, gateway = machine.core.replicated_state.table, operators.world.gateway
     for held in (machine.disk.rows, {key for key, _, _ in table.since(NOTHING)}):
-        assert len([key for key in held if key.startswith(TAKEN)]) == 21
-    assert not gateway.items(TAKEN) and gateway.get("config") == table.get("config")
+        assert len([key for key in held if key.startswith(CONFIG_DIGESTS)]) == 21
+    assert not gateway.items(CONFIG_DIGESTS) and gateway.get("config") == table.get("config")
     assert (operators.now(361, 0), operators.now(361, 0)) == (200, 503)  # the lowest of 21, forgotten at once
     assert (operators.now(363, 0), gateway.high) == (200, table.high)
     assert gateway.digests() == table.digests() and not gateway.differing(table.digests())
@@ -221,22 +221,26 @@
 
 
 def refused_at_once(
-    self: Config, checked: resources.Checked, body: bytes, give: resources.Give, real: Any = Config._judge
+    self: ConfigHandler,
+    checked: resources.CheckedConfig,
+    body: bytes,
+    give: resources.ReplyCallback,
+    real: Any = ConfigHandler._judge,
 ) -> None:
     known, _ = self._taken()
     if known.get(checked.gen, ("", checked.digest))[1] != checked.digest:
-        return give(resources.problem(409, "another waits, or is in force"))
+        return give(resources.error_reply(409, "another waits, or is in force"))
     real(self, checked, body, give)
 
 
 BREAKAGES: dict[str, tuple[tuple[Any, str, Any], ...]] = {
-    "any-below": ((Config, "_judge", undone.any_below),),
+    "any-below": ((ConfigHandler, "_judge", undone.any_below),),
     "digest-forgotten": (
-        (Config, "_taken", undone.taken_in_memory),
+        (ConfigHandler, "_taken", undone.taken_in_memory),
         (resources, "_remember", undone.remember_in_memory),
     ),
     "what-waits-unseen": ((ReplicatedState, "latest_items", in_force_alone),),
-    "refused-at-once": ((Config, "_judge", refused_at_once),),
+    "refused-at-once": ((ConfigHandler, "_judge", refused_at_once),),
 }
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -426,5 +426,5 @@
     """Without a heartbeat of the cores nobody serves the control state, so there is no configuration to serve by."""
     from oakvale.controlplane import core
 
-    variant = Variant("mute", {"oakvale.controlplane.core.SILENCE": 0})
-    assert judge(play(day(), 1, variant)).worth.served == 0 and core.SILENCE > 0
+    variant = Variant("mute", {"oakvale.controlplane.core.PEER_TIMEOUT_US": 0})
+    assert judge(play(day(), 1, variant)).worth.served == 0 and core.PEER_TIMEOUT_US > 0
--- a/tests/test_view_change.py
+++ b/tests/test_view_change.py
@@ -7,7 +7,7 @@
 import cbor2
 import pytest
 
-from oakvale.controlplane.core import SILENCE, Core
+from oakvale.controlplane.core import PEER_TIMEOUT_US, Core
 from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.controlplane.view_change import (
     FOUNDER,
@@ -103,7 +103,7 @@
     assert machine is not None and machine.core is not None
     view = machine.core.view()
     assert view is not None
-    [backup] = [m for m in world.machines if m.core is not None and m.core.own == view.backups[0]]
+    [backup] = [m for m in world.machines if m.core is not None and m.core.self_id == view.backups[0]]
     assert backup.core is not None
     return machine, machine.core, backup.core
 
@@ -191,7 +191,7 @@
     world.down(machine, 100 * MS)
     world.run(2 * SECOND)
     again = roles(world)[1]
-    assert again.own == core.own and again is not core and again._next_pulse() > before
+    assert again.self_id == core.self_id and again is not core and again._next_pulse() > before
 
 
 def test_founders_keep_what_they_founded() -> None:
@@ -212,9 +212,9 @@
     machine.disk_hangs = world.now + 5 * SECOND
     told: list[bool] = []
     core.change({"a": 1}, told.append)
-    view = View(2, backup.own, (core.own,), ABC.witnesses)
+    view = View(2, backup.self_id, (core.self_id,), ABC.witnesses)
     assert machine.life is not None
-    body = [view.pack(), list(backup.own), [1, 1], [0, [], []], []]
+    body = [view.pack(), list(backup.self_id), [1, 1], [0, [], []], []]
     core.transport.handlers["sync"](cast(Any, Link(machine.life, None)), body, print)
     assert told == [False]
     core.change({"a": 2}, told.append)
@@ -356,6 +356,6 @@
     world = settled()
     machine, core, _ = roles(world)
     core.leave(lambda: None)
-    world.run(SILENCE * 3 // 4)
+    world.run(PEER_TIMEOUT_US * 3 // 4)
     serving = world.serving()
     assert serving is not None and serving is not machine
--- a/tests/test_voter.py
+++ b/tests/test_voter.py
@@ -46,7 +46,7 @@
 
 
 def test_without_its_silence_two_hold_a_duty(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(VoterService, "_may_speak", lambda self: True)
+    monkeypatch.setattr(VoterService, "_may_vote", lambda self: True)
     fleet = holder_with_a_bare_majority()
     with pytest.raises(AssertionError, match="counted twice"):
         fleet.run(5 * SECOND)
