--- a/oakvale/controlplane/compaction.py
+++ b/oakvale/controlplane/compaction.py
@@ -1,5 +1,5 @@
-"""What the primary forgets, so that the control state does not grow without end: that a backend has left, once no
-beat of it can be on its way any more, and the graves of what was taken away, but for the latest.
+"""Compaction of the control state on the primary: removes old markers of backends that left, once no delayed heartbeat
+of them can arrive any more, and moves the compaction horizon, below which tombstones are dropped.
 """
 
 from __future__ import annotations
@@ -12,40 +12,46 @@
 from oakvale.dissemination.table import FLOOR, NOTHING, Version
 from oakvale.lifecycle.eventlog import EventLogger
 
-ROUND = 10_000_000  # microseconds between two looks
-LEFT = 90_000_000  # for so long late beats of a backend that left are recognised, and graves stay whatever their number
-MOST = 200  # markers that go in one change
+COMPACTION_INTERVAL_US = 10_000_000
+RETENTION_US = 90_000_000  # how long delayed heartbeats of a backend that left are recognised and tombstones are kept
+MAX_MARKERS_PER_CHANGE = 200
 
 log_event = EventLogger(__name__)
 
 
 class Compactor:
-    def __init__(self, core: Core, loop: Loop, round_: int = ROUND, left: int = LEFT) -> None:
-        self._core, self._loop, self._round, self._kept = core, loop, round_, left
-        self._since: dict[str, int] = {}  # backend that left -> since when this primary has known it
-        self._highs: deque[tuple[int, Version]] = deque()  # when the table was how far
-        loop.at(loop.now + round_, self._look)
+    """Periodically proposes a compacting change while this replica serves."""
 
-    def _look(self, _: Any) -> None:
+    def __init__(
+        self, core: Core, loop: Loop, interval_us: int = COMPACTION_INTERVAL_US, retention_us: int = RETENTION_US
+    ) -> None:
+        self._core, self._loop, self._interval_us, self._retention_us = core, loop, interval_us, retention_us
+        self._left_since: dict[str, int] = {}  # backend that left -> when this primary first saw its marker
+        self._version_history: deque[tuple[int, Version]] = deque()  # time -> highest version in the table then
+        loop.at(loop.now + interval_us, self._compact)
+
+    def _compact(self, _: Any) -> None:
         now = self._loop.now
-        self._loop.at(now + self._round, self._look)
+        self._loop.at(now + self._interval_us, self._compact)
         if not self._core.serving():
-            self._since.clear()
-            self._highs.clear()
+            self._left_since.clear()
+            self._version_history.clear()
             return
         table = self._core.replicated_state.table
-        self._since = {name: self._since.get(name, now) for name, _ in table.items("left/")}
-        old = [name for name, at in self._since.items() if now - at >= self._kept][:MOST]
-        changes: dict[str, Any] = {f"left/{name}": None for name in old}
-        self._highs.append((now, table.high))
-        last = NOTHING  # as far as it was, long enough ago
-        while self._highs and now - self._highs[0][0] >= self._kept:
-            last = self._highs.popleft()[1]
-        if last != NOTHING:
-            self._highs.appendleft((now - self._kept, last))
-        floor = min(table.next_floor(), last)
-        if floor > table.floor:
-            changes[FLOOR] = list(floor)
+        self._left_since = {name: self._left_since.get(name, now) for name, _ in table.items("left/")}
+        expired = [name for name, at in self._left_since.items() if now - at >= self._retention_us][
+            :MAX_MARKERS_PER_CHANGE
+        ]
+        changes: dict[str, Any] = {f"left/{name}": None for name in expired}
+        self._version_history.append((now, table.high))
+        retained_from = NOTHING  # the highest version of one retention period ago
+        while self._version_history and now - self._version_history[0][0] >= self._retention_us:
+            retained_from = self._version_history.popleft()[1]
+        if retained_from != NOTHING:
+            self._version_history.appendleft((now - self._retention_us, retained_from))
+        horizon = min(table.next_floor(), retained_from)
+        if horizon > table.floor:
+            changes[FLOOR] = list(horizon)
         if changes and not self._core.replicated_state.waits():
-            log_event("forgets", left=len(old), up_to="/".join(map(str, floor)))
+            log_event("forgets", left=len(expired), up_to="/".join(map(str, horizon)))
             self._core.change(changes, lambda done: None)
--- a/oakvale/controlplane/control_server.py
+++ b/oakvale/controlplane/control_server.py
@@ -1,4 +1,4 @@
-"""The `ctl` side of a core machine: HTTP connections of backends and the operator, led to the resources."""
+"""The `ctl` HTTP server of a core machine: routes requests of backends and operators to the resource handlers."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 if TYPE_CHECKING:
     from oakvale.controlplane.drains import DrainManager
 
-PREFIX = "/oakvale/"
-READYZ = b"/oakvale/readyz"
+PATH_PREFIX = "/oakvale/"
+READINESS_PATH = b"/oakvale/readyz"
 
 
 class ControlServer(Owner):
-    """The owner of `ctl` connections."""
+    """Owns the `ctl` connections and dispatches each request by method and verb."""
 
     def __init__(self, shared: Shared, core: Core, settings: Settings) -> None:
         super().__init__(shared)
         self.core = core
         self._port = settings.bind["ctl"][1]
         config, self.backends = ConfigHandler(core), BackendsHandler(core, shared.loop, settings)
-        self._calls = {
+        self._handlers = {
             (b"POST", "Config.Replace"): config.replace,
             (b"GET", "Config.Read"): config.read,
             (b"POST", "Backends.Heartbeat"): self.backends.heartbeat,
@@ -34,45 +34,47 @@
         }
 
     def enable_drains(self, drains: DrainManager) -> None:
-        """Drains can be ordered: there are contracts."""
+        """Adds the drain verbs; called once a file of contracts is present."""
         from oakvale.controlplane import resources
 
         self.backends.departure_changes = drains.departure_changes
         handler = resources.DrainsHandler(self.core, drains)
-        self._calls |= {
+        self._handlers |= {
             (b"POST", "Drains.Order"): handler.order,
             (b"POST", "Drains.Plan"): handler.plan,
             (b"POST", "Drains.Cancel"): handler.cancel,
             (b"GET", "Drains.Show"): handler.show,
         }
 
-    def open(self, client: Any, incoming: Incoming, came: int) -> Answer | InHand:
+    def open(self, client: Any, incoming: Incoming, received_at: int) -> Answer | InHand:
         path = incoming.target.partition(b"?")[0]
-        if path == READYZ:
+        if path == READINESS_PATH:
             return plain(200, "ok") if self.core.view() is not None else plain(503, "not ready")
         text = path.decode("latin-1")
-        verb, _, rest = text.removeprefix(PREFIX).partition("/")
-        call = self._calls.get((incoming.method, verb)) if text.startswith(PREFIX) else None
-        if call is None:
-            known = any(verb == name for _, name in self._calls)
+        verb, _, rest = text.removeprefix(PATH_PREFIX).partition("/")
+        handler = self._handlers.get((incoming.method, verb)) if text.startswith(PATH_PREFIX) else None
+        if handler is None:
+            known = any(verb == handled_verb for _, handled_verb in self._handlers)
             return plain(405 if known else 404, "no such call")
         if not self.core.serving():
             primary = self.core.primary()
-            to = primary_url(self.core.view(), self._port)
-            if primary is not None and primary != self.core.self_id and to is not None:
-                return Answer(307, [(b"location", f"http://{to}{incoming.target.decode('latin-1')}".encode())])
+            primary_host = primary_url(self.core.view(), self._port)
+            if primary is not None and primary != self.core.self_id and primary_host is not None:
+                return Answer(
+                    307, [(b"location", f"http://{primary_host}{incoming.target.decode('latin-1')}".encode())]
+                )
             return Answer(503, [(b"retry-after", b"0.3"), JSON], b'{"error":"no primary is known"}')
-        request = InHand("", client, incoming.method, incoming.target, [], incoming.body, 0, (call, rest))
+        request = InHand("", client, incoming.method, incoming.target, [], incoming.body, 0, (handler, rest))
         return request
 
     def begin(self, request: InHand) -> None:
-        call, rest = request.event
+        handler, rest = request.event
 
-        def give(reply: Reply) -> None:
+        def send_reply(reply: Reply) -> None:
             if not request.over:
                 self.final(request, Answer(reply.status, [JSON, *reply.headers], reply.body))
 
-        call(rest, request.body, give)
+        handler(rest, request.body, send_reply)
 
     def client_gone(self, request: InHand) -> None:
         request.over = True
--- a/oakvale/controlplane/core.py
+++ b/oakvale/controlplane/core.py
@@ -1,6 +1,7 @@
-"""A core machine's part in the control state, as its process runs it: disk, peers, clock, and those who want news.
+"""Runs a core machine's share of the replicated control state: connects it to disk, peers, clock and subscribers.
 
-What is decided is `copying` (copies, and what is in force), over `succession` (who is primary) and `ledger`.
+The decisions are made elsewhere without I/O: `replication` copies changes, `view_change` elects the primary and
+`replicated_state` holds what is in force. `Core` executes the actions that they return.
 """
 
 from __future__ import annotations
@@ -24,16 +25,17 @@
 from oakvale.storage.store import Storage
 from oakvale.transport.links import Answer, Connection, Transport
 
-BEAT = 200_000  # microseconds between two heartbeats of core machines
-PEER_TIMEOUT_US = 900_000  # a core machine that was not heard for this counts as down
-SICK = 700_000  # a write that waits longer: this disk is not to be relied on
-AGAIN = 150_000  # before a backup that failed is sent the state once more
-WAIT = 10_000_000  # an author waits so long at most: a large order on a thin link takes as much
-SOON = 10_000  # between two looks at those who wait, at least
-MOST_LIVES = 64
-BRIEF = 1_000_000  # a shorter time without a lease is no new beginning
-LEAST, LOOK = 300_000, 50_000  # after it is told to end: for answers that are under way; between two looks
-LAST = 1_000_000  # before the end of `grace`: then it goes, whatever it holds
+HEARTBEAT_INTERVAL_US = 200_000  # between core machines
+PEER_TIMEOUT_US = 900_000  # a core machine that sent nothing for this long counts as down
+DISK_STALL_US = 700_000  # a write pending for longer marks this machine as unhealthy
+RESYNC_DELAY_US = 150_000  # before a failed backup is sent the state again
+CHANGE_TIMEOUT_US = 10_000_000  # a large change over a slow link takes several seconds
+MIN_PENDING_CHECK_INTERVAL_US = 10_000
+MAX_TRACKED_PEERS = 64
+SHORT_LEASE_GAP_US = 1_000_000  # a shorter gap does not count as a new term of serving
+MIN_SHUTDOWN_US = 300_000  # lets answers that are under way reach their callers
+SHUTDOWN_CHECK_INTERVAL_US = 50_000
+SHUTDOWN_RESERVE_US = 1_000_000  # ends this long before `grace` is over, whatever its role
 
 log_event = EventLogger(__name__)
 
@@ -45,38 +47,40 @@
 
 
 class Core:
+    """One core machine: its replica of the control state, its lease and its connections to peers and subscribers."""
+
     def __init__(self, loop: Loop, transport: Transport, settings: Settings, storage: Storage) -> None:
         self.loop, self.transport, self.settings, self.storage = loop, transport, settings, storage
-        self.on_serving_change: list[Callable[[bool], None]] = []  # hears when this seat begins or ends to serve
-        self._tick_number = 0
+        self.on_serving_change: list[Callable[[bool], None]] = []  # called when this replica starts or stops serving
+        self._pulse_number = 0
         seeds = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]
         copies = 1 + max(1, settings.tolerate, settings.tolerate_zones, settings.tolerate_regions)
         domains = Domains(settings.zones, settings.tolerate_zones > 0, settings.tolerate_regions > 0)
-        founds = settings.bootstrap and storage.first and spelled(transport.own) in seeds
+        bootstraps = settings.bootstrap and storage.first and spelled(transport.own) in seeds
         start = replication.start(
             spelled(transport.own),
             storage.fact("self"),
             storage.fact("state"),
-            founding(seeds, copies) if founds else None,
+            founding(seeds, copies) if bootstraps else None,
             lambda: loop.net.token(4),
         )
-        patience = settings.bounds.sync_time + settings.bounds.contact
+        sync_timeout_us = settings.bounds.sync_time + settings.bounds.contact
         self.replicator = Replicator(
-            start, storage.rows(), copies, PEER_TIMEOUT_US, patience, storage.pieces(), settings.zone, domains
+            start, storage.rows(), copies, PEER_TIMEOUT_US, sync_timeout_us, storage.pieces(), settings.zone, domains
         )
         self.self_id: Seat = start.own
         served = storage.fact("served")
         self._leases = Leases(
             start.own, PEER_TIMEOUT_US, loop.clock(), start.durable.view, int(served) if served else 0
         )
-        self._waiting = PendingCallbacks(WAIT)
-        self._served: int | None = None  # when it was last seen to serve in this view
-        self._looks = False  # a look at those who wait is due
-        self._latest_incarnation: dict[Seat, int] = {}  # the latest start of each peer that was heard
+        self._waiting = PendingCallbacks(CHANGE_TIMEOUT_US)
+        self._last_served: int | None = None  # when it was last found serving in this view
+        self._pending_check_scheduled = False
+        self._latest_incarnation: dict[Seat, int] = {}  # the latest start seen of each peer
         self.publisher = Publisher(self.replicated_state.table)
         self.peers = Peers(seeds)
         for kind in ("prepare", "promise", "accept", "accepted", "decided", "refused", "void", "voided"):
-            transport.handlers[kind] = self._council(kind)
+            transport.handlers[kind] = self._view_change_handler(kind)
         transport.handlers["core"] = self._on_heartbeat
         transport.handlers["leaving"] = self._on_leaving
         transport.handlers["released"] = lambda conn, body, answer: self.replicator.released(int(body[1][0]))
@@ -89,10 +93,10 @@
         transport.handlers["leave"] = lambda conn, body, answer: self.publisher.leave(conn)
         transport.handlers["digests"] = self._digests
         self._do(self.replicator.flush())
-        loop.at(loop.now, self._beat)
-        loop.at(loop.now + PULSE, self._pulse)
+        loop.at(loop.now, self._send_heartbeats)
+        loop.at(loop.now + PULSE, self._publish_pulse)
 
-    # ---- what the rest of the process asks
+    # ---- interface to the rest of the process
 
     @property
     def replicated_state(self) -> ReplicatedState:
@@ -110,19 +114,19 @@
         return self.replicator.view()
 
     def is_witness(self) -> bool:
-        """Whether the view that is known here names this seat as a witness."""
+        """Whether the latest view known here names this replica as a voter."""
         view = self.view()
         return view is not None and self.self_id in view.witnesses
 
     def primary(self) -> Seat | None:
-        """Who serves, as far as known here and lately heard of."""
+        """The primary of the latest known view, if it was heard from recently."""
         view = self.view()
         if view is None or not self.view_manager.alive(view.primary, self.loop.now):
             return None
         return view.primary
 
     def serving(self) -> bool:
-        """Primary, and at this very moment it holds the lease of all backups: what it says counts."""
+        """Whether this replica is the primary and holds leases from all backups now, so that its reads are current."""
         view = self.view()
         return (
             self.active
@@ -131,51 +135,53 @@
             and self._leases.holds(view, self.loop.clock())
         )
 
-    def confirm(self, then: Then, after_pending: bool = False) -> None:
-        """Calls `then` with True once all backups of the view have confirmed that they are still in it; with
+    def confirm(self, on_done: Then, after_pending: bool = False) -> None:
+        """Calls `on_done` with True once all backups of the view have confirmed that they are still in it; with
         `after_pending` also only after all earlier changes are in force."""
-        self.change({}, then, after_pending)
+        self.change({}, on_done, after_pending)
 
     def update_seeds(self, seeds: tuple[Address, ...]) -> None:
-        """Other core machines, from a settings file that changed."""
+        """Takes over the core machines named by a changed settings file."""
         self.peers.seeds = {f"{ip}:{self.settings.ports[0]}" for ip, _ in seeds}
 
-    def leave(self, then: Callable[[], None]) -> None:
-        """This machine is told to end: it says so, serves on while it is missed, and calls `then` as soon as it is not,
-        or when `grace` is nearly over."""
+    def leave(self, on_done: Callable[[], None]) -> None:
+        """Begins an orderly shutdown: announces it, keeps serving until the others can spare this machine, then calls
+        `on_done`; at the latest shortly before `grace` is over."""
         if self.view_manager.leaves:
             return
         self.replicator.leave()
-        self._say()
-        earliest = self.loop.now + LEAST
-        latest = max(earliest, self.loop.now + self.settings.bounds.grace - LAST)
-        self.loop.at(earliest, self._check_departure, (latest, then))
-
-    def _check_departure(self, leaving: tuple[int, Callable[[], None]]) -> None:
-        now, may = self.loop.now, self.replicator.may_go(self.loop.now)
-        if not may and now < leaving[0]:
-            self.loop.at(now + LOOK, self._check_departure, leaving)
+        self._broadcast_heartbeat()
+        earliest = self.loop.now + MIN_SHUTDOWN_US
+        latest = max(earliest, self.loop.now + self.settings.bounds.grace - SHUTDOWN_RESERVE_US)
+        self.loop.at(earliest, self._check_departure, (latest, on_done))
+
+    def _check_departure(self, deadline_and_callback: tuple[int, Callable[[], None]]) -> None:
+        now, dispensable = self.loop.now, self.replicator.may_go(self.loop.now)
+        if not dispensable and now < deadline_and_callback[0]:
+            self.loop.at(now + SHUTDOWN_CHECK_INTERVAL_US, self._check_departure, deadline_and_callback)
             return
         number = view.number if (view := self.view()) else 0
-        log_event("goes" if may else "goes while it is missed", "info" if may else "warning", view=number)
+        log_event(
+            "goes" if dispensable else "goes while still needed", "info" if dispensable else "warning", view=number
+        )
         self._leases.relinquish()
-        for address in self._others():
+        for address in self._peer_addresses():
             self.transport.tell(address, "gone", [*self.self_id, self.replicator.life])
-        leaving[1]()
+        deadline_and_callback[1]()
 
     def change(self, changes: dict[str, Any], then: Then, after_pending: bool = False) -> None:
-        """Makes a change; `then` hears True once it is in force and the news of it are on their way, or False as soon
-        as the lease is lost, or after `WAIT`: it may still come into force, but nobody hears a yes of it."""
-        told = self._waiting.add(then, self.loop.clock())
-        self._do(self.replicator.change(changes or {"confirmed": None}, told, after_pending))
-        self._look_later()
+        """Proposes a change. Calls `then` with True once it is in force and published to subscribers. Calls it with
+        False when the lease is lost or after `CHANGE_TIMEOUT_US`; the change may still come into force later."""
+        on_done = self._waiting.add(then, self.loop.clock())
+        self._do(self.replicator.change(changes or {"confirmed": None}, on_done, after_pending))
+        self._schedule_pending_check()
 
-    def when_settled(self, then: Then) -> None:
-        """Calls with True once everything that waits now is in force, else as `change`."""
-        self.replicated_state.when_settled(self._waiting.add(then, self.loop.clock()))
-        self._look_later()
+    def when_settled(self, on_done: Then) -> None:
+        """Calls `on_done` with True once everything pending now is in force; with False as `change` does."""
+        self.replicated_state.when_settled(self._waiting.add(on_done, self.loop.clock()))
+        self._schedule_pending_check()
 
-    # ---- what is decided, done
+    # ---- executing the decisions
 
     def _do(self, items: list[replication.Do]) -> None:
         for item in items:
@@ -203,7 +209,7 @@
                     answer(said)
                 case replication.Again(backup, view):
                     self.loop.at(
-                        self.loop.now + AGAIN,
+                        self.loop.now + RESYNC_DELAY_US,
                         lambda _, backup=backup, view=view: self._do(  # type: ignore[misc]
                             self.replicator.again(backup, view)
                         ),
@@ -213,29 +219,29 @@
                 case replication.News(entries):
                     self.publisher.publish(self._next_pulse(), entries)
                 case replication.Entered(view):
-                    self._served = None
-                    self._say()  # a primary asks for its lease, one that was replaced tells the other so
+                    self._last_served = None
+                    self._broadcast_heartbeat()  # asks for the lease, or shows the new view to a replaced primary
                     log_event(
                         "view",
                         view=view.number,
                         primary=view.primary[0],
-                        backups=_names(view.backups),
-                        witnesses=_names(view.witnesses),
+                        backups=_addresses_of(view.backups),
+                        witnesses=_addresses_of(view.witnesses),
                         own=self.self_id[0],
                     )
                 case replication.Turned(serves):
-                    self._turned(serves)
+                    self._serving_changed(serves)
                 case replication.Resigned():
                     self.publisher.drop()
                 case replication.Replaced():
                     self.publisher = Publisher(self.replicated_state.table)
                     current = self.view()
-                    if current is not None:  # its primary may have granted a lease just before
+                    if current is not None:  # the primary that sent this state may have granted a lease just before
                         self._leases.grant(current, current.primary, self.loop.clock())
 
-    def _turned(self, serves: bool) -> None:
+    def _serving_changed(self, serves: bool) -> None:
         if serves:
-            return self._watch()
+            return self._check_lease()
         for call in self.on_serving_change:
             call(False)
 
@@ -247,63 +253,63 @@
         def answered(answer: Any) -> None:
             if answer:
                 self._leases.answered(backup, int(answer), sent)
-                self._watch()
+                self._check_lease()
 
         self.transport.ask(address_of(backup), kind, body, PEER_TIMEOUT_US, answered)
 
-    def _watch(self) -> None:
-        """Looks whether this seat serves now: who waits is not kept waiting without a lease."""
+    def _check_lease(self) -> None:
+        """Checks whether this replica serves now; without a lease all pending callers are answered at once."""
         now, view = self.loop.clock(), self.view()
         serves = self.serving()
-        for then in self._waiting.take_expired(now, not serves):
-            then(False)
+        for on_done in self._waiting.take_expired(now, not serves):
+            on_done(False)
         if not serves or view is None:
             return
-        begins, self._served = self._served is None or now - self._served >= BRIEF, now
-        if begins:
+        starts_term, self._last_served = self._last_served is None or now - self._last_served >= SHORT_LEASE_GAP_US, now
+        if starts_term:
             self.storage.write(("fact", ("served", str(view.number).encode())), lambda: None)
-            log_event("serving the control state", view=view.number, backups=_names(view.backups))
+            log_event("serving the control state", view=view.number, backups=_addresses_of(view.backups))
             for call in self.on_serving_change:
                 call(True)
 
-    def _look_later(self) -> None:
-        """When the lease runs out as it stands, or the first has waited long enough."""
+    def _schedule_pending_check(self) -> None:
+        """Schedules a check for when the lease expires or the first pending caller times out."""
         view = self.view()
-        if not self._looks and self._waiting and view is not None:
-            self._looks = True
+        if not self._pending_check_scheduled and self._waiting and view is not None:
+            self._pending_check_scheduled = True
             due = min(self._leases.expires_at(view), self._waiting.next_deadline())
-            self.loop.at(max(self.loop.now + SOON, due), self._look_at_waiting)
+            self.loop.at(max(self.loop.now + MIN_PENDING_CHECK_INTERVAL_US, due), self._check_pending)
 
-    def _look_at_waiting(self, _: Any) -> None:
-        self._looks = False
-        self._watch()
-        self._look_later()
+    def _check_pending(self, _: Any) -> None:
+        self._pending_check_scheduled = False
+        self._check_lease()
+        self._schedule_pending_check()
 
     # ---- views
 
-    def _council(self, kind: str) -> Callable[[Connection, Any, Answer], None]:
-        def take(conn: Connection, body: Any, _: Answer) -> None:
-            self._carry(self.view_manager.message(self.loop.now, seat(body[0]), kind, body[1]))
+    def _view_change_handler(self, kind: str) -> Callable[[Connection, Any, Answer], None]:
+        def handle(conn: Connection, body: Any, _: Answer) -> None:
+            self._apply_view_change(self.view_manager.message(self.loop.now, seat(body[0]), kind, body[1]))
 
-        return take
+        return handle
 
-    def _carry(self, out: list[Out]) -> None:
-        self._do(self.replicator.carry(out))
+    def _apply_view_change(self, actions: list[Out]) -> None:
+        self._do(self.replicator.carry(actions))
 
-    # ---- heartbeats, pulses, those who want news
+    # ---- heartbeats, pulses, subscribers
 
-    def _beat(self, _: Any) -> None:
-        self._watch()
+    def _send_heartbeats(self, _: Any) -> None:
+        self._check_lease()
         now = self.loop.now
-        since = self.storage.waiting_since()
-        healthy = since is None or now - since < SICK
-        if healthy:  # one whose disk does not answer keeps nothing, so it does not count
-            self._say()
+        pending_since = self.storage.waiting_since()
+        healthy = pending_since is None or now - pending_since < DISK_STALL_US
+        if healthy:  # with a stalled disk this machine can store nothing, so it lets the others count it as down
+            self._broadcast_heartbeat()
         self._do(self.replicator.tick(now, healthy))
-        self.loop.at(now + BEAT, self._beat)
+        self.loop.at(now + HEARTBEAT_INTERVAL_US, self._send_heartbeats)
 
-    def _say(self) -> None:
-        """A heartbeat; one that leaves says so with each."""
+    def _broadcast_heartbeat(self) -> None:
+        """Sends a heartbeat to all known peers, which also asks backups for a lease and announces a shutdown."""
         view = self.view()
         body = [
             list(self.self_id),
@@ -314,14 +320,14 @@
         ]
         kind = "leaving" if self.view_manager.leaves else "core"
         backups = {address_of(peer): peer for peer in view.backups} if view and view.primary == self.self_id else {}
-        for address in self._others():
+        for address in self._peer_addresses():
             if address in backups:
                 self._ask_for_lease(backups[address], kind, body)
             else:
                 self.transport.tell(address, kind, body)
 
-    def _others(self) -> list[Address]:
-        """Whom it speaks to."""
+    def _peer_addresses(self) -> list[Address]:
+        """The other core machines that get heartbeats."""
         now, view = self.loop.now, self.view()
         members = {peer[0] for peer in view.witnesses} if view else set()
         known = self.peers.called(now, members, self.view_manager.in_touch(now)) - {self.self_id[0]}
@@ -330,14 +336,14 @@
     def _on_heartbeat(self, conn: Connection, body: Any, answer: Answer, leaves: bool = False) -> None:
         peer, zone, now = seat(body[0]), str(body[1]), self.loop.clock()
         if int(body[4]) < self._latest_incarnation.get(peer, 0):
-            return  # of an earlier life, that was long on its way
-        if peer not in self._latest_incarnation and len(self._latest_incarnation) >= MOST_LIVES:
-            self._latest_incarnation.clear()  # of seats that are gone, mostly
+            return  # a delayed message of an earlier incarnation
+        if peer not in self._latest_incarnation and len(self._latest_incarnation) >= MAX_TRACKED_PEERS:
+            self._latest_incarnation.clear()  # mostly replicas that no longer exist
         self._latest_incarnation[peer] = int(body[4])
         self.peers.heard(now, peer[0], map(str, body[3]))
         view = unpack(body[2]) if body[2] is not None else None
         self._leases.peer_reported_view(peer, view.number if view is not None else 0)
-        self._carry(self.view_manager.heard(now, peer, zone, view, leaves))
+        self._apply_view_change(self.view_manager.heard(now, peer, zone, view, leaves))
         answer(self._leases.grant(self.view(), peer, now))
         if leaves:
             self._do(self.replicator.leaving(now, peer))
@@ -347,34 +353,33 @@
 
     def _on_gone(self, conn: Connection, body: Any, _: Answer) -> None:
         peer = seat(body[:2])
-        if int(body[2]) >= self._latest_incarnation.get(
-            peer, 0
-        ):  # else it was long on its way, and has begun anew since
+        if int(body[2]) >= self._latest_incarnation.get(peer, 0):  # otherwise delayed, and the peer has restarted since
             self.peers.gone(peer[0])
             self.view_manager.gone(peer)
             self._leases.peer_ended(peer)
 
     def _next_pulse(self) -> Version:
-        """Above those of earlier lives: a primary that starts again in its view would give stale ones for hours."""
+        """A version above all of earlier incarnations: otherwise a primary that restarts within its view would publish
+        pulses that subscribers ignore as old."""
         view = self.view()
-        self._tick_number += 1
-        return (view.number if view else 0, (self.replicator.life << 32) + self._tick_number)
+        self._pulse_number += 1
+        return (view.number if view else 0, (self.replicator.life << 32) + self._pulse_number)
 
-    def _pulse(self, _: Any) -> None:
-        self._watch()
+    def _publish_pulse(self, _: Any) -> None:
+        self._check_lease()
         if self.serving():
             self.publisher.publish(self._next_pulse(), [])
-        self.loop.at(self.loop.now + PULSE, self._pulse)
+        self.loop.at(self.loop.now + PULSE, self._publish_pulse)
 
     def _digests(self, conn: Connection, body: Any, answer: Answer) -> None:
-        """A copy that does not serve may hold what is not in force, or was replaced."""
+        """Answers only while serving: another replica may hold changes that are not in force or were replaced."""
         if self.serving():
             self.publisher.mend(conn, body, answer)
         else:
             answer(None)
 
     def _subscribe(self, conn: Connection, body: Any, answer: Answer) -> None:
-        """Only the primary gives news; others name it."""
+        """Only the primary accepts subscribers; other replicas name the primary."""
         if self.serving():
             answer({})
             self.publisher.subscribe(conn, (int(body["high"][0]), int(body["high"][1])), self._next_pulse())
@@ -383,5 +388,5 @@
         answer({"primary": primary[0] if primary and primary != self.self_id else None})
 
 
-def _names(seats: tuple[Seat, ...]) -> str:
+def _addresses_of(seats: tuple[Seat, ...]) -> str:
     return ",".join(peer[0] for peer in seats)
--- a/oakvale/controlplane/leases.py
+++ b/oakvale/controlplane/leases.py
@@ -1,12 +1,12 @@
-"""Leases: for how long a primary may serve without hearing more, and from when on the one after it may.
-
-No I/O and no clock: times are microseconds of the steady clock that the caller reads at that moment. A primary asks
-each backup of its view several times a second. An answer that the backup is in this view renews the lease, for the
-silence less `MARGIN` from when the question was *sent*: neither a pause nor a slow or late answer can lengthen it.
-Whoever answers, or takes the primary's state, does not serve in a later view before the whole silence has passed since
-it *heard* that. Only a backup of a view in which somebody served can be the primary after it (or that primary itself,
-which knows), so of two views only one serves at a time, if clocks run alike to a twentieth. Nothing of this decides
-what is kept: an order needs all copies of the view whoever holds a lease.
+"""Leases, which ensure that at most one primary serves at a time.
+
+No I/O and no clock: times are microseconds of the steady clock, read by the caller at the moment of the call. A primary
+asks each backup of its view for a lease several times a second. An answer that the backup is in this view renews the
+lease for the lease period less `CLOCK_MARGIN_US`, counted from when the request was *sent*, so neither a pause nor a
+late answer can extend it. A backup that answered, or that took over the primary's state, does not serve in a later view
+before the full lease period has passed since it *received* that. The next primary is always a backup of the last view
+that served, or its primary itself, so two views never serve at once as long as clock rates differ by less than 5%.
+Durability does not depend on leases: a change needs all copies of the view whoever holds the lease.
 """
 
 from __future__ import annotations
@@ -16,108 +16,111 @@
 from oakvale.controlplane.replicated_state import Then
 from oakvale.controlplane.view_change import Seat, View
 
-CLOCK_MARGIN_US = 50_000  # microseconds, for what clocks differ by and for what is sent just after a look at the lease
-NEVER_US = 1 << 62
+CLOCK_MARGIN_US = 50_000  # covers clock drift and replies sent just after the lease was checked
+NEVER_US = 1 << 62  # later than any time of the clock
 
 
 class Leases:
-    """What one seat holds as primary, and what it has granted as backup; from one start to its end."""
-
-    def __init__(self, own: Seat, silence: int, now: int, view: View | None, served: int) -> None:
-        """`view` is the one on disk, `served` the newest in which this seat is known there to have served. What it
-        granted before its start it no longer knows: it may have been just now, unless it leads the first view, or has
-        served in this one."""
-        self._own, self._silence, self._lasts = own, silence, silence - CLOCK_MARGIN_US
-        self._heard: dict[Seat, tuple[int, int]] = {}  # backup -> the view that it was in, when it was asked that
-        self._given_up = False
-        knows = view is None or view.primary == own and view.number in (1, served)
-        # to whom, and when last; under its own name what it may have granted to whoever was primary before it
-        self._granted = {} if knows or view is None else {view.primary: (view.number, now)}
+    """The leases that one replica holds as primary and has granted as backup, during one incarnation."""
+
+    def __init__(self, self_id: Seat, lease_us: int, now: int, view: View | None, served: int) -> None:
+        """`view` is the view on disk, `served` the number of the newest view in which this replica served, as stored
+        there. Grants made before the start are lost, so one is assumed to have been made just now, unless this replica
+        is the primary of the first view or has served in this view."""
+        self._self_id, self._lease_us, self._held_us = self_id, lease_us, lease_us - CLOCK_MARGIN_US
+        self._renewals: dict[Seat, tuple[int, int]] = {}  # backup -> the view it was in, when that request was sent
+        self._relinquished = False
+        no_grant_lost = view is None or view.primary == self_id and view.number in (1, served)
+        # primary -> view and time of the latest grant; under its own id a possible grant to an earlier primary
+        self._granted = {} if no_grant_lost or view is None else {view.primary: (view.number, now)}
 
     # ---- as primary
 
     def answered(self, backup: Seat, view: int, sent: int) -> None:
-        """A backup says which view it was in, to a question that was sent then."""
-        self._heard[backup] = max(self._heard.get(backup, (0, 0)), (view, sent))
+        """A backup reported the view it is in, in answer to a request sent at `sent`."""
+        self._renewals[backup] = max(self._renewals.get(backup, (0, 0)), (view, sent))
 
     def expires_at(self, view: View) -> int:
-        """When the lease runs out unless it is renewed."""
-        heard = [self._heard.get(backup, (0, 0)) for backup in view.backups]
-        if any(number != view.number for number, _ in heard):
+        """When the lease expires unless it is renewed; 0 while a backup has not granted it."""
+        renewals = [self._renewals.get(backup, (0, 0)) for backup in view.backups]
+        if any(number != view.number for number, _ in renewals):
             return 0
-        return min((sent + self._lasts for _, sent in heard), default=NEVER_US)
+        return min((sent + self._held_us for _, sent in renewals), default=NEVER_US)
 
     def holds(self, view: View, now: int) -> bool:
-        """Whether this seat, primary of the view, may serve at this moment."""
-        return not self._given_up and self.grants_expired(now) and now < self.expires_at(view)
+        """Whether this replica, the primary of the view, may serve at this moment."""
+        return not self._relinquished and self.grants_expired(now) and now < self.expires_at(view)
 
     def grants_expired(self, now: int) -> bool:
-        """Whether all that it granted has run out."""
-        return all(now - granted >= self._silence for _, granted in self._granted.values())
+        """Whether all leases that it granted have expired."""
+        return all(now - granted >= self._lease_us for _, granted in self._granted.values())
 
     def relinquish(self) -> None:
-        """This machine ends."""
-        self._given_up = True
+        """Stops serving for good: this machine shuts down."""
+        self._relinquished = True
 
     # ---- as backup
 
     def grant(self, view: View | None, to: Seat, now: int) -> int:
-        """What to answer a primary that asks: the number of the view that this seat backs it in, or 0."""
-        if view is None or view.primary != to or self._own not in view.backups:
+        """Answers a primary that asks for a lease: the number of the view in which this replica backs it, or 0."""
+        if view is None or view.primary != to or self._self_id not in view.backups:
             return 0
-        self._granted = {peer: (number, at) for peer, (number, at) in self._granted.items() if now - at < self._silence}
+        self._granted = {
+            peer: (number, at) for peer, (number, at) in self._granted.items() if now - at < self._lease_us
+        }
         self._granted[to] = view.number, now
         return view.number
 
     def peer_ended(self, peer: Seat) -> None:
-        """This seat has ended, or given its lease up."""
-        if peer != self._own:
+        """The process of that replica has ended or has relinquished its lease."""
+        if peer != self._self_id:
             self._granted.pop(peer, None)
 
     def peer_reported_view(self, peer: Seat, view: int) -> None:
-        """It knows this view, so it serves in none before; a former seat of its address has ended."""
+        """The peer knows this view, so it serves in no earlier one; earlier replicas at its address have ended."""
         for other, (number, _) in [*self._granted.items()]:
             if other == peer and view > number or other != peer and other[0] == peer[0]:
                 self.peer_ended(other)
 
 
 class PendingCallbacks:
-    """Authors of changes who have not heard yet. Each hears once: it is in force, or it is not known to be."""
+    """Callbacks of changes without a result yet. Each is called once: with True when the change is in force, with False
+    when that is not known."""
 
-    def __init__(self, longest: int) -> None:
-        self._longest = longest  # microseconds that one waits at most
-        self._since: deque[tuple[int, _Once]] = deque()
+    def __init__(self, timeout_us: int) -> None:
+        self._timeout_us = timeout_us
+        self._entries: deque[tuple[int, _CalledOnce]] = deque()  # when each was added
 
     def __bool__(self) -> bool:
-        while self._since and self._since[0][1].told:
-            self._since.popleft()
-        return bool(self._since)
+        while self._entries and self._entries[0][1].called:
+            self._entries.popleft()
+        return bool(self._entries)
 
     def add(self, then: Then, now: int) -> Then:
-        """What is to be called instead."""
-        once = _Once(then)
-        self._since.append((now, once))
+        """Returns the callback to use instead: it passes on only the first result."""
+        once = _CalledOnce(then)
+        self._entries.append((now, once))
         return once
 
     def next_deadline(self) -> int:
-        """When the first has waited long enough."""
-        return self._since[0][0] + self._longest if self else NEVER_US
+        """When the oldest times out."""
+        return self._entries[0][0] + self._timeout_us if self else NEVER_US
 
-    def take_expired(self, now: int, all_: bool) -> list[Then]:
-        """Those that are to hear now that it is not known; what they wait for may still come into force."""
-        found: list[Then] = []
-        while self and (all_ or self.next_deadline() <= now):
-            found.append(self._since.popleft()[1])
-        return found
+    def take_expired(self, now: int, take_all: bool) -> list[Then]:
+        """Removes and returns the callbacks that timed out, or all; their changes may still come into force."""
+        expired: list[Then] = []
+        while self and (take_all or self.next_deadline() <= now):
+            expired.append(self._entries.popleft()[1])
+        return expired
 
 
-class _Once:
-    __slots__ = ("then", "told")
+class _CalledOnce:
+    __slots__ = ("then", "called")
 
     def __init__(self, then: Then) -> None:
-        self.then, self.told = then, False
+        self.then, self.called = then, False
 
     def __call__(self, done: bool) -> None:
-        if not self.told:
-            self.told = True
+        if not self.called:
+            self.called = True
             self.then(done)
--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -18,7 +18,7 @@
 from oakvale.base.loop import Loop
 from oakvale.config.durations import micros
 from oakvale.config.settings import Settings
-from oakvale.controlplane.compaction import LEFT
+from oakvale.controlplane.compaction import RETENTION_US
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.view_change import View
 from oakvale.dissemination.table import PRIVATE
@@ -298,7 +298,7 @@
             return
         listed = [name for name, _ in self._core.replicated_state.table.items("backend/")]
         for name in set(self._calls) - set(listed):
-            if now - self._seen.get(name, 0) > LEFT:
+            if now - self._seen.get(name, 0) > RETENTION_US:
                 del self._calls[name]
                 self._seen.pop(name, None)
         silent = [name for name in listed if now - self._seen.setdefault(name, now) > LOST_BEATS * self._beat]
--- a/oakvale/controlplane/status.py
+++ b/oakvale/controlplane/status.py
@@ -1,4 +1,4 @@
-"""What a headworks says of itself."""
+"""The status report of a core machine."""
 
 from __future__ import annotations
 
@@ -9,38 +9,39 @@
 
 
 def core_status(core: Core) -> dict[str, Any]:
+    """The fields of the status report: role, view, peers, configuration, disk and listed backends."""
     now, view, table = core.loop.now, core.view(), core.replicated_state.table
-    held, since = table.get("config"), core.storage.waiting_since()
+    config, disk_pending_since = table.get("config"), core.storage.waiting_since()
     fields: dict[str, Any] = {
         "own": core.self_id[0],
         "incarnation": core.self_id[1],
         "view": view.number if view else 0,
     }
     if view is not None:
-        place = (
+        role = (
             "primary"
             if view.primary == core.self_id
             else "backup"
             if core.self_id in view.backups
             else ("witness" if core.self_id in view.witnesses else "none")
         )
-        silent = [peer[0] for peer in view.witnesses if not core.view_manager.alive(peer, now)]
+        unresponsive = [peer[0] for peer in view.witnesses if not core.view_manager.alive(peer, now)]
         fields |= {
-            "place": place,
+            "place": role,
             "primary": view.primary[0],
             "backups": ",".join(peer[0] for peer in view.backups),
             "witnesses": ",".join(peer[0] for peer in view.witnesses),
-            "silent": ",".join(silent),
+            "silent": ",".join(unresponsive),
         }
     return (
         fields
         | {
             "serving": core.serving(),
             "complete": core.view_manager.state.complete,
-            "gen": held["gen"] if held else -1,
+            "gen": config["gen"] if config else -1,
             "news": "/".join(map(str, table.high)),
             "waits": core.replicated_state.waits(),
-            "disk_waits_ms": 0 if since is None else (now - since) // MS,
+            "disk_waits_ms": 0 if disk_pending_since is None else (now - disk_pending_since) // MS,
             "relays": len(core.publisher),
             "gateways": ",".join(sorted(node for node, _ in table.items("gate/"))),
         }
--- a/oakvale/lab/modelcheck/breakages.py
+++ b/oakvale/lab/modelcheck/breakages.py
@@ -204,7 +204,7 @@
 
 
 def _looks_at_an_old_clock(self: Leases, view: View, now: int, real: Callable[..., bool] = Leases.holds) -> bool:
-    return real(self, view, now - self._silence)
+    return real(self, view, now - self._lease_us)
 
 
 def _forgets_grants(
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -70,7 +70,7 @@
         self.ctl = ControlServer(Shared(self.loop, given), cast(Any, core), cast(Any, bound))
         self.taken: list[str] = []
         self.gives: list[tuple[str, Callable[[Reply], None]]] = []
-        self.ctl._calls[(b"POST", "Test.Order")] = self._order
+        self.ctl._handlers[(b"POST", "Test.Order")] = self._order
         self.listener = self.net.listen(ADDRESS, 9)
         Acceptor(cast(Any, self.ctl), cast(Any, self.listener), self.loop)
         self.callers: list[Caller] = []
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -133,7 +133,7 @@
     assert len(there) == 3
     for machine in world.machines:
         part = core(machine)
-        known = {parsed[0] + f":{parsed[1]}" for parsed in part._others()} | {part.self_id[0]}
+        known = {parsed[0] + f":{parsed[1]}" for parsed in part._peer_addresses()} | {part.self_id[0]}
         view_manager = part.view_manager
         assert known == there and {peer[0] for peer in view_manager._heard} <= there
         assert not view_manager._spares and not view_manager._leaving and len(part.peers._heard) <= 3
--- a/tests/test_view_change.py
+++ b/tests/test_view_change.py
@@ -125,7 +125,7 @@
     world.change(machine)
     world.run(SECOND)
     world.down(machine, 4 * SECOND, wiped)
-    backup._carry(backup.view_manager.learn(View(2, A, (C,), ABC.witnesses)))
+    backup._apply_view_change(backup.view_manager.learn(View(2, A, (C,), ABC.witnesses)))
     world.run(3_500 * MS)
     now = world.serving()
     assert now is not None and now.core is backup
@@ -140,9 +140,9 @@
     primary, backup, other = (m.core for m in world.machines)
     assert primary is not None and backup is not None and other is not None
     view = View(2, A, (C,), ABC.witnesses)
-    other._carry(other.view_manager.message(world.now, B, "void", [view.pack()]))
-    backup._carry(backup.view_manager.learn(view))
-    primary._carry(primary.view_manager.learn(view))
+    other._apply_view_change(other.view_manager.message(world.now, B, "void", [view.pack()]))
+    backup._apply_view_change(backup.view_manager.learn(view))
+    primary._apply_view_change(primary.view_manager.learn(view))
     world.machines[1].kill()
     world.run(4 * SECOND)
     assert world.serving() is world.machines[0]
