--- a/oakvale/controlplane/failover_planning.py
+++ b/oakvale/controlplane/failover_planning.py
@@ -1,7 +1,7 @@
-"""The primary's part in the chains: what is known of places is gathered, and the plan made anew when it changed.
+"""Plans failover chains on the primary: collects capacity and load of the locations and replans when they change.
 
-What the keepers of boards tell goes before what beats say. Without the operators' file nothing is planned, and
-what an earlier setting left in the control state is taken away.
+Measurements of board holders take precedence over the figures in backends' heartbeats. Without the operators' file
+nothing is planned, and entries left by an earlier setting are removed.
 """
 
 from __future__ import annotations
@@ -18,22 +18,24 @@
 from oakvale.transport.links import Answer, Connection, Transport
 
 if TYPE_CHECKING:
-    from oakvale.config.chains import Given  # its imports cost, and most systems have no chains
+    from oakvale.config.chains import Given  # slow to import; most systems have no chains
 
-ROUND = 1_000_000  # microseconds between two looks
-LEAST = 5_000_000  # between two versions, or a wave of load would be news all the time
-CHANGE = 0.25  # part by which what a place holds, or is asked, must have changed
-EASE = 0.2  # weight of the newest report: they come every two seconds, and one is of few requests
-SLOT = 1.0  # less than this is not worth a version
-OLD = 10_000_000  # a gateway may go by an earlier version for so long: then it is off the list, and no keeper's count
-QUIET = 2.5  # beats that all backends of a place must miss
-MASS = 0.5  # of the places: where more fall silent, it is rather the way from them to here that broke
+CHECK_INTERVAL_US = 1_000_000
+MIN_PLAN_INTERVAL_US = 5_000_000  # keeps a wave of load from causing a stream of updates
+MIN_RELATIVE_CHANGE = 0.25  # of capacity or demand of a location, for a new plan
+LOAD_SMOOTHING = 0.2  # weight of the newest report; a single one covers few requests
+MIN_CHANGE_SLOTS = 1.0  # for a new plan
+OLD_PLAN_LIFETIME_US = 10_000_000  # a gateway that uses an older version for longer is off the list
+SILENT_HEARTBEATS = 2.5  # that all backends of a location must miss
+MAX_SILENT_SHARE = 0.5  # of the locations; if more stop responding, the network towards this machine is at fault
 
 log_event = EventLogger(__name__)
 Key = tuple[str, str]  # zone and service
 
 
 class FailoverPlanner:
+    """Publishes the failover plan (`chains`) and the locations without responding backends (`quiet`)."""
+
     def __init__(
         self,
         core: Core,
@@ -41,103 +43,122 @@
         loop: Loop,
         transport: Transport,
         settings: Settings,
-        given: Given | None,
+        chain_settings: Given | None,
     ) -> None:
-        self._core, self._backends, self._loop, self._given, self._settings = core, backends, loop, given, settings
-        self._capacity: dict[Key, float] = {}  # as keepers measured
+        self._core, self._backends, self._loop, self._chain_settings, self._settings = (
+            core,
+            backends,
+            loop,
+            chain_settings,
+            settings,
+        )
+        self._capacity: dict[Key, float] = {}  # as measured by board holders
         self._loads: dict[tuple[str, str, int], float] = {}  # home, service, rank -> slots
         self._planned: tuple[dict[Key, float], dict[Key, float], frozenset[str]] | None = None
-        self._before: list[tuple[int, Chains]] = []  # versions, and until when a gateway may go by each
-        self._last = -LEAST
-        core.on_serving_change.append(self._turned)
+        self._older_plans: list[tuple[int, Chains]] = []  # until when a gateway may still use each version
+        self._last_planned = -MIN_PLAN_INTERVAL_US
+        core.on_serving_change.append(self._serving_changed)
         transport.handlers["chains"] = lambda conn, body, answer: answer(
             {"held": core.replicated_state.table.get("chains")}
         )
-        if given is not None:
-            transport.handlers["flows"] = self._flows
-            loop.at(loop.now + ROUND, self._look)
+        if chain_settings is not None:
+            transport.handlers["flows"] = self._on_load_report
+            loop.at(loop.now + CHECK_INTERVAL_US, self._check)
 
-    def _turned(self, serves: bool) -> None:
-        self._capacity, self._loads, self._planned, self._before = {}, {}, None, []
-        left = [key for key in ("chains", "quiet") if self._core.replicated_state.latest(key) is not None]
-        if serves and self._given is None and left:
-            self._core.change(dict.fromkeys(left), lambda done: None)
+    def _serving_changed(self, serves: bool) -> None:
+        self._capacity, self._loads, self._planned, self._older_plans = {}, {}, None, []
+        leftovers = [key for key in ("chains", "quiet") if self._core.replicated_state.latest(key) is not None]
+        if serves and self._chain_settings is None and leftovers:
+            self._core.change(dict.fromkeys(leftovers), lambda done: None)
 
-    def _flows(self, conn: Connection, body: Any, _: Answer) -> None:
+    def _on_load_report(self, conn: Connection, body: Any, _: Answer) -> None:
         service = str(body[0])
         for zone, slots in body[1].items():
             self._capacity[str(zone), service] = float(slots)
-        came = {(str(home), service, int(rank)): float(work) for home, rank, work in body[2]}
-        for key in {key for key in self._loads if key[1] == service} | came.keys():
-            was = self._loads.get(key)
-            now = came.get(key, 0.0)
-            self._loads[key] = now if was is None else was + EASE * (now - was)
+        reported = {(str(home), service, int(rank)): float(work) for home, rank, work in body[2]}
+        for key in {key for key in self._loads if key[1] == service} | reported.keys():
+            previous = self._loads.get(key)
+            current = reported.get(key, 0.0)
+            self._loads[key] = current if previous is None else previous + LOAD_SMOOTHING * (current - previous)
 
-    def _look(self, _: Any) -> None:
+    def _check(self, _: Any) -> None:
         now = self._loop.now
-        self._loop.at(now + ROUND, self._look)
+        self._loop.at(now + CHECK_INTERVAL_US, self._check)
         if not self._core.serving() or self._core.replicated_state.waits():
             return
-        assert self._given is not None
+        assert self._chain_settings is not None
         listed = dict(self._core.replicated_state.table.items("backend/"))
-        told: dict[Key, float] = {}
+        announced: dict[Key, float] = {}
         for value in listed.values():
             if value["state"] == "ready":
                 key = str(value["az"]), str(value["svc"])
-                told[key] = told.get(key, 0.0) + float(value["slots"])
-        silent = set(self._backends.silent_for(int(QUIET * self._settings.beat)))
-        gone: dict[Key, float] = {}
+                announced[key] = announced.get(key, 0.0) + float(value["slots"])
+        silent = set(self._backends.silent_for(int(SILENT_HEARTBEATS * self._settings.beat)))
+        silent_slots: dict[Key, float] = {}
         for name in silent & {name for name, value in listed.items() if value["state"] == "ready"}:
             key = str(listed[name]["az"]), str(listed[name]["svc"])
-            gone[key] = gone.get(key, 0.0) + float(listed[name]["slots"])
+            silent_slots[key] = silent_slots.get(key, 0.0) + float(listed[name]["slots"])
         changes: dict[str, Any] = {}
-        self._note_quiet(listed, silent, changes)
-        # where all are silent it is what the place holds when it is back; of some, those that are there count
+        self._update_quiet(listed, silent, changes)
+        # if all backends of a location are silent, its full capacity is planned for its return; else that of the others
         capacity = {
-            key: self._capacity.get(key, slots) * (1 - gone.get(key, 0.0) / slots % 1)
-            for key, slots in told.items()
+            key: self._capacity.get(key, slots) * (1 - silent_slots.get(key, 0.0) / slots % 1)
+            for key, slots in announced.items()
             if slots > 0
         }
         loads = [Load(home, service, rank, work) for (home, service, rank), work in sorted(self._loads.items()) if work]
-        roster = frozenset(node for node, _ in self._core.replicated_state.table.items("gate/"))
-        asked: dict[Key, float] = {}
+        gateways = frozenset(node for node, _ in self._core.replicated_state.table.items("gate/"))
+        demand: dict[Key, float] = {}
         for load in loads:
-            asked[load.home, load.service] = asked.get((load.home, load.service), 0.0) + load.work
-        if now - self._last >= LEAST and roster and self._differs(capacity, asked, roster):
-            self._last, self._planned = now, (capacity, asked, roster)
-            zones = {zone: "" for zone, _ in told} | self._settings.zones
-            held = self._core.replicated_state.table.get("chains")
-            self._before = [(until, chains) for until, chains in self._before if until > now]
-            if held is not None:
-                self._before.append((now + OLD, unpack(held)))
-            version, places = held["version"] + 1 if held else 1, hierarchy(zones, self._given.above)
-            made = plan(version, places, capacity, loads, roster, self._given.headroom, [c for _, c in self._before])
-            changes["chains"] = pack(made)
-            short = made.short(1)
+            demand[load.home, load.service] = demand.get((load.home, load.service), 0.0) + load.work
+        if now - self._last_planned >= MIN_PLAN_INTERVAL_US and gateways and self._differs(capacity, demand, gateways):
+            self._last_planned, self._planned = now, (capacity, demand, gateways)
+            zones = {zone: "" for zone, _ in announced} | self._settings.zones
+            published = self._core.replicated_state.table.get("chains")
+            self._older_plans = [(until, chains) for until, chains in self._older_plans if until > now]
+            if published is not None:
+                self._older_plans.append((now + OLD_PLAN_LIFETIME_US, unpack(published)))
+            version, locations = (
+                published["version"] + 1 if published else 1,
+                hierarchy(zones, self._chain_settings.above),
+            )
+            new_plan = plan(
+                version,
+                locations,
+                capacity,
+                loads,
+                gateways,
+                self._chain_settings.headroom,
+                [chains for _, chains in self._older_plans],
+            )
+            changes["chains"] = pack(new_plan)
+            uncovered = new_plan.short(1)
             log_event(
                 "chains",
-                version=made.version,
-                places=len(made.hierarchy.places()),
-                services=len(made.limits),
-                cannot_hold=len(short),
+                version=new_plan.version,
+                places=len(new_plan.hierarchy.places()),
+                services=len(new_plan.limits),
+                cannot_hold=len(uncovered),
             )
         if changes:
             self._core.change(changes, lambda done: None)
 
-    def _differs(self, capacity: dict[Key, float], asked: dict[Key, float], roster: frozenset[str]) -> bool:
+    def _differs(self, capacity: dict[Key, float], demand: dict[Key, float], gateways: frozenset[str]) -> bool:
         if self._planned is None:
             return True
-        was_capacity, was_asked, was_roster = self._planned
+        previous_capacity, previous_demand, previous_gateways = self._planned
         return (
-            roster != was_roster or apart(capacity, was_capacity, CHANGE, SLOT) or apart(asked, was_asked, CHANGE, SLOT)
+            gateways != previous_gateways
+            or apart(capacity, previous_capacity, MIN_RELATIVE_CHANGE, MIN_CHANGE_SLOTS)
+            or apart(demand, previous_demand, MIN_RELATIVE_CHANGE, MIN_CHANGE_SLOTS)
         )
 
-    def _note_quiet(self, listed: dict[str, Any], silent: set[str], changes: dict[str, Any]) -> None:
-        by_place: dict[Key, list[bool]] = {}
+    def _update_quiet(self, listed: dict[str, Any], silent: set[str], changes: dict[str, Any]) -> None:
+        by_location: dict[Key, list[bool]] = {}
         for name, value in listed.items():
-            by_place.setdefault((str(value["svc"]), str(value["az"])), []).append(name in silent)
-        quiet = sorted(list(key) for key, all_silent in by_place.items() if all(all_silent))
-        if len(quiet) > MASS * len(by_place):
+            by_location.setdefault((str(value["svc"]), str(value["az"])), []).append(name in silent)
+        quiet = sorted(list(key) for key, all_silent in by_location.items() if all(all_silent))
+        if len(quiet) > MAX_SILENT_SHARE * len(by_location):
             quiet = []
         if quiet != (self._core.replicated_state.table.get("quiet") or []):
             changes["quiet"] = quiet
--- a/oakvale/controlplane/membership.py
+++ b/oakvale/controlplane/membership.py
@@ -1,4 +1,4 @@
-"""The list of gateways, which the primary keeps: they join, and their watchers tell when one falls silent."""
+"""The list of gateways kept by the primary: gateways join, and watchers report those that stop responding."""
 
 from __future__ import annotations
 
@@ -11,37 +11,39 @@
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.transport.links import Answer, Connection, Transport
 
-AGREE = 2  # watchers that must miss a gateway before it is taken from the list
-CALLED = 64  # gateways that a new primary calls; a tree is soon grown from these
-TELLS = 2_000_000  # microseconds for a gateway to say which life it is: one that has just started may be slow
-TOGETHER = 3_000_000  # microseconds within which they must say so
+MIN_REPORTING_WATCHERS = 2  # that must miss a gateway before it is removed
+MAX_NOTIFIED_GATEWAYS = 64  # by a new primary; the others reconnect through the relays that these become
+INCARNATION_QUERY_TIMEOUT_US = 2_000_000  # a gateway that has just started may be slow to answer
+REPORT_WINDOW_US = 3_000_000  # within which the reports must arrive
 
 log_event = EventLogger(__name__)
 
 
 class GatewayRegistry:
+    """Handles `join` requests of gateways and `missing` reports of their watchers."""
+
     def __init__(self, core: Core, voter_service: VoterService, loop: Loop, transport: Transport) -> None:
         self._voter_service = voter_service
         self._core, self._loop, self._transport = core, loop, transport
-        self._missed: dict[str, dict[str, int]] = {}  # gateway's node and life -> watcher -> when
-        core.on_serving_change.append(self._turned)
-        transport.handlers["join"] = self._join
-        transport.handlers["missing"] = self._missing
+        self._missing_reports: dict[str, dict[str, int]] = {}  # gateway's node and incarnation -> watcher -> time
+        core.on_serving_change.append(self._serving_changed)
+        transport.handlers["join"] = self._on_join
+        transport.handlers["missing"] = self._on_missing
 
-    def _turned(self, serves: bool) -> None:
-        """A view is in force: the gateways are told whom it names. Those without news search, and may just wait for a
-        machine that was dark until now; a call to each spares them that."""
+    def _serving_changed(self, serves: bool) -> None:
+        """A new primary announces itself to gateways, so that those without state updates need not search for it, and
+        publishes the copies and voters of its view."""
         view = self._core.view()
         addresses = [parse_address(str(gate["addr"])) for _, gate in self._core.replicated_state.table.items("gate/")]
-        for address in addresses[:CALLED] if serves else ():
+        for address in addresses[:MAX_NOTIFIED_GATEWAYS] if serves else ():
             if address is not None:
                 self._transport.tell(address, "serves", self._core.self_id[0])
         if serves and view is not None:
-            told = {"copies": [seat[0] for seat in view.copies], "witnesses": [seat[0] for seat in view.witnesses]}
-            if self._core.replicated_state.latest("core") != told:
-                self._core.change({"core": told}, lambda done: None)
+            members = {"copies": [seat[0] for seat in view.copies], "witnesses": [seat[0] for seat in view.witnesses]}
+            if self._core.replicated_state.latest("core") != members:
+                self._core.change({"core": members}, lambda done: None)
 
-    def _join(self, conn: Connection, body: Any, answer: Answer) -> None:
+    def _on_join(self, conn: Connection, body: Any, answer: Answer) -> None:
         core = self._core
         if not core.serving():
             primary = core.primary()
@@ -51,40 +53,44 @@
         if core.replicated_state.latest(key) == entry:
             return answer({"joined": True})
         if core.replicated_state.latest(key) is None:
-            return self._enter(key, entry, answer)
+            return self._add(key, entry, answer)
 
-        def lives(life: Any) -> None:
-            if life != entry["life"] or not core.serving():
+        def current_incarnation(incarnation: Any) -> None:
+            if incarnation != entry["life"] or not core.serving():
                 answer({"joined": False})
-            elif core.replicated_state.latest(key) == entry:  # asked in meanwhile, once more
+            elif core.replicated_state.latest(key) == entry:  # a concurrent request has added it
                 answer({"joined": True})
             else:
-                self._enter(key, entry, answer)
+                self._add(key, entry, answer)
 
-        # the word of a life that has ended may have lain here, behind a pause, and be read after the next life's
-        self._transport.ask_on(conn, "life", None, TELLS, lives)
+        # after a pause, the request of an ended incarnation may be read after that of the next one
+        self._transport.ask_on(conn, "life", None, INCARNATION_QUERY_TIMEOUT_US, current_incarnation)
 
-    def _enter(self, key: str, entry: dict[str, str], answer: Answer) -> None:
+    def _add(self, key: str, entry: dict[str, str], answer: Answer) -> None:
         core = self._core
-        before = core.replicated_state.latest(key)
-        if before is not None and before["life"] != entry["life"]:
-            self._voter_service.incarnation_ended(before["life"])
+        previous = core.replicated_state.latest(key)
+        if previous is not None and previous["life"] != entry["life"]:
+            self._voter_service.incarnation_ended(previous["life"])
         log_event("gateway joins", gateway=key.partition("/")[2], addr=entry["addr"])
         core.change({key: entry}, lambda done: answer({"joined": done}))
 
-    def _missing(self, conn: Connection, body: Any, _: Answer) -> None:
-        """One watcher's word may be its own trouble."""
+    def _on_missing(self, conn: Connection, body: Any, _: Answer) -> None:
+        """Removes a gateway once enough watchers miss it: a single report may be due to a fault of that watcher."""
         core, now = self._core, self._loop.now
-        node, life, watcher = str(body["node"]), str(body["life"]), str(body["watcher"])
+        node, incarnation, watcher = str(body["node"]), str(body["life"]), str(body["watcher"])
         entry = core.replicated_state.latest(f"gate/{node}")
-        if not core.serving() or entry is None or entry["life"] != life:
+        if not core.serving() or entry is None or entry["life"] != incarnation:
             return
-        self._missed = {who: said for who, said in self._missed.items() if now - max(said.values()) < TOGETHER}
-        said = self._missed.setdefault(f"{node} {life}", {})
-        said[watcher] = now
-        recent = [w for w, at in said.items() if now - at < TOGETHER]
+        self._missing_reports = {
+            gateway: times
+            for gateway, times in self._missing_reports.items()
+            if now - max(times.values()) < REPORT_WINDOW_US
+        }
+        reports = self._missing_reports.setdefault(f"{node} {incarnation}", {})
+        reports[watcher] = now
+        recent = [w for w, at in reports.items() if now - at < REPORT_WINDOW_US]
         others = len(core.replicated_state.table.items("gate/")) - 1
-        if len(recent) >= min(AGREE, max(1, others)):
+        if len(recent) >= min(MIN_REPORTING_WATCHERS, max(1, others)):
             log_event("gateway is gone", "warning", gateway=node, said=",".join(sorted(recent)))
-            self._missed.pop(f"{node} {life}", None)
+            self._missing_reports.pop(f"{node} {incarnation}", None)
             core.change({f"gate/{node}": None}, lambda done: None)
--- a/oakvale/controlplane/process.py
+++ b/oakvale/controlplane/process.py
@@ -1,4 +1,4 @@
-"""The process of the core role: `oakvale headworks`."""
+"""The process of a core machine, started by `oakvale headworks`."""
 
 from __future__ import annotations
 
@@ -37,45 +37,43 @@
     from oakvale.controlplane.drains import DrainManager
 
 log_event = EventLogger(__name__)
-SWEEP = 1_000_000
-EXIT_STORAGE_BROKEN = (
-    3  # the status to end with: the next start puts the file aside, and is let in as a seat without state
-)
-READY = 3_000_000  # after it began to serve; by then, who waited for it has been served
-OPENS, PAUSE = 50, 0.2  # tries at the disk at the start, and seconds between them
+TRANSPORT_SWEEP_INTERVAL_US = 1_000_000
+EXIT_STORAGE_BROKEN = 3  # exit status; the next start sets the file aside and rejoins as a replica without state
+CONFIG_IMPORT_DELAY_US = 3_000_000  # after it began to serve, when waiting subscribers have been served
+MAX_OPEN_ATTEMPTS, OPEN_RETRY_DELAY_S = 50, 0.2
 
 
-def _opened(loop: Loop, folder: str) -> Storage:
-    """A disk in trouble refuses for a while; a process that ends for that would only begin again."""
-    for tries in range(OPENS):
+def _open_storage(loop: Loop, folder: str) -> Storage:
+    """Opens the storage, with retries: disk errors may be transient, and a restart would only try again."""
+    for attempt in range(MAX_OPEN_ATTEMPTS):
         try:
             return Storage(loop, folder)
         except (sqlite3.Error, OSError) as error:
-            if tries == OPENS - 1:
+            if attempt == MAX_OPEN_ATTEMPTS - 1:
                 raise BadFile(f"[self] datadir {folder}: {error}") from error
             log_event("disk refuses", "warning", why=str(error))
-            time.sleep(PAUSE)
+            time.sleep(OPEN_RETRY_DELAY_S)
     raise AssertionError
 
 
-def _ready_for_operators(loop: Loop) -> None:
-    """A primary imports what it checks configurations with before one comes: later, as those who wait for news of a
-    core that is back go first, and in a thread, as it may take longer than a heartbeat may be late."""
+def _preload_config_model(loop: Loop) -> None:
+    """Imports the configuration checks before the first configuration arrives. Delayed, so that waiting subscribers are
+    served first, and in a thread, since the import may take longer than the heartbeat interval."""
     thread = threading.Thread(target=import_module, args=("oakvale.config.model",), daemon=True)
-    loop.at(loop.now + READY, lambda _: None if thread.ident else thread.start())
+    loop.at(loop.now + CONFIG_IMPORT_DELAY_US, lambda _: None if thread.ident else thread.start())
 
 
 class Process:
-    """All that runs on the loop, but for what the operating system tells."""
+    """All services of a core machine that run on its loop, except signals and settings files."""
 
     def __init__(
-        self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop, opened: Callable[[], Storage]
+        self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop, open_storage: Callable[[], Storage]
     ) -> None:
-        """`opened` gives the disk, and may take a while. Raises BadFile, OSError."""
+        """`open_storage` may block for some time. Raises BadFile, OSError."""
         self.loop = loop
         self.transport = Transport(loop, (settings.ip, settings.ports[0]))
         self.transport.listen()
-        self.storage = opened()
+        self.storage = open_storage()
         self.core = core = Core(loop, self.transport, settings, self.storage)
         voter_service = VoterService(loop, self.transport, self.storage, settings.bootstrap, core.is_witness)
         GatewayRegistry(core, voter_service, loop, self.transport)
@@ -86,48 +84,50 @@
         self.acceptor = Acceptor(self._ctl, listeners["ctl"], loop)
         self._drains: DrainManager | None = None
         self.know = core.update_seeds
-        loop.at(loop.now + SWEEP, self._sweep)
+        loop.at(loop.now + TRANSPORT_SWEEP_INTERVAL_US, self._sweep)
         log_event("headworks", node=settings.node, own=core.self_id[0], incarnation=core.self_id[1])
 
     def _sweep(self, _: object) -> None:
         self.transport.sweep()
-        self.loop.at(self.loop.now + SWEEP, self._sweep)
+        self.loop.at(self.loop.now + TRANSPORT_SWEEP_INTERVAL_US, self._sweep)
 
-    def plan_failover(self, settings: Settings, given: Given | None) -> None:
-        """Works out failover chains, where they are wanted."""
-        FailoverPlanner(self.core, self._ctl.backends, self.loop, self.transport, settings, given)
+    def plan_failover(self, settings: Settings, chain_settings: Given | None) -> None:
+        """Starts failover planning; without `chain_settings` it only removes earlier plans."""
+        FailoverPlanner(self.core, self._ctl.backends, self.loop, self.transport, settings, chain_settings)
 
     def load_contracts(self, settings: Settings) -> None:
-        """At the start and on SIGHUP; a file that is there is looked at anew by itself."""
+        """Reads the contracts file at the start and on SIGHUP; later changes are also noticed without a signal."""
         if self._drains is not None:
             self._drains.reload()
         elif os.path.exists(settings.contracts):
-            from oakvale.controlplane.drains import DrainManager  # its imports cost, and most systems have no contracts
+            from oakvale.controlplane.drains import DrainManager  # slow to import; most systems have no contracts
 
             self._drains = DrainManager(self.core, self.loop, self.transport, settings.contracts, settings.bounds.apply)
             self._ctl.enable_drains(self._drains)
 
     def stop(self) -> None:
+        """Begins an orderly shutdown; the loop stops once the other core machines can spare this one."""
         self.shared.stopping = True
         self.shared.clients.end_idle()
         self.core.leave(self.loop.stop)
 
 
 def serve(settings: Settings, signals: Signals, listeners: Mapping[str, Sock], chains: str | None = None) -> int:
-    """`chains`: the operators' file on chains, where these are wanted. Raises BadFile, OSError."""
-    given = None
+    """Runs the process and returns its exit status. `chains`: path of the file on failover chains, if they are used.
+    Raises BadFile, OSError."""
+    chain_settings = None
     if chains is not None:
-        from oakvale.config.chains import load  # its imports cost, and most systems have no chains
+        from oakvale.config.chains import load  # slow to import; most systems have no chains
 
-        given = load(chains, settings)
+        chain_settings = load(chains, settings)
     datadir = settings.datadir
     if datadir is None or "ctl" not in settings.bind:
         raise BadFile("headworks needs [self] datadir and [network.bind] ctl")
     loop = Loop(Clock(), bounds(settings))
-    process = Process(settings, listeners, loop, lambda: _opened(loop, datadir))
-    process.plan_failover(settings, given)
+    process = Process(settings, listeners, loop, lambda: _open_storage(loop, datadir))
+    process.plan_failover(settings, chain_settings)
     watch = SettingsWatch(loop, os.environ, settings, lambda fresh: process.know(fresh.seeds))
-    process.core.on_serving_change.append(lambda serves: _ready_for_operators(loop) if serves else None)
+    process.core.on_serving_change.append(lambda serves: _preload_config_model(loop) if serves else None)
 
     def reload() -> None:
         watch.again()
--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -1,7 +1,7 @@
-"""What backends and operators call: one handler object for each resource, one method for each verb.
+"""The resources of the control API, called by backends and operators: one class per resource, one method per verb.
 
-A handler answers at once or later, through the reply that it is given. What is not known to be done is answered
-with a 5xx, never with a 4xx; who is not primary names the one that is (307).
+A method replies at once or later through the callback that it is given. A change with an unknown outcome is answered
+with a 5xx, never with a 4xx; a replica that is not the primary redirects to the one that is (307).
 """
 
 from __future__ import annotations
@@ -24,28 +24,28 @@
 from oakvale.dissemination.table import PRIVATE
 from oakvale.lifecycle.eventlog import EventLogger
 
-if TYPE_CHECKING:  # of use only with contracts, or to a primary
+if TYPE_CHECKING:  # imported only with contracts, or on a primary
     from oakvale.config.model import Configuration, Read
     from oakvale.controlplane.drains import DrainManager
 
 JSON = (b"content-type", b"application/json")
-ID = re.compile(r"[!-~]{1,128}")
-NAME = re.compile(r"[0-9A-Za-z._-]{1,64}")  # of an order
-CONFIG_DIGESTS, FORGOTTEN = (
-    PRIVATE,
-    "up-to",
-)  # of entries on numbers; of that on the highest number that is known no longer
-MAX_REMEMBERED_CONFIGS = 1_000  # numbers whose content is remembered, the highest
-CHECKED = 64  # texts that need not be checked again
-QUEUE = 16  # texts that wait to be checked; beyond, the caller is sent on
-LOST_BEATS = 4  # without so many a backend counts as crashed
-MASS = 0.34  # where more than this share falls silent at once, it is rather the way to here that broke
+BACKEND_ID = re.compile(r"[!-~]{1,128}")
+ORDER_NAME = re.compile(r"[0-9A-Za-z._-]{1,64}")
+# key prefix of the remembered digests; key behind it of the highest forgotten number
+CONFIG_DIGESTS, HIGHEST_FORGOTTEN = PRIVATE, "up-to"
+MAX_REMEMBERED_CONFIGS = 1_000  # the highest numbers
+MAX_CACHED_CHECKS = 64  # valid texts that need no further check
+MAX_QUEUED_CHECKS = 16  # texts that wait for their check; further ones get a 503
+MISSED_HEARTBEATS_LIMIT = 4  # a backend that missed this many counts as crashed
+MAX_SILENT_SHARE = 0.34  # if more stop responding at once, the network towards this machine is at fault
 
 log_event = EventLogger(__name__)
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
+    """An HTTP reply of a resource method."""
+
     status: int
     body: bytes = b"{}"
     headers: tuple[tuple[bytes, bytes], ...] = ()
@@ -55,21 +55,21 @@
 
 
 def _remember(known: dict[int, tuple[str, bytes]], gen: int, digest: bytes) -> dict[str, Any]:
-    """The entries for one more number, which also goes into `known`. Places are used again, that of the lowest number
-    first, so that nothing has to be pruned and no graves are left. Where the new number is the lowest, it is forgotten
-    at once: nothing more is said of it."""
-    place, changes = str(len(known)), dict[str, Any]()
+    """Adds a number and its digest to `known` and returns the entries to write. Slots are reused, that of the lowest
+    number first, so that no tombstones arise. A new number that is itself the lowest is forgotten at once."""
+    slot, changes = str(len(known)), dict[str, Any]()
     if len(known) >= MAX_REMEMBERED_CONFIGS:
         lowest = min(*known, gen)
-        changes[CONFIG_DIGESTS + FORGOTTEN] = lowest
+        changes[CONFIG_DIGESTS + HIGHEST_FORGOTTEN] = lowest
         if lowest == gen:
             return changes
-        place = known.pop(lowest)[0]
-    known[gen] = (place, digest)
-    return changes | {CONFIG_DIGESTS + place: [gen, digest]}
+        slot = known.pop(lowest)[0]
+    known[gen] = (slot, digest)
+    return changes | {CONFIG_DIGESTS + slot: [gen, digest]}
 
 
 def error_reply(status: int, why: str) -> Reply:
+    """A reply with a JSON object that gives the reason."""
     return Reply(status, orjson.dumps({"error": why}))
 
 
@@ -78,153 +78,154 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckedConfig:
-    """What is known of a text that was read as a configuration."""
+    """What is remembered of a text that is a valid configuration."""
 
     gen: int
-    digest: bytes  # of its content (`config/model.py`)
+    digest: bytes  # of its content, whatever its spelling (`config/model.py`)
     routes: int
 
 
 class ConfigHandler:
     """The operator's configuration: `Replace` and `Read`.
 
-    At most one content is confirmed under a number. The change that takes a configuration also writes its number and
-    the digest of its content; so does the acknowledgement of an older number that was never taken. Whatever comes later
-    under that number is compared: the same content is confirmed, another gets 409. Both answers wait for the copies,
-    and with them for all that was changed before: what is refused, is refused for something that lasts.
+    At most one content is ever confirmed under a number. The change that stores a configuration also writes its number
+    and the digest of its content; so does the acknowledgement of an older number that was never stored. Later requests
+    under that number are compared with it: the same content is confirmed, another one gets 409. Both replies wait until
+    all earlier changes are in force, so that a refusal rests on state that is durable.
     """
 
     def __init__(self, core: Core) -> None:
         self._core = core
-        self._checked: dict[bytes, CheckedConfig] = {}  # by the digest of the text; the latest that were valid
-        self._queue: dict[bytes, tuple[bytes, list[ReplyCallback]]] = {}  # texts to be checked, and who waits for each
-        self._steps: Generator[None, None, Read] | None = None  # of the check of the first of them
-
-    def replace(self, rest: str, body: bytes, give: ReplyCallback) -> None:
-        text = blake2b(body, digest_size=16).digest()
-        checked = self._checked.get(text)
+        self._checked: dict[bytes, CheckedConfig] = {}  # by digest of the text; the latest valid ones
+        # by digest of the text: texts to be checked, and the callers that wait for each
+        self._queue: dict[bytes, tuple[bytes, list[ReplyCallback]]] = {}
+        self._check_steps: Generator[None, None, Read] | None = None  # the running check of the first queued text
+
+    def replace(self, rest: str, body: bytes, send_reply: ReplyCallback) -> None:
+        text_digest = blake2b(body, digest_size=16).digest()
+        checked = self._checked.get(text_digest)
         if checked is not None:
-            return self._judge(checked, body, give)
-        if text in self._queue:
-            return self._queue[text][1].append(give)
-        if len(self._queue) >= QUEUE:
-            return give(UNCONFIRMED)
+            return self._judge(checked, body, send_reply)
+        if text_digest in self._queue:
+            return self._queue[text_digest][1].append(send_reply)
+        if len(self._queue) >= MAX_QUEUED_CHECKS:
+            return send_reply(UNCONFIRMED)
         if not self._queue:
-            self._soon()
-        self._queue[text] = (body, [give])
+            self._schedule_check_step()
+        self._queue[text_digest] = (body, [send_reply])
 
-    def _soon(self) -> None:
-        """One step of one check in each turn of the loop: a large one takes longer than a heartbeat, and several in a
-        row would have this machine taken for dead."""
-        self._core.loop.at(self._core.loop.now + 1, self._check)
+    def _schedule_check_step(self) -> None:
+        """Runs one step of one check per turn of the loop: a whole check can take longer than the heartbeat interval,
+        and several in a row would make the peers count this machine as down."""
+        self._core.loop.at(self._core.loop.now + 1, self._run_check_step)
 
-    def _check(self, _: Any) -> None:
+    def _run_check_step(self, _: Any) -> None:
         from oakvale.config import model  # slow to import; only a primary needs it
 
-        text, (body, gives) = next(iter(self._queue.items()))
-        self._steps = self._steps or model.reading(body)
-        goes_on = False
-        refused, checked = None, None
+        text_digest, (body, callers) = next(iter(self._queue.items()))
+        self._check_steps = self._check_steps or model.reading(body)
+        unfinished = False
+        refusal, checked = None, None
         try:
-            next(self._steps)
-            goes_on = True
+            next(self._check_steps)
+            unfinished = True
         except StopIteration as ended:
-            checked = self._keep(text, *ended.value)
+            checked = self._cache_check(text_digest, *ended.value)
         except model.Invalid as error:
             log_event("configuration refused", why=str(error)[:200])
-            refused = error_reply(400, str(error))
+            refusal = error_reply(400, str(error))
         finally:
-            if not goes_on:
-                self._steps = None
-                del self._queue[text]
+            if not unfinished:
+                self._check_steps = None
+                del self._queue[text_digest]
             if self._queue:
-                self._soon()
-        for give in gives if not goes_on else ():
+                self._schedule_check_step()
+        for send_reply in callers if not unfinished else ():
             if checked is not None:
-                self._judge(checked, body, give)
-            elif refused is not None:
-                give(refused)
+                self._judge(checked, body, send_reply)
+            elif refusal is not None:
+                send_reply(refusal)
 
-    def _keep(self, text: bytes, config: Configuration, digest: bytes) -> CheckedConfig:
-        while len(self._checked) >= CHECKED:
+    def _cache_check(self, text_digest: bytes, config: Configuration, digest: bytes) -> CheckedConfig:
+        while len(self._checked) >= MAX_CACHED_CHECKS:
             del self._checked[next(iter(self._checked))]
-        checked = self._checked[text] = CheckedConfig(config.gen, digest, len(config.routes))
+        checked = self._checked[text_digest] = CheckedConfig(config.gen, digest, len(config.routes))
         return checked
 
-    def _judge(self, order: CheckedConfig, body: bytes, give: ReplyCallback) -> None:
-        held = self._core.replicated_state.latest("config")
+    def _judge(self, checked: CheckedConfig, body: bytes, send_reply: ReplyCallback) -> None:
+        """Stores, confirms or refuses a valid configuration."""
+        current = self._core.replicated_state.latest("config")
         known, forgotten = self._taken()
         changes: dict[str, Any] = {}
-        if held is not None and held["gen"] not in known:  # from before such digests were kept
-            changes |= _remember(known, held["gen"], self._digest(bytes(held["text"])))
-
-        def told(reply: Reply) -> Callable[[bool], None]:
-            return lambda done: give(reply if done else UNCONFIRMED)
-
-        if order.gen in known:
-            if known[order.gen][1] == order.digest:
-                return self._core.confirm(told(Reply(200)), after_pending=True)
-            log_event("configuration refused", why=f"another content of gen {order.gen}")
-            no = error_reply(409, f"gen {order.gen}: taken with another content, which stays")
-            return self._core.confirm(told(no), after_pending=True)
-        if forgotten is not None and order.gen <= forgotten:
-            why = f"gen {order.gen}: what was taken up to {forgotten} is no longer known"
-            return give(Reply(503, orjson.dumps({"error": why}), UNCONFIRMED.headers))
-        changes |= _remember(known, order.gen, order.digest)
-        # what gateways are sent as well comes last, so that when all is still they are as far as the core
-        if held is None or order.gen > held["gen"]:
-            log_event("configuration", gen=order.gen, routes=order.routes, bytes=len(body))
-            changes["config"] = {"gen": order.gen, "text": body}
+        if current is not None and current["gen"] not in known:  # stored by a version that kept no digests
+            changes |= _remember(known, current["gen"], self._digest(bytes(current["text"])))
+
+        def reply_if_done(reply: Reply) -> Callable[[bool], None]:
+            return lambda done: send_reply(reply if done else UNCONFIRMED)
+
+        if checked.gen in known:
+            if known[checked.gen][1] == checked.digest:
+                return self._core.confirm(reply_if_done(Reply(200)), after_pending=True)
+            log_event("configuration refused", why=f"different content for gen {checked.gen}")
+            conflict = error_reply(409, f"gen {checked.gen} is already stored with different content")
+            return self._core.confirm(reply_if_done(conflict), after_pending=True)
+        if forgotten is not None and checked.gen <= forgotten:
+            why = f"gen {checked.gen}: the contents stored up to gen {forgotten} are no longer known"
+            return send_reply(Reply(503, orjson.dumps({"error": why}), UNCONFIRMED.headers))
+        changes |= _remember(known, checked.gen, checked.digest)
+        # entries that gateways receive too come last, so that in idle periods their version equals that of the core
+        if current is None or checked.gen > current["gen"]:
+            log_event("configuration", gen=checked.gen, routes=checked.routes, bytes=len(body))
+            changes["config"] = {"gen": checked.gen, "text": body}
         else:
             changes["confirmed"] = None
-        self._core.change(changes, told(Reply(200)), after_pending=True)
+        self._core.change(changes, reply_if_done(Reply(200)), after_pending=True)
 
     def _taken(self) -> tuple[dict[int, tuple[str, bytes]], int | None]:
-        """Number -> its place and digest, with what waits to come into force; and up to which numbers are forgotten."""
+        """Number -> its slot and digest, including pending changes; and the highest forgotten number."""
         taken = self._core.replicated_state.latest_items(CONFIG_DIGESTS)
-        forgotten = taken.pop(FORGOTTEN, None)
-        return {int(gen): (place, digest) for place, (gen, digest) in taken.items()}, forgotten
+        forgotten = taken.pop(HIGHEST_FORGOTTEN, None)
+        return {int(gen): (slot, digest) for slot, (gen, digest) in taken.items()}, forgotten
 
     def _digest(self, body: bytes) -> bytes:
         from oakvale.config import model
 
-        text = blake2b(body, digest_size=16).digest()
+        text_digest = blake2b(body, digest_size=16).digest()
         try:
-            return (self._checked.get(text) or self._keep(text, *model.read(body))).digest
-        except model.Invalid:  # taken when the rules were others: nothing that is valid now is the same
+            return (self._checked.get(text_digest) or self._cache_check(text_digest, *model.read(body))).digest
+        except model.Invalid:  # stored under older rules: no text that is valid now has the same content
             return b""
 
-    def read(self, rest: str, body: bytes, give: ReplyCallback) -> None:
+    def read(self, rest: str, body: bytes, send_reply: ReplyCallback) -> None:
         def confirmed(done: bool) -> None:
-            held = self._core.replicated_state.table.get("config")
+            config = self._core.replicated_state.table.get("config")
             if not done:
-                give(UNCONFIRMED)
-            elif held is None:
-                give(error_reply(404, "no configuration yet"))
+                send_reply(UNCONFIRMED)
+            elif config is None:
+                send_reply(error_reply(404, "no configuration yet"))
             else:
-                give(Reply(200, bytes(held["text"])))
+                send_reply(Reply(200, bytes(config["text"])))
 
         self._core.confirm(confirmed)
 
 
 class BackendsHandler:
-    """Backends' own reports: `Heartbeat` and `Leave`."""
+    """Registration of backends: `Heartbeat` and `Leave`."""
 
     def __init__(self, core: Core, loop: Loop, settings: Settings) -> None:
-        self._core, self._loop, self._beat = core, loop, settings.beat
+        self._core, self._loop, self._heartbeat_interval = core, loop, settings.beat
         self._url = spelled(settings.bind["ctl"]) if "ctl" in settings.bind else ""
-        self._seen: dict[str, int] = {}
-        self._calls: dict[str, int] = {}
-        self.departure_changes: Callable[[str, str], dict[str, Any]] = (
-            lambda name, why: {}
-        )  # is written with a backend's leaving
-        core.on_serving_change.append(self._turned)
-        loop.at(loop.now + self._beat, self._sweep)
-
-    def heartbeat(self, name: str, body: bytes, give: ReplyCallback) -> None:
+        self._last_seen: dict[str, int] = {}
+        self._last_call: dict[str, int] = {}  # the number of the latest heartbeat of each
+        # returns the entries to write along with a backend's departure
+        self.departure_changes: Callable[[str, str], dict[str, Any]] = lambda name, why: {}
+        core.on_serving_change.append(self._serving_changed)
+        loop.at(loop.now + self._heartbeat_interval, self._sweep)
+
+    def heartbeat(self, name: str, body: bytes, send_reply: ReplyCallback) -> None:
         try:
             report = orjson.loads(body)
-            said = {
+            fields = {
                 "svc": str(report["svc"]),
                 "addr": str(report["addr"]),
                 "az": str(report.get("az") or ""),
@@ -232,81 +233,88 @@
                 "slots": float(report.get("slots") or 1),
                 "state": str(report.get("state") or "ready"),
             }
-            calls = int(report.get("calls") or 0)
-            warm = micros(report["warmup_time"]) if report.get("warmup_time") else 0
+            call_number = int(report.get("calls") or 0)
+            warmup_us = micros(report["warmup_time"]) if report.get("warmup_time") else 0
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError) as error:
-            return give(error_reply(400, f"beat is not understood: {error!r}"[:200]))
-        if not ID.fullmatch(name) or parse_address(said["addr"]) is None:
-            return give(error_reply(400, "no id or no address"))
+            return send_reply(error_reply(400, f"heartbeat is malformed: {error!r}"[:200]))
+        if not BACKEND_ID.fullmatch(name) or parse_address(fields["addr"]) is None:
+            return send_reply(error_reply(400, "invalid backend id or address"))
         key = f"backend/{name}"
-        held = self._core.replicated_state.latest(key)
-        self._seen[name] = self._loop.now
-        yes = Reply(200, orjson.dumps({"beat-url": self._url}))
-        late = calls and calls <= max(self._calls.get(name, 0), held["calls"] if held else 0)
-        gone = held is None and self._core.replicated_state.table.version(key) != (0, 0) and said["state"] != "ready"
-        if late or gone or self._core.replicated_state.latest(f"left/{name}") is not None:
-            return give(yes)
-        self._calls[name] = calls
-        if held is not None and all(held[field] == value for field, value in said.items()):
+        listed = self._core.replicated_state.latest(key)
+        self._last_seen[name] = self._loop.now
+        accepted = Reply(200, orjson.dumps({"beat-url": self._url}))
+        late = call_number and call_number <= max(self._last_call.get(name, 0), listed["calls"] if listed else 0)
+        removed = (
+            listed is None and self._core.replicated_state.table.version(key) != (0, 0) and fields["state"] != "ready"
+        )
+        if late or removed or self._core.replicated_state.latest(f"left/{name}") is not None:
+            return send_reply(accepted)
+        self._last_call[name] = call_number
+        if listed is not None and all(listed[field] == value for field, value in fields.items()):
             return (
-                give(yes)
+                send_reply(accepted)
                 if not self._core.replicated_state.waits()
-                else self._core.when_settled(lambda done: give(yes if done else UNCONFIRMED))
+                else self._core.when_settled(lambda done: send_reply(accepted if done else UNCONFIRMED))
             )
-        changes: dict[str, Any] = {key: said | {"calls": calls, "warm": warm}}
+        changes: dict[str, Any] = {key: fields | {"calls": call_number, "warm": warmup_us}}
         for other, value in self._core.replicated_state.table.items("backend/"):
-            if other != name and value["addr"] == said["addr"]:
-                changes[f"backend/{other}"] = None  # its address has another's life now
+            if other != name and value["addr"] == fields["addr"]:
+                changes[f"backend/{other}"] = None  # a new backend uses its address now
                 changes |= self.departure_changes(other, "replaced")
-        if held is not None and held["state"] == "ready" != said["state"]:
+        if listed is not None and listed["state"] == "ready" != fields["state"]:
             changes |= self.departure_changes(name, "drain")
-        log_event("backend", backend=name, svc=said["svc"], state=said["state"], addr=said["addr"])
-        self._core.change(changes, lambda done: give(yes if done else UNCONFIRMED))
+        log_event("backend", backend=name, svc=fields["svc"], state=fields["state"], addr=fields["addr"])
+        self._core.change(changes, lambda done: send_reply(accepted if done else UNCONFIRMED))
 
-    def leave(self, name: str, body: bytes, give: ReplyCallback) -> None:
-        self._seen.pop(name, None)
+    def leave(self, name: str, body: bytes, send_reply: ReplyCallback) -> None:
+        self._last_seen.pop(name, None)
         if self._core.replicated_state.latest(f"backend/{name}") is None:
-            return self._core.confirm(lambda done: give(Reply(200) if done else UNCONFIRMED))
+            return self._core.confirm(lambda done: send_reply(Reply(200) if done else UNCONFIRMED))
         log_event("backend leaves", backend=name)
         self._core.change(
             {f"backend/{name}": None, f"left/{name}": 1} | self.departure_changes(name, "left"),
-            lambda done: give(Reply(200) if done else UNCONFIRMED),
+            lambda done: send_reply(Reply(200) if done else UNCONFIRMED),
         )
 
-    def silent_for(self, span: int) -> list[str]:
-        """Those on the list that have not beaten for so long."""
+    def silent_for(self, span_us: int) -> list[str]:
+        """The listed backends without a heartbeat for longer than `span_us`."""
         now = self._loop.now
         return [
             name
             for name, _ in self._core.replicated_state.table.items("backend/")
-            if now - self._seen.get(name, now) > span
+            if now - self._last_seen.get(name, now) > span_us
         ]
 
-    def _turned(self, serves: bool) -> None:
-        """A new primary heard nothing before: silence counts from now."""
+    def _serving_changed(self, serves: bool) -> None:
+        """A new primary has received no heartbeats yet, so their absence counts from now."""
         if serves:
             now = self._loop.now
-            self._seen = {name: now for name, _ in self._core.replicated_state.table.items("backend/")}
-            self._calls.clear()
+            self._last_seen = {name: now for name, _ in self._core.replicated_state.table.items("backend/")}
+            self._last_call.clear()
 
     def _sweep(self, _: Any) -> None:
-        """Those not heard for some beats are taken from the list, unless so many fall silent that it is rather
-        the way from them to here that broke."""
+        """Removes backends that missed several heartbeats, unless so many did that a network fault towards this machine
+        is more likely."""
         now = self._loop.now
-        self._loop.at(now + self._beat, self._sweep)
+        self._loop.at(now + self._heartbeat_interval, self._sweep)
         if not self._core.serving():
             return
         listed = [name for name, _ in self._core.replicated_state.table.items("backend/")]
-        for name in set(self._calls) - set(listed):
-            if now - self._seen.get(name, 0) > RETENTION_US:
-                del self._calls[name]
-                self._seen.pop(name, None)
-        silent = [name for name in listed if now - self._seen.setdefault(name, now) > LOST_BEATS * self._beat]
-        quiet = [name for name in listed if now - self._seen[name] > 2 * self._beat]
+        for name in set(self._last_call) - set(listed):
+            if now - self._last_seen.get(name, 0) > RETENTION_US:
+                del self._last_call[name]
+                self._last_seen.pop(name, None)
+        silent = [
+            name
+            for name in listed
+            if now - self._last_seen.setdefault(name, now) > MISSED_HEARTBEATS_LIMIT * self._heartbeat_interval
+        ]
+        overdue = [name for name in listed if now - self._last_seen[name] > 2 * self._heartbeat_interval]
         if silent and (
-            len(quiet) <= MASS * len(listed)
-            or len(silent) == len(quiet) < len(listed)
-            and now - min(self._seen[name] for name in silent) > 4 * LOST_BEATS * self._beat
+            len(overdue) <= MAX_SILENT_SHARE * len(listed)
+            or len(silent) == len(overdue) < len(listed)
+            and now - min(self._last_seen[name] for name in silent)
+            > 4 * MISSED_HEARTBEATS_LIMIT * self._heartbeat_interval
         ):
             log_event("backends are silent", "warning", backends=",".join(silent))
             changes: dict[str, Any] = {f"backend/{name}": None for name in silent}
@@ -316,87 +324,91 @@
 
 
 class DrainsHandler:
-    """Drain orders: `Order`, `Plan` (an order that is not kept), `Show` and `Cancel`. Off without contracts."""
+    """Drain orders: `Order`, `Plan` (a dry run of an order), `Show` and `Cancel`. Available only with contracts."""
 
     def __init__(self, core: Core, drains: DrainManager) -> None:
         self._core, self._drains = core, drains
 
-    def order(self, name: str, body: bytes, give: ReplyCallback) -> None:
-        """Taken if its plan has no obstacle; sent again unchanged, it is answered as before."""
-        self._judge(name, body, give, keep=True)
+    def order(self, name: str, body: bytes, send_reply: ReplyCallback) -> None:
+        """Accepts the order if its plan has no obstacle; an unchanged retry gets the same answer."""
+        self._plan_order(name, body, send_reply, store=True)
 
-    def plan(self, name: str, body: bytes, give: ReplyCallback) -> None:
-        self._judge(name, body, give, keep=False)
+    def plan(self, name: str, body: bytes, send_reply: ReplyCallback) -> None:
+        self._plan_order(name, body, send_reply, store=False)
 
-    def _judge(self, name: str, body: bytes, give: ReplyCallback, keep: bool) -> None:
-        from oakvale.config import contracts  # here, as what they import is needed with contracts alone
+    def _plan_order(self, name: str, body: bytes, send_reply: ReplyCallback, store: bool) -> None:
+        from oakvale.config import contracts  # imported late: used only with contracts
         from oakvale.drains import report
 
         now = self._drains.now()
-        if keep and not NAME.fullmatch(name):
-            return give(error_reply(400, "no name of the order: letters, digits, dot, dash, up to 64"))
+        if store and not ORDER_NAME.fullmatch(name):
+            return send_reply(
+                error_reply(400, "invalid order name: 1 to 64 letters, digits, dots, dashes or underscores")
+            )
         try:
             form = contracts.order(contracts.Order, body)
         except contracts.BadOrder as error:
-            return give(error_reply(400, str(error)))
+            return send_reply(error_reply(400, str(error)))
         if self._drains.contracts is None:
-            return give(error_reply(409, "the file of contracts can't be used: see the log"))
+            return send_reply(error_reply(409, "the contracts file is invalid: see the log"))
         if now is None:
-            return give(error_reply(503, "the clocks of the core machines don't agree on the time yet"))
-        given = {"kind": form.kind, "target": form.target, "by": form.by, "why": form.why, "due": form.due_at()}
-        held = self._core.replicated_state.latest(f"drain/{name}") if keep else None
-        if held is not None:
-            if any(held[field] != value for field, value in given.items()):
-                return give(error_reply(409, "another order has this name"))
-            return self._core.confirm(lambda done: give(Reply(200) if done else UNCONFIRMED))
-        if keep and any(key.startswith("drain/") for key in self._core.replicated_state.waiting()):
-            return give(UNCONFIRMED)  # another order is being kept: this one's plan has to know it
-        entry, plan = self._drains.order_entry(given, now)
-        told = report.of_plan(plan)
-        if not keep:
-            return give(Reply(200, orjson.dumps(told)))
+            return send_reply(error_reply(503, "the clocks of the core machines have not agreed on a time yet"))
+        requested = {"kind": form.kind, "target": form.target, "by": form.by, "why": form.why, "due": form.due_at()}
+        stored = self._core.replicated_state.latest(f"drain/{name}") if store else None
+        if stored is not None:
+            if any(stored[field] != value for field, value in requested.items()):
+                return send_reply(error_reply(409, "another order has this name"))
+            return self._core.confirm(lambda done: send_reply(Reply(200) if done else UNCONFIRMED))
+        if store and any(key.startswith("drain/") for key in self._core.replicated_state.waiting()):
+            return send_reply(UNCONFIRMED)  # another order is being stored, and this plan depends on it
+        entry, plan = self._drains.order_entry(requested, now)
+        plan_report = report.of_plan(plan)
+        if not store:
+            return send_reply(Reply(200, orjson.dumps(plan_report)))
         if plan.obstacles:
-            return give(Reply(409, orjson.dumps({"error": "; ".join(plan.obstacles), "plan": told})))
+            return send_reply(Reply(409, orjson.dumps({"error": "; ".join(plan.obstacles), "plan": plan_report})))
         log_event("drain ordered", order=name, kind=form.kind, target=form.target, by=form.by)
         self._core.change(
-            {f"drain/{name}": entry}, lambda done: give(Reply(200, orjson.dumps(told)) if done else UNCONFIRMED)
+            {f"drain/{name}": entry},
+            lambda done: send_reply(Reply(200, orjson.dumps(plan_report)) if done else UNCONFIRMED),
         )
 
-    def cancel(self, name: str, body: bytes, give: ReplyCallback) -> None:
-        """What has moved comes back, each tenant in its hours."""
+    def cancel(self, name: str, body: bytes, send_reply: ReplyCallback) -> None:
+        """Cancels an order: tenants that have moved come back, each within its contract hours."""
         from oakvale.config import contracts
 
         try:
             form = contracts.order(contracts.Cancelled, body)
         except contracts.BadOrder as error:
-            return give(error_reply(400, str(error)))
-        held = self._core.replicated_state.latest(f"drain/{name}")
-        if held is None:
-            return give(error_reply(404, "no such order"))
-        if held["cancelled"] or held["state"] == "done":
-            return self._core.confirm(lambda done: give(Reply(200) if done else UNCONFIRMED))
+            return send_reply(error_reply(400, str(error)))
+        stored = self._core.replicated_state.latest(f"drain/{name}")
+        if stored is None:
+            return send_reply(error_reply(404, "no such order"))
+        if stored["cancelled"] or stored["state"] == "done":
+            return self._core.confirm(lambda done: send_reply(Reply(200) if done else UNCONFIRMED))
         log_event("drain cancelled", order=name, by=form.by)
-        entry = held | {
+        entry = stored | {
             "state": "cancelled",
             "cancelled": True,
             "why_state": f"cancelled by {form.by}: {form.why}",
-            "over": held["over"] or self._drains.now() or held["at"],
+            "over": stored["over"] or self._drains.now() or stored["at"],
         }
-        self._core.change({f"drain/{name}": entry}, lambda done: give(Reply(200) if done else UNCONFIRMED))
+        self._core.change({f"drain/{name}": entry}, lambda done: send_reply(Reply(200) if done else UNCONFIRMED))
 
-    def show(self, name: str, body: bytes, give: ReplyCallback) -> None:
+    def show(self, name: str, body: bytes, send_reply: ReplyCallback) -> None:
         def confirmed(done: bool) -> None:
             if not done:
-                give(UNCONFIRMED)
+                send_reply(UNCONFIRMED)
             elif name and self._core.replicated_state.table.get(f"drain/{name}") is None:
-                give(error_reply(404, "no such order"))
+                send_reply(error_reply(404, "no such order"))
             else:
-                give(Reply(200, orjson.dumps(self._drains.status(name))))
+                send_reply(Reply(200, orjson.dumps(self._drains.status(name))))
 
         self._core.confirm(confirmed)
 
 
 def primary_url(view: View | None, port: int) -> str | None:
+    """Host and `ctl` port of the primary of a view."""
     if view is None:
         return None
     address = parse_address(view.primary[0])
--- a/oakvale/controlplane/voter.py
+++ b/oakvale/controlplane/voter.py
@@ -1,8 +1,8 @@
-"""A core machine as voter: it votes on who does the duties of gateways, and keeps on disk whom it voted for.
+"""A core machine as a voter: it votes on which gateway performs a duty and stores its votes on disk.
 
-A voter that can't know whether an earlier vote of its place still binds says nothing for one span: one that begins with
-an empty disk may have lost its votes, and one that a view has just let in takes the place of another voter. Without an
-answer it counts neither for nor against a candidate, so the other voters elect without waiting for it.
+A voter that cannot know whether an earlier vote is still binding does not answer for one `SPAN`: one that starts with
+an empty disk may have lost its votes, and one that was just added to the view replaces another voter. While it does not
+answer, it counts neither for nor against a candidate, so the other voters elect without waiting for it.
 """
 
 from __future__ import annotations
@@ -18,11 +18,13 @@
 from oakvale.storage.store import Storage
 from oakvale.transport.links import Answer, Connection, Transport
 
-AGAIN = 100_000  # before a holder that did not answer is asked once more
-PROBE = 250_000  # microseconds for a holder to say which life it is
+PROBE_RETRY_DELAY_US = 100_000  # before a holder that did not answer is asked again
+PROBE_TIMEOUT_US = 250_000  # for a holder to answer with its incarnation
 
 
 class VoterService:
+    """Answers ballots and questions for the holder of a duty, and frees the votes of holders that have ended."""
+
     def __init__(
         self,
         loop: Loop,
@@ -32,113 +34,119 @@
         is_voter: Callable[[], bool] = lambda: True,
     ) -> None:
         """`first_start`: the whole system starts for the first time, so an empty disk has lost no vote;
-        `is_voter`: whether the view that is known here names this machine as a witness.
+        `is_voter`: whether the latest view known here names this machine as a voter.
         """
         self._loop, self._transport, self._storage = loop, transport, storage
         self._is_voter = is_voter
         stored = storage.fact("votes")
-        self._known = stored is not None or first_start  # which votes of this machine may bind
-        if not self._known:
-            loop.at(loop.now + SPAN, self._span_over)
+        self._votes_known = stored is not None or first_start  # no unknown vote of this machine can be binding
+        if not self._votes_known:
+            loop.at(loop.now + SPAN, self._old_votes_expired)
         self._voter_since: int | None = loop.now - SPAN if is_voter() else None
-        found = cbor2.loads(stored) if stored else {}
-        kept = {str(duty): (str(life), str(where)) for duty, (life, where) in found.items()}
-        self._voter, self._kept = Voter(kept, loop.now), kept
-        self._unsaved = 0  # writes that are not on disk yet
-        self._probing: dict[str, list[Callable[[], None]]] = {}  # life -> who waits for what becomes known of it
-        for life, where in kept.values():
-            loop.at(loop.now, lambda _, life=life, where=where: self._probe(life, where))  # type: ignore[misc]
-        transport.handlers["ballot"] = self._ballot
-        transport.handlers["who"] = self._who
+        decoded = cbor2.loads(stored) if stored else {}
+        votes = {str(duty): (str(holder), str(address)) for duty, (holder, address) in decoded.items()}
+        self._voter, self._stored_votes = Voter(votes, loop.now), votes
+        self._pending_writes = 0
+        self._probing: dict[str, list[Callable[[], None]]] = {}  # incarnation -> callbacks of the running probe
+        for holder, address in votes.values():
+            loop.at(loop.now, lambda _, holder=holder, address=address: self._probe(holder, address))  # type: ignore[misc]
+        transport.handlers["ballot"] = self._on_ballot
+        transport.handlers["who"] = self._on_who
         transport.handlers["ended"] = lambda conn, body, answer: self._voter.ended(str(body), loop.now)
 
-    def incarnation_ended(self, life: str) -> None:
-        self._voter.ended(life, self._loop.now)
+    def incarnation_ended(self, incarnation: str) -> None:
+        """Frees the votes for a gateway process that has ended."""
+        self._voter.ended(incarnation, self._loop.now)
 
-    def _span_over(self, _: Any) -> None:
-        """Whatever this machine voted for before it lost its disk binds no longer; a start from here on knows that."""
-        self._storage.write(("fact", ("votes", cbor2.dumps(self._kept))), self._now_known)
+    def _old_votes_expired(self, _: Any) -> None:
+        """No vote from before the loss of the disk is binding any more; stored, so that the next start knows it."""
+        self._storage.write(("fact", ("votes", cbor2.dumps(self._stored_votes))), self._set_votes_known)
 
-    def _now_known(self) -> None:
-        self._known = True
+    def _set_votes_known(self) -> None:
+        self._votes_known = True
 
     def _may_vote(self) -> bool:
-        """Whether no vote that this machine doesn't know of may still bind its place among the voters."""
+        """Whether this machine is a voter, and no vote unknown to it can still be binding in its place."""
         if not self._is_voter():
             self._voter_since = None
             return False
         if self._voter_since is None:
             self._voter_since = self._loop.now
-        return self._known and self._loop.now - self._voter_since >= SPAN
+        return self._votes_known and self._loop.now - self._voter_since >= SPAN
 
-    def _ballot(self, conn: Connection, body: Any, answer: Answer) -> None:
+    def _on_ballot(self, conn: Connection, body: Any, answer: Answer) -> None:
         if not self._may_vote():
             return
-        duty, kind, number, where = str(body[0]), str(body[1]), (int(body[2][0]), str(body[2][1])), str(body[3])
-        # the clock of this moment: a process that stood still in its turn would bind itself to a time that is over
-        word = self._voter.hear(Ask(duty, kind, number), where, self._loop.clock())
-        packed = [word.kind, list(word.number), word.yes, word.round, word.holder, word.where, word.left]
-        kept = self._voter.kept()
-        if kept != self._kept or self._unsaved:  # only another holder costs a sync, renewals don't
-            self._kept = kept
-            self._unsaved += 1
+        duty, kind, number, address = str(body[0]), str(body[1]), (int(body[2][0]), str(body[2][1])), str(body[3])
+        # reads the clock now: after a pause within this turn, `loop.now` would date the vote too early
+        vote = self._voter.hear(Ask(duty, kind, number), address, self._loop.clock())
+        packed = [vote.kind, list(vote.number), vote.yes, vote.round, vote.holder, vote.where, vote.left]
+        votes = self._voter.kept()
+        if votes != self._stored_votes or self._pending_writes:  # renewals by the same holder need no sync
+            self._stored_votes = votes
+            self._pending_writes += 1
 
             def saved() -> None:
-                self._unsaved -= 1
+                self._pending_writes -= 1
                 answer(packed)
 
-            self._storage.write(("fact", ("votes", cbor2.dumps(kept))), saved)
+            self._storage.write(("fact", ("votes", cbor2.dumps(votes))), saved)
         else:
             answer(packed)
-        if not word.yes and word.holder:
-            self._probe(word.holder, word.where)
+        if not vote.yes and vote.holder:
+            self._probe(vote.holder, vote.where)
 
-    def _probe(self, life: str, where: str, then: Callable[[], None] = lambda: None) -> None:
-        """Somebody misses the holder: if it has ended its votes are freed at once. `then` is called once that is known
-        to be so or not, or can't be told in time.
+    def _probe(self, holder: str, where: str, on_done: Callable[[], None] = lambda: None) -> None:
+        """Asks a suspected holder for its incarnation, and frees its votes at once if it has ended. `on_done` is called
+        with the answer or at the timeout.
         """
         address = parse_address(where)
         if address is None:
-            return then()
-        if life in self._probing:
-            return self._probing[life].append(then)
-        self._probing[life] = [then]
-        asked = self._loop.now
+            return on_done()
+        if holder in self._probing:
+            return self._probing[holder].append(on_done)
+        self._probing[holder] = [on_done]
+        asked_at = self._loop.now
 
         def answered(answer: Any) -> None:
-            waiting = self._probing.pop(life, [])
-            if isinstance(answer, str) and answer != life or answer is None and self._transport.ended(address, asked):
-                self._voter.ended(life, self._loop.now)
-            elif answer is None and self._voter.votes_for(life, self._loop.now):
-                self._loop.at(self._loop.now + AGAIN, lambda _: self._probe(life, where))
-            for call in waiting:
+            callbacks = self._probing.pop(holder, [])
+            if (
+                isinstance(answer, str)
+                and answer != holder
+                or answer is None
+                and self._transport.ended(address, asked_at)
+            ):
+                self._voter.ended(holder, self._loop.now)
+            elif answer is None and self._voter.votes_for(holder, self._loop.now):
+                self._loop.at(self._loop.now + PROBE_RETRY_DELAY_US, lambda _: self._probe(holder, where))
+            for call in callbacks:
                 call()
 
-        self._transport.ask(address, "life", None, PROBE, answered)
+        self._transport.ask(address, "life", None, PROBE_TIMEOUT_US, answered)
 
-    def _who(self, conn: Connection, body: Any, answer: Answer) -> None:
-        """Who asks may live where the holder did, which then has ended; but the question may be one that was long on
-        its way, so it is asked back."""
+    def _on_who(self, conn: Connection, body: Any, answer: Answer) -> None:
+        """Answers who holds a duty. A process that asks from the holder's address replaces it, so the holder has ended;
+        the request may be delayed, though, so the sender is asked for its incarnation first."""
         if not self._may_vote():
             return
-        duty, where, life = str(body[0]), str(body[1]), str(body[2])
-        held = self._voter.holder(duty, self._loop.now)
-
-        def say(_: Any = None) -> None:
-            now = self._voter.holder(duty, self._loop.now)
-            answer([now[1] if now else None])
-
-        def alive(said: Any) -> None:
-            if said == life:
-                self._voter.ended(held[0], self._loop.now)  # type: ignore[index]
-            say()
-
-        suspected = len(body) > 3 and bool(body[3])  # a gateway of the version before does not say
-        if held is None or held[0] == life:
-            say()
-        elif held[1] == where:
-            self._transport.ask_on(conn, "life", None, PROBE, alive)
+        duty, address, incarnation = str(body[0]), str(body[1]), str(body[2])
+        holder = self._voter.holder(duty, self._loop.now)
+
+        def reply(_: Any = None) -> None:
+            current = self._voter.holder(duty, self._loop.now)
+            answer([current[1] if current else None])
+
+        def on_incarnation(reported: Any) -> None:
+            if reported == incarnation:
+                self._voter.ended(holder[0], self._loop.now)  # type: ignore[index]
+            reply()
+
+        suspected = len(body) > 3 and bool(body[3])  # gateways of the previous version omit it
+        if holder is None or holder[0] == incarnation:
+            reply()
+        elif holder[1] == address:
+            self._transport.ask_on(conn, "life", None, PROBE_TIMEOUT_US, on_incarnation)
         elif suspected:
-            self._probe(*held, say)
+            self._probe(*holder, reply)
         else:
-            say()
+            reply()
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -69,20 +69,20 @@
         bound = SimpleNamespace(bind={"ctl": ADDRESS}, beat=SECOND)
         self.ctl = ControlServer(Shared(self.loop, given), cast(Any, core), cast(Any, bound))
         self.taken: list[str] = []
-        self.gives: list[tuple[str, Callable[[Reply], None]]] = []
+        self.replies: list[tuple[str, Callable[[Reply], None]]] = []
         self.ctl._handlers[(b"POST", "Test.Order")] = self._order
         self.listener = self.net.listen(ADDRESS, 9)
         Acceptor(cast(Any, self.ctl), cast(Any, self.listener), self.loop)
         self.callers: list[Caller] = []
         self.orders = 0
 
-    def _order(self, name: str, body: bytes, give: Callable[[Reply], None]) -> None:
+    def _order(self, name: str, body: bytes, send_reply: Callable[[Reply], None]) -> None:
         assert body == name.encode() * 9
         self.taken.append(name)
         if body[-1] % 3:
-            self.gives.append((name, give))
+            self.replies.append((name, send_reply))
         else:
-            give(Reply(200, name.encode()))
+            send_reply(Reply(200, name.encode()))
 
     def step(self, what: int, which: int) -> None:
         here = [c for c in self.callers if not c.left and not c.line.closed and not c.line.fin_in]
@@ -103,11 +103,11 @@
             ).encode()
             caller.sent.append(name)
             caller.push((0, 0, 7, 40)[which & 3])
-        elif what < 11 and self.gives:
-            name, give = self.gives.pop(which % len(self.gives))
+        elif what < 11 and self.replies:
+            name, give = self.replies.pop(which % len(self.replies))
             give(Reply(200 if which & 16 else 503, name.encode()))
             if which & 64:
-                self.gives.append((name, give))  # it is told once more, later
+                self.replies.append((name, give))  # it is told once more, later
         elif what == 11:
             self.now += (MS, 300 * MS, 3 * SECOND, 7 * SECOND)[which & 3]
         elif what == 12 and caller is not None and which & 1:
@@ -129,7 +129,7 @@
             caller.line.room = PLENTY
             caller.push(0)
         for _ in range(2 * len(self.taken) + self.orders + 9):
-            gives, self.gives = self.gives, []
+            gives, self.replies = self.replies, []
             for name, give in gives:
                 give(Reply(200, name.encode()))
             self.turn()
