--- a/oakvale/controlplane/core.py
+++ b/oakvale/controlplane/core.py
@@ -41,6 +41,7 @@
 
 
 def address_of(peer: Seat) -> Address:
+    """The network address of a replica."""
     address = parse_address(peer[0])
     assert address is not None
     return address
@@ -73,7 +74,7 @@
         self._leases = Leases(
             start.own, PEER_TIMEOUT_US, loop.clock(), start.durable.view, int(served) if served else 0
         )
-        self._waiting = PendingCallbacks(CHANGE_TIMEOUT_US)
+        self._pending_callbacks = PendingCallbacks(CHANGE_TIMEOUT_US)
         self._last_served: int | None = None  # when it was last found serving in this view
         self._pending_check_scheduled = False
         self._latest_incarnation: dict[Seat, int] = {}  # the latest start seen of each peer
@@ -89,9 +90,9 @@
         transport.handlers["sync"] = lambda conn, body, answer: self._do(self.replicator.sync(body, answer))
         transport.handlers["offer"] = lambda conn, body, answer: self._do(self.replicator.offer(body, answer))
         transport.handlers["piece"] = lambda conn, body, answer: self._do(self.replicator.piece(body, answer))
-        transport.handlers["subscribe"] = self._subscribe
+        transport.handlers["subscribe"] = self._on_subscribe
         transport.handlers["leave"] = lambda conn, body, answer: self.publisher.leave(conn)
-        transport.handlers["digests"] = self._digests
+        transport.handlers["digests"] = self._on_digests
         self._do(self.replicator.flush())
         loop.at(loop.now, self._send_heartbeats)
         loop.at(loop.now + PULSE, self._publish_pulse)
@@ -172,13 +173,13 @@
     def change(self, changes: dict[str, Any], then: Then, after_pending: bool = False) -> None:
         """Proposes a change. Calls `then` with True once it is in force and published to subscribers. Calls it with
         False when the lease is lost or after `CHANGE_TIMEOUT_US`; the change may still come into force later."""
-        on_done = self._waiting.add(then, self.loop.clock())
+        on_done = self._pending_callbacks.add(then, self.loop.clock())
         self._do(self.replicator.change(changes or {"confirmed": None}, on_done, after_pending))
         self._schedule_pending_check()
 
     def when_settled(self, on_done: Then) -> None:
         """Calls `on_done` with True once everything pending now is in force; with False as `change` does."""
-        self.replicated_state.when_settled(self._waiting.add(on_done, self.loop.clock()))
+        self.replicated_state.when_settled(self._pending_callbacks.add(on_done, self.loop.clock()))
         self._schedule_pending_check()
 
     # ---- executing the decisions
@@ -261,7 +262,7 @@
         """Checks whether this replica serves now; without a lease all pending callers are answered at once."""
         now, view = self.loop.clock(), self.view()
         serves = self.serving()
-        for on_done in self._waiting.take_expired(now, not serves):
+        for on_done in self._pending_callbacks.take_expired(now, not serves):
             on_done(False)
         if not serves or view is None:
             return
@@ -275,9 +276,9 @@
     def _schedule_pending_check(self) -> None:
         """Schedules a check for when the lease expires or the first pending caller times out."""
         view = self.view()
-        if not self._pending_check_scheduled and self._waiting and view is not None:
+        if not self._pending_check_scheduled and self._pending_callbacks and view is not None:
             self._pending_check_scheduled = True
-            due = min(self._leases.expires_at(view), self._waiting.next_deadline())
+            due = min(self._leases.expires_at(view), self._pending_callbacks.next_deadline())
             self.loop.at(max(self.loop.now + MIN_PENDING_CHECK_INTERVAL_US, due), self._check_pending)
 
     def _check_pending(self, _: Any) -> None:
@@ -371,14 +372,14 @@
             self.publisher.publish(self._next_pulse(), [])
         self.loop.at(self.loop.now + PULSE, self._publish_pulse)
 
-    def _digests(self, conn: Connection, body: Any, answer: Answer) -> None:
+    def _on_digests(self, conn: Connection, body: Any, answer: Answer) -> None:
         """Answers only while serving: another replica may hold changes that are not in force or were replaced."""
         if self.serving():
             self.publisher.mend(conn, body, answer)
         else:
             answer(None)
 
-    def _subscribe(self, conn: Connection, body: Any, answer: Answer) -> None:
+    def _on_subscribe(self, conn: Connection, body: Any, answer: Answer) -> None:
         """Only the primary accepts subscribers; other replicas name the primary."""
         if self.serving():
             answer({})
@@ -388,5 +389,5 @@
         answer({"primary": primary[0] if primary and primary != self.self_id else None})
 
 
-def _addresses_of(seats: tuple[Seat, ...]) -> str:
-    return ",".join(peer[0] for peer in seats)
+def _addresses_of(replicas: tuple[Seat, ...]) -> str:
+    return ",".join(peer[0] for peer in replicas)
--- a/oakvale/controlplane/leases.py
+++ b/oakvale/controlplane/leases.py
@@ -84,7 +84,7 @@
 
 
 class PendingCallbacks:
-    """Callbacks of changes without a result yet. Each is called once: with True when the change is in force, with False
+    """Callbacks of changes without a result. Each is called once: with True when the change is in force, or with False
     when that is not known."""
 
     def __init__(self, timeout_us: int) -> None:
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -1,4 +1,4 @@
-"""Orders on the connections of `ctl`: each is taken once and in order, its answer goes where it came from, in place."""
+"""Requests on `ctl` connections: each is handled once and in order, and answered on its connection in its place."""
 
 from __future__ import annotations
 
@@ -23,23 +23,25 @@
 from tests.memory_connections import PLENTY, Line, Lines
 
 ADDRESS = ("10.0.0.1", 8783)
-MOST = 8  # orders at once
+MAX_CONCURRENT_ORDERS = 8
 bounds_of = bounds
 
 
 @dataclass(eq=False)
 class Caller:
+    """A client connection and the orders sent on it."""
+
     line: Line
-    sent: list[str] = field(default_factory=list)  # whole
+    sent: list[str] = field(default_factory=list)  # orders
     unsent: bytes = b""
     left: bool = False
-    slow: bool = False  # it did not read for a time
+    slow: bool = False  # it stopped reading for a time
 
     def push(self, cut: int) -> None:
         if not self.left and not self.line.fin_in:
-            count = max(1, len(self.unsent) - cut) if self.unsent else 0
-            self.line.say(self.unsent[:count])
-            self.unsent = self.unsent[count:]
+            size = max(1, len(self.unsent) - cut) if self.unsent else 0
+            self.line.say(self.unsent[:size])
+            self.unsent = self.unsent[size:]
 
     def answers(self) -> list[tuple[int, bytes]]:
         data, found = self.line.read(), list[tuple[int, bytes]]()
@@ -88,7 +90,7 @@
         here = [c for c in self.callers if not c.left and not c.line.closed and not c.line.fin_in]
         caller = here[which % len(here)] if here else None
         under_way = sum(len(c.sent) for c in here) - sum(len(c.answers()) for c in here)
-        if what < 6 and under_way < MOST:
+        if what < 6 and under_way < MAX_CONCURRENT_ORDERS:
             if caller is None or which & 32:
                 line = self.net.line()
                 line.up = True
@@ -104,10 +106,10 @@
             caller.sent.append(name)
             caller.push((0, 0, 7, 40)[which & 3])
         elif what < 11 and self.replies:
-            name, give = self.replies.pop(which % len(self.replies))
-            give(Reply(200 if which & 16 else 503, name.encode()))
+            name, send_reply = self.replies.pop(which % len(self.replies))
+            send_reply(Reply(200 if which & 16 else 503, name.encode()))
             if which & 64:
-                self.replies.append((name, give))  # it is told once more, later
+                self.replies.append((name, send_reply))  # called a second time later
         elif what == 11:
             self.now += (MS, 300 * MS, 3 * SECOND, 7 * SECOND)[which & 3]
         elif what == 12 and caller is not None and which & 1:
@@ -129,18 +131,18 @@
             caller.line.room = PLENTY
             caller.push(0)
         for _ in range(2 * len(self.taken) + self.orders + 9):
-            gives, self.replies = self.replies, []
-            for name, give in gives:
-                give(Reply(200, name.encode()))
+            replies, self.replies = self.replies, []
+            for name, send_reply in replies:
+                send_reply(Reply(200, name.encode()))
             self.turn()
         for caller in self.callers:
             names = [body.decode() for status, body in caller.answers() if status != 408]
-            late = len(names) < len(caller.answers())  # the last of an order came too late
-            assert names == caller.sent[: len(names)], f"{caller.sent} heard {names}"
+            late = len(names) < len(caller.answers())  # the end of an order came after the timeout
+            assert names == caller.sent[: len(names)], f"{caller.sent} got {names}"
             excused = caller.left or late or caller.slow and caller.line.closed
-            assert excused or len(names) == len(caller.sent), f"{caller.sent} heard {names}"
+            assert excused or len(names) == len(caller.sent), f"{caller.sent} got {names}"
             taken = [name for name in self.taken if name in caller.sent]
-            assert taken == caller.sent[: len(taken)], f"{caller.sent} were taken as {taken}"
+            assert taken == caller.sent[: len(taken)], f"{caller.sent} were handled as {taken}"
         self.loop.close()
 
     def turn(self) -> None:
@@ -153,29 +155,29 @@
 
 
 def test_each_order_is_answered_on_its_own_connection_and_in_its_place() -> None:
-    """Pipelined, on connections used again, cut, half-closed, from callers that go before the answer; answers that come
-    in another order than their orders, and twice."""
+    """Pipelined requests on reused, cut and half-closed connections, from callers that leave before the answer; replies
+    in a different order than the requests, and duplicate replies."""
     search(600)
 
 
-def again(owner: Owner, request: Any, answer: Answer) -> None:
-    """An answer that is told twice, or late, is given all the same."""
+def answer_although_over(owner: Owner, request: Any, answer: Answer) -> None:
+    """Sends a duplicate or late answer all the same."""
     request.client.give(answer)
     request.over = False
 
 
-def impatient(given: Any) -> Limits:
+def with_timeout_behind_pending(given: Any) -> Limits:
     return replace(bounds(given), patient=False)
 
 
 BREAKAGES: dict[str, tuple[Any, str, Any]] = {
-    "told twice": (Owner, "final", again),
-    "out of time": (sys.modules[__name__], "bounds_of", impatient),
+    "answered twice": (Owner, "final", answer_although_over),
+    "timeout while pending": (sys.modules[__name__], "bounds_of", with_timeout_behind_pending),
 }
 
 
 @pytest.mark.parametrize("what", BREAKAGES)
-def test_each_mechanism_of_orders_taken_out_is_found(monkeypatch: pytest.MonkeyPatch, what: str) -> None:
+def test_each_removed_mechanism_is_detected(monkeypatch: pytest.MonkeyPatch, what: str) -> None:
     monkeypatch.setattr(*BREAKAGES[what])
     with pytest.raises(AssertionError):
         search(400, shrinks=False)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: of two primaries only one serves at a time, and who can't know answers at once."""
+"""Leases: only one primary serves at a time, and callers are answered at once when the outcome is unknown."""
 
 from __future__ import annotations
 
@@ -18,46 +18,46 @@
 ONE = founding([A[0], B[0], C[0]], 2)
 TWO = View(2, B, (C,), ONE.witnesses)
 T = 10**9
-SECOND, LASTS = 1_000_000, PEER_TIMEOUT_US - CLOCK_MARGIN_US
+SECOND, HELD_US = 1_000_000, PEER_TIMEOUT_US - CLOCK_MARGIN_US
 
 
-def leases(own: Seat, view: View = ONE, served: int = 0, now: int = T) -> Leases:
-    return Leases(own, PEER_TIMEOUT_US, now, view, served)
+def leases(self_id: Seat, view: View = ONE, served: int = 0, now: int = T) -> Leases:
+    return Leases(self_id, PEER_TIMEOUT_US, now, view, served)
 
 
-def test_a_lease_counts_from_when_the_question_was_sent() -> None:
-    """However late the answer is read: after a pause, or behind a cut."""
+def test_a_lease_starts_when_the_request_was_sent() -> None:
+    """However late the answer is read, after a pause or a network cut."""
     held = leases(A)
     assert not held.holds(ONE, T)
     held.answered(B, 1, T)
-    assert held.holds(ONE, T + LASTS - 1) and not held.holds(ONE, T + LASTS)
+    assert held.holds(ONE, T + HELD_US - 1) and not held.holds(ONE, T + HELD_US)
     held.answered(B, 1, T - SECOND)
-    assert held.expires_at(ONE) == T + LASTS
+    assert held.expires_at(ONE) == T + HELD_US
     held.answered(B, 1, T + 5)
-    assert held.expires_at(ONE) == T + LASTS + 5
+    assert held.expires_at(ONE) == T + HELD_US + 5
 
 
-def test_a_lease_is_of_one_view_and_of_all_its_backups() -> None:
+def test_a_lease_needs_all_backups_of_the_same_view() -> None:
     held, both = leases(A), View(1, A, (B, C), ONE.witnesses)
     held.answered(B, 1, T)
     assert not held.holds(both, T) and not held.holds(View(2, A, (B,), ONE.witnesses), T)
     held.answered(C, 1, T - 10)
-    assert held.expires_at(both) == T - 10 + LASTS
+    assert held.expires_at(both) == T - 10 + HELD_US
     held.answered(B, 2, T)
     assert not held.holds(both, T)
-    assert leases(A).expires_at(View(1, A, (), (A,))) > T + 10**12  # nobody else could
+    assert leases(A).expires_at(View(1, A, (), (A,))) > T + 10**12  # no other replica could take over
 
 
-def test_who_granted_a_lease_waits_until_it_has_run_out() -> None:
+def test_a_backup_serves_only_after_the_lease_it_granted_has_expired() -> None:
     held = leases(B)
     assert held.grant(ONE, A, T) == 1 and held.grant(ONE, C, T) == 0 and held.grant(TWO, A, T) == 0
     held.answered(C, 2, T + PEER_TIMEOUT_US - 1)
     assert not held.holds(TWO, T + PEER_TIMEOUT_US - 1) and held.holds(TWO, T + PEER_TIMEOUT_US)
 
 
-def test_what_was_granted_before_a_start_is_not_known() -> None:
-    """But for who had served in its view before, and for who leads the first view."""
-    for own, view, served, free in (
+def test_after_a_start_a_grant_is_assumed() -> None:
+    """Except by a replica that served in its view before, and by the primary of the first view."""
+    for self_id, view, served, expired in (
         (B, TWO, 0, False),
         (B, TWO, 1, False),
         (B, TWO, 2, True),
@@ -65,11 +65,11 @@
         (B, ONE, 0, False),
         (C, TWO, 2, False),
     ):
-        held = leases(own, view, served)
-        assert held.grants_expired(T) is free and held.grants_expired(T + PEER_TIMEOUT_US), (view, served)
+        held = leases(self_id, view, served)
+        assert held.grants_expired(T) is expired and held.grants_expired(T + PEER_TIMEOUT_US), (view, served)
 
 
-def test_who_has_ended_holds_nothing_any_more() -> None:
+def test_a_grant_ends_with_the_replica_that_it_was_made_to() -> None:
     held = leases(B)
     held.grant(ONE, A, T)
     held.peer_reported_view(A, 1)
@@ -83,47 +83,47 @@
     held.grant(ONE, A, T)
     held.peer_ended(A)
     assert held.grants_expired(T)
-    own = leases(A)
-    own.answered(B, 1, T)
-    own.relinquish()
-    assert not own.holds(ONE, T)
+    primary = leases(A)
+    primary.answered(B, 1, T)
+    primary.relinquish()
+    assert not primary.holds(ONE, T)
 
 
-def test_an_author_hears_once_and_soon() -> None:
-    waiting, told = PendingCallbacks(SECOND), list[tuple[str, bool]]()
-    first = waiting.add(lambda done: told.append(("first", done)), T)
-    second = waiting.add(lambda done: told.append(("second", done)), T + 5)
+def test_a_callback_is_called_once_and_at_the_timeout_at_the_latest() -> None:
+    pending, results = PendingCallbacks(SECOND), list[tuple[str, bool]]()
+    first = pending.add(lambda done: results.append(("first", done)), T)
+    second = pending.add(lambda done: results.append(("second", done)), T + 5)
     first(True), first(True)
     assert (
-        told == [("first", True)]
-        and waiting.next_deadline() == T + 5 + SECOND
-        and not waiting.take_expired(T + SECOND, False)
+        results == [("first", True)]
+        and pending.next_deadline() == T + 5 + SECOND
+        and not pending.take_expired(T + SECOND, False)
     )
-    for then in waiting.take_expired(T + 6, True):
+    for then in pending.take_expired(T + 6, True):
         then(False)
     second(True)
-    assert told == [("first", True), ("second", False)] and not waiting
+    assert results == [("first", True), ("second", False)] and not pending
 
 
-# ---- a core that serves by them
+# ---- a core with leases
 
 
-def test_a_long_time_without_a_lease_is_a_new_beginning() -> None:
-    """Or a primary that was frozen with its backup counts the backends' and gateways' silence from before."""
+def test_serving_after_a_long_gap_without_a_lease_starts_a_new_term() -> None:
+    """Otherwise a primary that was frozen with its backup would count missed heartbeats of backends from before."""
     world = settled()
     machine, core, backup = roles(world)
-    told: list[bool] = []
-    core.on_serving_change.append(told.append)
+    changes: list[bool] = []
+    core.on_serving_change.append(changes.append)
     other = next(m for m in world.machines if m.core is backup)
-    for span, began in ((600 * MS, []), (20 * SECOND, [True])):
+    for span, expected in ((600 * MS, []), (20 * SECOND, [True])):
         world.pause(machine, span)
         world.pause(other, span)
         world.run(span + SECOND)
-        assert world.serving() is machine and told == began
+        assert world.serving() is machine and changes == expected
 
 
-def test_a_copy_that_does_not_serve_mends_nobody() -> None:
-    """It may hold what is not in force, or was replaced."""
+def test_only_the_serving_replica_answers_digests() -> None:
+    """Another one may hold changes that are not in force or were replaced."""
     world = settled()
     answers: list[Any] = []
     for core in roles(world)[1:]:
@@ -131,7 +131,7 @@
     assert answers[0] is not None and answers[1] is None
 
 
-def test_words_of_an_earlier_life_end_nothing_and_renew_nothing() -> None:
+def test_delayed_messages_of_an_earlier_incarnation_are_ignored() -> None:
     world = settled()
     machine, core, backup = roles(world)
     before = core.replicator.life
@@ -149,23 +149,23 @@
     assert not backup.view_manager.alive(core.self_id, world.now) and backup._leases.grants_expired(world.now)
 
 
-def test_a_vote_binds_from_when_it_is_given() -> None:
-    """A juror that is stopped within a turn goes on with the clock of before, and would vote for another at once."""
+def test_a_vote_is_binding_from_when_it_is_given() -> None:
+    """A voter paused within a turn still has the old `loop.now`; a vote dated by it would expire too early."""
     time = [T]
     loop = SimpleNamespace(now=T - 20 * SECOND, clock=lambda: time[0], at=lambda *_: [])
     disk = SimpleNamespace(fact=lambda name: None, write=lambda what, then: then())
     transport = SimpleNamespace(handlers={}, ask=lambda *_: None)
     VoterService(cast(Any, loop), cast(Any, transport), cast(Any, disk))
-    said: list[list[Any]] = []
-    for at, life in ((T, "one"), (T + SPAN - 1, "other"), (T + SPAN, "other")):
+    votes: list[list[Any]] = []
+    for at, incarnation in ((T, "one"), (T + SPAN - 1, "other"), (T + SPAN, "other")):
         time[0] = at
-        loop.now = at if life == "other" else loop.now
-        transport.handlers["ballot"](None, ["counter", "elect", [1, life], "h:1"], said.append)
-    assert [word[2] for word in said] == [True, False, True]
+        loop.now = at if incarnation == "other" else loop.now
+        transport.handlers["ballot"](None, ["counter", "elect", [1, incarnation], "h:1"], votes.append)
+    assert [vote[2] for vote in votes] == [True, False, True]
 
 
-def test_who_is_given_the_state_waits_as_if_it_had_granted_a_lease() -> None:
-    """Its primary may have granted one to the primary before, and end at once."""
+def test_a_replica_that_takes_over_the_state_waits_as_if_it_had_granted_a_lease() -> None:
+    """The primary that sent it may have granted a lease to its predecessor, and may end at once."""
     world = settled()
     backup = roles(world)[2]
     backup._leases._granted.clear()
@@ -173,7 +173,7 @@
     assert not backup._leases.grants_expired(world.now)
 
 
-def test_who_served_in_its_view_does_not_wait_after_a_start() -> None:
+def test_a_primary_that_served_in_its_view_does_not_wait_after_a_restart() -> None:
     world = settled()
     world.down(roles(world)[0], 5 * SECOND)
     world.run(4 * SECOND)
@@ -184,8 +184,8 @@
     assert world.serving() is machine
 
 
-def test_who_goes_while_it_is_missed_serves_no_longer() -> None:
-    """Its backup takes over at once, without the silence; the process may have a moment left."""
+def test_a_primary_that_leaves_while_still_needed_stops_serving() -> None:
+    """Its backup takes over without waiting for a timeout, while the process may still run for a moment."""
     core = roles(settled())[1]
     assert core.serving()
     core._check_departure((0, lambda: None))
