--- a/oakvale/controlplane/core.py
+++ b/oakvale/controlplane/core.py
@@ -170,11 +170,11 @@
             self.transport.tell(address, "gone", [*self.self_id, self.replicator.life])
         deadline_and_callback[1]()
 
-    def change(self, changes: dict[str, Any], then: Then, after_pending: bool = False) -> None:
-        """Proposes a change. Calls `then` with True once it is in force and published to subscribers. Calls it with
+    def change(self, changes: dict[str, Any], on_done: Then, after_pending: bool = False) -> None:
+        """Proposes a change. Calls `on_done` with True once it is in force and published to subscribers. Calls it with
         False when the lease is lost or after `CHANGE_TIMEOUT_US`; the change may still come into force later."""
-        on_done = self._pending_callbacks.add(then, self.loop.clock())
-        self._do(self.replicator.change(changes or {"confirmed": None}, on_done, after_pending))
+        call_once = self._pending_callbacks.add(on_done, self.loop.clock())
+        self._do(self.replicator.change(changes or {"confirmed": None}, call_once, after_pending))
         self._schedule_pending_check()
 
     def when_settled(self, on_done: Then) -> None:
--- a/oakvale/controlplane/leases.py
+++ b/oakvale/controlplane/leases.py
@@ -96,9 +96,9 @@
             self._entries.popleft()
         return bool(self._entries)
 
-    def add(self, then: Then, now: int) -> Then:
+    def add(self, on_done: Then, now: int) -> Then:
         """Returns the callback to use instead: it passes on only the first result."""
-        once = _CalledOnce(then)
+        once = _CalledOnce(on_done)
         self._entries.append((now, once))
         return once
 
@@ -115,12 +115,12 @@
 
 
 class _CalledOnce:
-    __slots__ = ("then", "called")
+    __slots__ = ("on_done", "called")
 
-    def __init__(self, then: Then) -> None:
-        self.then, self.called = then, False
+    def __init__(self, on_done: Then) -> None:
+        self.on_done, self.called = on_done, False
 
     def __call__(self, done: bool) -> None:
         if not self.called:
             self.called = True
-            self.then(done)
+            self.on_done(done)
--- a/oakvale/controlplane/membership.py
+++ b/oakvale/controlplane/membership.py
@@ -39,7 +39,10 @@
             if address is not None:
                 self._transport.tell(address, "serves", self._core.self_id[0])
         if serves and view is not None:
-            members = {"copies": [seat[0] for seat in view.copies], "witnesses": [seat[0] for seat in view.witnesses]}
+            members = {
+                "copies": [replica[0] for replica in view.copies],
+                "witnesses": [replica[0] for replica in view.witnesses],
+            }
             if self._core.replicated_state.latest("core") != members:
                 self._core.change({"core": members}, lambda done: None)
 
--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -105,7 +105,7 @@
         text_digest = blake2b(body, digest_size=16).digest()
         checked = self._checked.get(text_digest)
         if checked is not None:
-            return self._judge(checked, body, send_reply)
+            return self._decide(checked, body, send_reply)
         if text_digest in self._queue:
             return self._queue[text_digest][1].append(send_reply)
         if len(self._queue) >= MAX_QUEUED_CHECKS:
@@ -142,7 +142,7 @@
                 self._schedule_check_step()
         for send_reply in callers if not unfinished else ():
             if checked is not None:
-                self._judge(checked, body, send_reply)
+                self._decide(checked, body, send_reply)
             elif refusal is not None:
                 send_reply(refusal)
 
@@ -152,10 +152,10 @@
         checked = self._checked[text_digest] = CheckedConfig(config.gen, digest, len(config.routes))
         return checked
 
-    def _judge(self, checked: CheckedConfig, body: bytes, send_reply: ReplyCallback) -> None:
+    def _decide(self, checked: CheckedConfig, body: bytes, send_reply: ReplyCallback) -> None:
         """Stores, confirms or refuses a valid configuration."""
         current = self._core.replicated_state.latest("config")
-        known, forgotten = self._taken()
+        known, forgotten = self._stored_digests()
         changes: dict[str, Any] = {}
         if current is not None and current["gen"] not in known:  # stored by a version that kept no digests
             changes |= _remember(known, current["gen"], self._digest(bytes(current["text"])))
@@ -181,7 +181,7 @@
             changes["confirmed"] = None
         self._core.change(changes, reply_if_done(Reply(200)), after_pending=True)
 
-    def _taken(self) -> tuple[dict[int, tuple[str, bytes]], int | None]:
+    def _stored_digests(self) -> tuple[dict[int, tuple[str, bytes]], int | None]:
         """Number -> its slot and digest, including pending changes; and the highest forgotten number."""
         taken = self._core.replicated_state.latest_items(CONFIG_DIGESTS)
         forgotten = taken.pop(HIGHEST_FORGOTTEN, None)
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -132,7 +132,7 @@
 
 
 def another_content_is_confirmed(
-    config: ConfigHandler, order: Any, body: bytes, give: ReplyCallback, real: Any = ConfigHandler._judge
+    config: ConfigHandler, order: Any, body: bytes, give: ReplyCallback, real: Any = ConfigHandler._decide
 ) -> None:
     """Any number that is not above the one held gets a yes, whatever content it comes with."""
     held = config._core.replicated_state.latest("config")
@@ -183,7 +183,7 @@
     "a second content is confirmed": Break(
         "CONFIG",
         day(("config_race", 2.0, {"how": "number"})),
-        {"oakvale.controlplane.resources.ConfigHandler._judge": another_content_is_confirmed},
+        {"oakvale.controlplane.resources.ConfigHandler._decide": another_content_is_confirmed},
     ),
     "what is cut off is read": Break(
         "CONFIG",
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,6 +1,6 @@
-"""Orders of operators over the control state in simulated time: one number, one content, and the same order again.
+"""Configurations sent by operators, in simulated time: each number gets one content, and retries are confirmed.
 
-The plain model is a map from numbers to the contents that were confirmed, and the set of what was refused.
+The reference model is a map from numbers to confirmed contents, and the set of refused ones.
 """
 
 from __future__ import annotations
@@ -26,17 +26,19 @@
 
 
 def order(gen: int, content: int, spelling: int = 0) -> bytes:
-    said: dict[str, Any] = {
+    config: dict[str, Any] = {
         "gen": gen,
         "routes": {"cols": [], "rows": []},
         "svcs": {"cols": ["name", "hcheck"], "rows": [[f"s{content}", None]]},
     }
     if spelling == 1:
-        said["svcs"] = {"rows": [[f"s{content}"]], "cols": ["name"]}
-    return orjson.dumps(said, option=orjson.OPT_INDENT_2 if spelling == 2 else 0)
+        config["svcs"] = {"rows": [[f"s{content}"]], "cols": ["name"]}
+    return orjson.dumps(config, option=orjson.OPT_INDENT_2 if spelling == 2 else 0)
 
 
 class Operators:
+    """Sends configurations to simulated core machines and checks every answer against the reference model."""
+
     def __init__(self, seed: int) -> None:
         self.configs: dict[Machine, ConfigHandler] = {}
         self.confirmed: dict[int, int] = {}
@@ -51,11 +53,11 @@
         self.configs[machine] = ConfigHandler(machine.core)
 
     def send(self, machine: Machine | None, gen: int, content: int, spelling: int = 0) -> None:
-        """To a machine that takes orders; others send the caller on."""
+        """Sends it to a machine if that one serves; others would redirect the caller."""
         if machine is None or machine.core is None or machine.paused or not machine.core.serving():
             return
 
-        def give(reply: Reply) -> None:
+        def check(reply: Reply) -> None:
             self.answers.append(reply.status)
             if reply.status == 200:
                 assert self.confirmed.setdefault(gen, content) == content, f"two contents of {gen}"
@@ -66,10 +68,10 @@
             else:
                 assert reply.status == 503
 
-        self.configs[machine].replace("", order(gen, content, spelling), give)
+        self.configs[machine].replace("", order(gen, content, spelling), check)
 
-    def now(self, gen: int, content: int, spelling: int = 0) -> int:
-        """Sends it to who serves now; its answer."""
+    def send_now(self, gen: int, content: int, spelling: int = 0) -> int:
+        """Sends it to the serving machine and returns the status of the answer."""
         self.answers.clear()
         self.send(self.world.serving(), gen, content, spelling)
         self.world.run(200 * MS)
@@ -77,21 +79,21 @@
         return status
 
     def schedule(self, gen: int) -> None:
-        """Two contents or the same one, several times, to any machines, around something that fails."""
+        """Sends one to three contents several times to any machines, often around a fault."""
         rng, world = self.rng, self.world
         contents = rng.choice([(0,), (0, 1), (0, 1), (0, 1, 2)])
         for _ in range(rng.randrange(2, 7)):
             due = world.now + rng.randrange(rng.choice([5, 30, 1_200]) * MS)
-            world.at(due, partial(self._everywhere, gen, rng.choice(contents), rng.randrange(3)))
+            world.at(due, partial(self._send_to_some, gen, rng.choice(contents), rng.randrange(3)))
         if rng.random() < 0.6:
-            world.at(world.now + rng.randrange(40 * MS), self._fault)
+            world.at(world.now + rng.randrange(40 * MS), self._inject_fault)
         world.run(rng.choice([60, 300, 1_500]) * MS)
 
-    def _everywhere(self, gen: int, content: int, spelling: int) -> None:
-        for machine in self.rng.choices(self.world.machines, k=5):  # one may get it twice at once
+    def _send_to_some(self, gen: int, content: int, spelling: int) -> None:
+        for machine in self.rng.choices(self.world.machines, k=5):  # one machine may get it twice
             self.send(machine, gen, content, spelling)
 
-    def _fault(self) -> None:
+    def _inject_fault(self) -> None:
         rng, world = self.rng, self.world
         machine = world.primary() if rng.random() < 0.7 else rng.choice(world.machines)
         others = [m for m in world.machines if m is not machine]
@@ -112,7 +114,7 @@
             world.down(machine, span)
 
     def day(self, schedules: int) -> None:
-        """Then all heals, and of all that was ever sent under a number one content is confirmed and the others
+        """Plays schedules and heals all faults; after that each number has one confirmed content, and others are
         refused."""
         newest, sent = 0, list[int]()
         for _ in range(schedules):
@@ -128,14 +130,14 @@
         self.world.run(10 * SECOND)
         for gen in dict.fromkeys(sent):
             first = self.confirmed.get(gen)
-            got = {content: self.now(gen, content) for content in self.rng.sample(range(CONTENTS), CONTENTS)}
-            assert sorted(got.values()) == [200, 409, 409]
-            assert first is None or got[first] == 200
-        held = self.held()
-        assert held["gen"] == max(self.confirmed)
-        assert bytes(held["text"]) in [order(held["gen"], self.confirmed[held["gen"]], n) for n in range(3)]
-
-    def held(self) -> Any:
+            statuses = {content: self.send_now(gen, content) for content in self.rng.sample(range(CONTENTS), CONTENTS)}
+            assert sorted(statuses.values()) == [200, 409, 409]
+            assert first is None or statuses[first] == 200
+        config = self.config()
+        assert config["gen"] == max(self.confirmed)
+        assert bytes(config["text"]) in [order(config["gen"], self.confirmed[config["gen"]], n) for n in range(3)]
+
+    def config(self) -> Any:
         machine = self.world.serving()
         assert machine is not None and machine.core is not None
         return machine.core.replicated_state.table.get("config")
@@ -143,54 +145,60 @@
 
 @pytest.mark.parametrize("part", range(4))
 def test_one_number_one_content(part: int) -> None:
-    """2,000 drawn schedules."""
+    """2,000 random schedules."""
     for seed in range(part * 10, part * 10 + 10):
         Operators(seed).day(50)
 
 
 @pytest.mark.parametrize("seed", [0, 4, 5, 10])
-def test_one_number_one_content_where_orders_go_in_pieces(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Ahead of a large order its pieces are sent; what is said of it meanwhile waits for it."""
+def test_one_number_one_content_when_configurations_are_sent_in_chunks(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The chunks of a large configuration are sent first; answers about it wait until it is in force."""
     monkeypatch.setattr(chunks, "INLINE", 120)
     monkeypatch.setattr(chunks, "PIECE", 100)
     Operators(seed).day(50)
 
 
-def test_what_is_remembered_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """In the table and on the disks, without graves, and gateways hold none of it. A number that is known no longer is
-    neither confirmed nor refused."""
+def test_the_number_of_remembered_digests_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+    """In the table and on disk, without tombstones, and gateways hold none. A forgotten number is neither confirmed nor
+    refused."""
     monkeypatch.setattr(resources, "MAX_REMEMBERED_CONFIGS", 20)
     operators = Operators(1)
-    assert [operators.now(gen, gen % 3) for gen in range(2, 402, 2)] == [200] * 200
+    assert [operators.send_now(gen, gen % 3) for gen in range(2, 402, 2)] == [200] * 200
     machine = operators.world.serving()
     assert machine is not None and machine.core is not None
     table, gateway = machine.core.replicated_state.table, operators.world.gateway
-    for held in (machine.disk.rows, {key for key, _, _ in table.since(NOTHING)}):
-        assert len([key for key in held if key.startswith(CONFIG_DIGESTS)]) == 21
+    for keys in (machine.disk.rows, {key for key, _, _ in table.since(NOTHING)}):
+        assert len([key for key in keys if key.startswith(CONFIG_DIGESTS)]) == 21
     assert not gateway.items(CONFIG_DIGESTS) and gateway.get("config") == table.get("config")
-    assert (operators.now(361, 0), operators.now(361, 0)) == (200, 503)  # the lowest of 21, forgotten at once
-    assert (operators.now(363, 0), gateway.high) == (200, table.high)
+    assert (operators.send_now(361, 0), operators.send_now(361, 0)) == (200, 503)  # the lowest of 21, forgotten at once
+    assert (operators.send_now(363, 0), gateway.high) == (200, table.high)
     assert gateway.digests() == table.digests() and not gateway.differing(table.digests())
-    assert (operators.now(364, 364 % 3), operators.now(364, 0), operators.now(363, 1)) == (200, 409, 409)
-    assert (operators.now(362, 362 % 3), operators.now(361, 0), operators.now(10, 10 % 3)) == (503, 503, 503)
-    assert (operators.now(400, 400 % 3), operators.now(400, 0), operators.held()["gen"]) == (200, 409, 400)
+    assert (operators.send_now(364, 364 % 3), operators.send_now(364, 0), operators.send_now(363, 1)) == (200, 409, 409)
+    assert (operators.send_now(362, 362 % 3), operators.send_now(361, 0), operators.send_now(10, 10 % 3)) == (
+        503,
+        503,
+        503,
+    )
+    assert (operators.send_now(400, 400 % 3), operators.send_now(400, 0), operators.config()["gen"]) == (200, 409, 400)
 
 
-def test_a_state_from_before_contents_were_remembered() -> None:
-    """The one that is held counts; of older numbers nothing is known, and one content is confirmed from then on."""
+def test_a_state_stored_without_digests() -> None:
+    """The stored configuration counts; older numbers are unknown, and get one confirmed content from then on."""
     operators = Operators(1)
     machine = operators.world.serving()
     assert machine is not None and machine.core is not None
     machine.core.change({"config": {"gen": 7, "text": order(7, 1)}}, lambda done: None)
     operators.world.run(200 * MS)
-    assert (operators.now(7, 0), operators.now(7, 1, 2)) == (409, 200)
-    assert (operators.now(5, 0), operators.now(5, 1), operators.now(9, 2)) == (200, 409, 200)
-    assert (operators.now(7, 0), operators.now(7, 1, 1), operators.held()["gen"]) == (409, 200, 9)
+    assert (operators.send_now(7, 0), operators.send_now(7, 1, 2)) == (409, 200)
+    assert (operators.send_now(5, 0), operators.send_now(5, 1), operators.send_now(9, 2)) == (200, 409, 200)
+    assert (operators.send_now(7, 0), operators.send_now(7, 1, 1), operators.config()["gen"]) == (409, 200, 9)
 
 
-def test_eight_large_orders_at_once_hold_no_heartbeat_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each takes a second to check, in steps, and one that is sent again while it waits is checked once. With all, or
-    each, in one turn the primary was replaced."""
+def test_eight_large_configurations_at_once_delay_no_heartbeat(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each takes a second to check, in steps, and a duplicate of a queued one is not checked again. Whole checks in one
+    turn would get the primary replaced."""
     operators = Operators(1)
     world, checks, real = operators.world, list[bytes](), model.reading
 
@@ -213,41 +221,41 @@
     assert view is not None and view.number == 1
 
 
-# ---- the same, broken on purpose
+# ---- deliberate faults that the tests above must detect
 
 
-def in_force_alone(self: ReplicatedState, prefix: str) -> dict[str, Any]:
+def without_pending(self: ReplicatedState, prefix: str) -> dict[str, Any]:
     return dict(self.table.items(prefix))
 
 
-def refused_at_once(
+def refused_before_durable(
     self: ConfigHandler,
     checked: resources.CheckedConfig,
     body: bytes,
-    give: resources.ReplyCallback,
-    real: Any = ConfigHandler._judge,
+    send_reply: resources.ReplyCallback,
+    real: Any = ConfigHandler._decide,
 ) -> None:
-    known, _ = self._taken()
+    known, _ = self._stored_digests()
     if known.get(checked.gen, ("", checked.digest))[1] != checked.digest:
-        return give(resources.error_reply(409, "another waits, or is in force"))
-    real(self, checked, body, give)
+        return send_reply(resources.error_reply(409, "different content is pending or in force"))
+    real(self, checked, body, send_reply)
 
 
 BREAKAGES: dict[str, tuple[tuple[Any, str, Any], ...]] = {
-    "any-below": ((ConfigHandler, "_judge", undone.any_below),),
+    "any-below": ((ConfigHandler, "_decide", undone.any_below),),
     "digest-forgotten": (
-        (ConfigHandler, "_taken", undone.taken_in_memory),
+        (ConfigHandler, "_stored_digests", undone.taken_in_memory),
         (resources, "_remember", undone.remember_in_memory),
     ),
-    "what-waits-unseen": ((ReplicatedState, "latest_items", in_force_alone),),
-    "refused-at-once": ((ConfigHandler, "_judge", refused_at_once),),
+    "pending-ignored": ((ReplicatedState, "latest_items", without_pending),),
+    "refused-before-durable": ((ConfigHandler, "_decide", refused_before_durable),),
 }
 
 
 @pytest.mark.parametrize("name", BREAKAGES)
-def test_what_is_broken_on_purpose_is_found(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    for whose, part, other in BREAKAGES[name]:
-        monkeypatch.setattr(whose, part, other)
+def test_each_deliberate_fault_is_detected(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    for owner, attribute, replacement in BREAKAGES[name]:
+        monkeypatch.setattr(owner, attribute, replacement)
     with pytest.raises(AssertionError):
         for seed in range(40):
             Operators(seed).day(50)
