--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -167,10 +167,10 @@
             if known[checked.gen][1] == checked.digest:
                 return self._core.confirm(reply_if_done(Reply(200)), after_pending=True)
             log_event("configuration refused", why=f"different content for gen {checked.gen}")
-            conflict = error_reply(409, f"gen {checked.gen} is already stored with different content")
+            conflict = error_reply(409, f"gen {checked.gen}: taken with another content, which stays")
             return self._core.confirm(reply_if_done(conflict), after_pending=True)
         if forgotten is not None and checked.gen <= forgotten:
-            why = f"gen {checked.gen}: the contents stored up to gen {forgotten} are no longer known"
+            why = f"gen {checked.gen}: what was taken up to {forgotten} is no longer known"
             return send_reply(Reply(503, orjson.dumps({"error": why}), UNCONFIRMED.headers))
         changes |= _remember(known, checked.gen, checked.digest)
         # entries that gateways receive too come last, so that in idle periods their version equals that of the core
@@ -236,9 +236,9 @@
             call_number = int(report.get("calls") or 0)
             warmup_us = micros(report["warmup_time"]) if report.get("warmup_time") else 0
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError) as error:
-            return send_reply(error_reply(400, f"heartbeat is malformed: {error!r}"[:200]))
+            return send_reply(error_reply(400, f"beat is not understood: {error!r}"[:200]))
         if not BACKEND_ID.fullmatch(name) or parse_address(fields["addr"]) is None:
-            return send_reply(error_reply(400, "invalid backend id or address"))
+            return send_reply(error_reply(400, "no id or no address"))
         key = f"backend/{name}"
         listed = self._core.replicated_state.latest(key)
         self._last_seen[name] = self._loop.now
@@ -342,17 +342,15 @@
 
         now = self._drains.now()
         if store and not ORDER_NAME.fullmatch(name):
-            return send_reply(
-                error_reply(400, "invalid order name: 1 to 64 letters, digits, dots, dashes or underscores")
-            )
+            return send_reply(error_reply(400, "no name of the order: letters, digits, dot, dash, up to 64"))
         try:
             form = contracts.order(contracts.Order, body)
         except contracts.BadOrder as error:
             return send_reply(error_reply(400, str(error)))
         if self._drains.contracts is None:
-            return send_reply(error_reply(409, "the contracts file is invalid: see the log"))
+            return send_reply(error_reply(409, "the file of contracts can't be used: see the log"))
         if now is None:
-            return send_reply(error_reply(503, "the clocks of the core machines have not agreed on a time yet"))
+            return send_reply(error_reply(503, "the clocks of the core machines don't agree on the time yet"))
         requested = {"kind": form.kind, "target": form.target, "by": form.by, "why": form.why, "due": form.due_at()}
         stored = self._core.replicated_state.latest(f"drain/{name}") if store else None
         if stored is not None:
--- a/oakvale/lab/undone.py
+++ b/oakvale/lab/undone.py
@@ -72,7 +72,8 @@
 
 
 def any_below(self: ConfigHandler, order: CheckedConfig, body: bytes, give: ReplyCallback) -> None:
-    """As `ConfigHandler._decide`, but whatever is not above the number held was confirmed: two contents under one number."""
+    """As `ConfigHandler._decide`, but whatever is not above the number held was confirmed: two contents under one
+    number."""
     held = self._core.replicated_state.latest("config")
 
     def told(done: bool) -> None:
@@ -84,7 +85,8 @@
 
 
 def taken_in_memory(self: ConfigHandler) -> Any:
-    """As `ConfigHandler._stored_digests`, with the next: what was taken is known to the process that took it, until it ends."""
+    """As `ConfigHandler._stored_digests`, with the next: what was taken is known to the process that took it, until it
+    ends."""
     return self.__dict__.setdefault("_memory", {}), None
 
 
