--- a/oakvale/controlplane/failover_planning.py
+++ b/oakvale/controlplane/failover_planning.py
@@ -30,7 +30,7 @@
 MAX_SILENT_SHARE = 0.5  # of the locations; if more stop responding, the network towards this machine is at fault
 
 log_event = EventLogger(__name__)
-Key = tuple[str, str]  # zone and service
+ZoneAndService = tuple[str, str]
 
 
 class FailoverPlanner:
@@ -52,9 +52,9 @@
             chain_settings,
             settings,
         )
-        self._capacity: dict[Key, float] = {}  # as measured by board holders
-        self._loads: dict[tuple[str, str, int], float] = {}  # home, service, rank -> slots
-        self._planned: tuple[dict[Key, float], dict[Key, float], frozenset[str]] | None = None
+        self._capacity: dict[ZoneAndService, float] = {}  # as measured by board holders
+        self._loads: dict[tuple[str, str, int], float] = {}  # home zone, service, rank -> load in slots
+        self._planned: tuple[dict[ZoneAndService, float], dict[ZoneAndService, float], frozenset[str]] | None = None
         self._older_plans: list[tuple[int, Chains]] = []  # until when a gateway may still use each version
         self._last_planned = -MIN_PLAN_INTERVAL_US
         core.on_serving_change.append(self._serving_changed)
@@ -88,13 +88,13 @@
             return
         assert self._chain_settings is not None
         listed = dict(self._core.replicated_state.table.items("backend/"))
-        announced: dict[Key, float] = {}
+        announced: dict[ZoneAndService, float] = {}
         for value in listed.values():
             if value["state"] == "ready":
                 key = str(value["az"]), str(value["svc"])
                 announced[key] = announced.get(key, 0.0) + float(value["slots"])
         silent = set(self._backends.silent_for(int(SILENT_HEARTBEATS * self._settings.beat)))
-        silent_slots: dict[Key, float] = {}
+        silent_slots: dict[ZoneAndService, float] = {}
         for name in silent & {name for name, value in listed.items() if value["state"] == "ready"}:
             key = str(listed[name]["az"]), str(listed[name]["svc"])
             silent_slots[key] = silent_slots.get(key, 0.0) + float(listed[name]["slots"])
@@ -108,7 +108,7 @@
         }
         loads = [Load(home, service, rank, work) for (home, service, rank), work in sorted(self._loads.items()) if work]
         gateways = frozenset(node for node, _ in self._core.replicated_state.table.items("gate/"))
-        demand: dict[Key, float] = {}
+        demand: dict[ZoneAndService, float] = {}
         for load in loads:
             demand[load.home, load.service] = demand.get((load.home, load.service), 0.0) + load.work
         if now - self._last_planned >= MIN_PLAN_INTERVAL_US and gateways and self._differs(capacity, demand, gateways):
@@ -143,7 +143,9 @@
         if changes:
             self._core.change(changes, lambda done: None)
 
-    def _differs(self, capacity: dict[Key, float], demand: dict[Key, float], gateways: frozenset[str]) -> bool:
+    def _differs(
+        self, capacity: dict[ZoneAndService, float], demand: dict[ZoneAndService, float], gateways: frozenset[str]
+    ) -> bool:
         if self._planned is None:
             return True
         previous_capacity, previous_demand, previous_gateways = self._planned
@@ -154,7 +156,7 @@
         )
 
     def _update_quiet(self, listed: dict[str, Any], silent: set[str], changes: dict[str, Any]) -> None:
-        by_location: dict[Key, list[bool]] = {}
+        by_location: dict[ZoneAndService, list[bool]] = {}
         for name, value in listed.items():
             by_location.setdefault((str(value["svc"]), str(value["az"])), []).append(name in silent)
         quiet = sorted(list(key) for key, all_silent in by_location.items() if all(all_silent))
--- a/oakvale/controlplane/membership.py
+++ b/oakvale/controlplane/membership.py
@@ -91,7 +91,7 @@
         }
         reports = self._missing_reports.setdefault(f"{node} {incarnation}", {})
         reports[watcher] = now
-        recent = [w for w, at in reports.items() if now - at < REPORT_WINDOW_US]
+        recent = [reporter for reporter, at in reports.items() if now - at < REPORT_WINDOW_US]
         others = len(core.replicated_state.table.items("gate/")) - 1
         if len(recent) >= min(MIN_REPORTING_WATCHERS, max(1, others)):
             log_event("gateway is gone", "warning", gateway=node, said=",".join(sorted(recent)))
--- a/tests/test_drains_core.py
+++ b/tests/test_drains_core.py
@@ -129,7 +129,7 @@
     cores = Cores(1, tmp_path / "contracts.toml")
     assert cores.order("o1", verb="plan")[1]["obstacles"] == []
     assert cores.order("o1")[0] == 200
-    assert cores.order("o1")[0] == 200  # sent again
+    assert cores.order("o1")[0] == 200  # an unchanged retry
     assert cores.order("o1", "b1")[0] == 409  # a different order with this name
     status, reply = cores.order("o2")
     assert (status, reply["error"]) == (409, "b0 is under another order")
