--- a/oakvale/controlplane/process.py
+++ b/oakvale/controlplane/process.py
@@ -27,7 +27,7 @@
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.lifecycle.signals import Signals
-from oakvale.shared import Shared
+from oakvale.shared import SharedResources
 from oakvale.storage.store import Storage
 from oakvale.transport.links import Transport
 from oakvale.transport.status_service import offer
@@ -79,7 +79,7 @@
         GatewayRegistry(core, voter_service, loop, self.transport)
         Compactor(core, loop)
         offer(self.transport, "headworks", settings.node, lambda: core_status(core))
-        self.shared = Shared(loop, bounds(settings))
+        self.shared = SharedResources(loop, bounds(settings))
         self._ctl = ControlServer(self.shared, core, settings)
         self.acceptor = Acceptor(self._ctl, listeners["ctl"], loop)
         self._drains: DrainManager | None = None
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -17,7 +17,7 @@
 from oakvale.controlplane.resources import Reply
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.memory.requests import Answer
-from oakvale.shared import Owner, Shared
+from oakvale.shared import ConnectionOwner, SharedResources
 from tests import schedules
 from tests.data_plane_model import MS, SECOND, SETTINGS, START
 from tests.memory_connections import PLENTY, Line, Lines
@@ -69,7 +69,7 @@
         replicated_state = SimpleNamespace(table=SimpleNamespace(items=lambda prefix: []))
         core = SimpleNamespace(on_serving_change=[], serving=lambda: True, replicated_state=replicated_state)
         bound = SimpleNamespace(bind={"ctl": ADDRESS}, beat=SECOND)
-        self.ctl = ControlServer(Shared(self.loop, given), cast(Any, core), cast(Any, bound))
+        self.ctl = ControlServer(SharedResources(self.loop, given), cast(Any, core), cast(Any, bound))
         self.taken: list[str] = []
         self.replies: list[tuple[str, Callable[[Reply], None]]] = []
         self.ctl._handlers[(b"POST", "Test.Order")] = self._order
@@ -160,7 +160,7 @@
     search(600)
 
 
-def answer_although_over(owner: Owner, request: Any, answer: Answer) -> None:
+def answer_although_over(owner: ConnectionOwner, request: Any, answer: Answer) -> None:
     """Sends a duplicate or late answer all the same."""
     request.client.give(answer)
     request.over = False
@@ -171,7 +171,7 @@
 
 
 BREAKAGES: dict[str, tuple[Any, str, Any]] = {
-    "answered twice": (Owner, "final", answer_although_over),
+    "answered twice": (ConnectionOwner, "final", answer_although_over),
     "timeout while pending": (sys.modules[__name__], "bounds_of", with_timeout_behind_pending),
 }
 
