--- a/oakvale/controlplane/voter.py
+++ b/oakvale/controlplane/voter.py
@@ -1,8 +1,8 @@
 """A core machine as a voter: it votes on which gateway performs a duty and stores its votes on disk.
 
-A voter that cannot know whether an earlier vote is still binding does not answer for one `SPAN`: one that starts with
-an empty disk may have lost its votes, and one that was just added to the view replaces another voter. While it does not
-answer, it counts neither for nor against a candidate, so the other voters elect without waiting for it.
+A voter that cannot know whether an earlier vote is still binding does not answer for one `VOTE_DURATION_US`: one that
+starts with an empty disk may have lost its votes, and one that was just added to the view replaces another voter. While
+it does not answer, it counts neither for nor against a candidate, so the other voters elect without waiting for it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from oakvale.base.address import parse_address
 from oakvale.base.loop import Loop
-from oakvale.election.voting import SPAN, Ask, Voter
+from oakvale.election.voting import VOTE_DURATION_US, Voter, VoteRequest
 from oakvale.storage.store import Storage
 from oakvale.transport.links import Answer, Connection, Transport
 
@@ -41,8 +41,8 @@
         stored = storage.fact("votes")
         self._votes_known = stored is not None or first_start  # no unknown vote of this machine can be binding
         if not self._votes_known:
-            loop.at(loop.now + SPAN, self._old_votes_expired)
-        self._voter_since: int | None = loop.now - SPAN if is_voter() else None
+            loop.at(loop.now + VOTE_DURATION_US, self._old_votes_expired)
+        self._voter_since: int | None = loop.now - VOTE_DURATION_US if is_voter() else None
         decoded = cbor2.loads(stored) if stored else {}
         votes = {str(duty): (str(holder), str(address)) for duty, (holder, address) in decoded.items()}
         self._voter, self._stored_votes = Voter(votes, loop.now), votes
@@ -52,11 +52,11 @@
             loop.at(loop.now, lambda _, holder=holder, address=address: self._probe(holder, address))  # type: ignore[misc]
         transport.handlers["ballot"] = self._on_ballot
         transport.handlers["who"] = self._on_who
-        transport.handlers["ended"] = lambda conn, body, answer: self._voter.ended(str(body), loop.now)
+        transport.handlers["ended"] = lambda conn, body, answer: self._voter.release_votes(str(body), loop.now)
 
     def incarnation_ended(self, incarnation: str) -> None:
         """Frees the votes for a gateway process that has ended."""
-        self._voter.ended(incarnation, self._loop.now)
+        self._voter.release_votes(incarnation, self._loop.now)
 
     def _old_votes_expired(self, _: Any) -> None:
         """No vote from before the loss of the disk is binding any more; stored, so that the next start knows it."""
@@ -72,16 +72,24 @@
             return False
         if self._voter_since is None:
             self._voter_since = self._loop.now
-        return self._votes_known and self._loop.now - self._voter_since >= SPAN
+        return self._votes_known and self._loop.now - self._voter_since >= VOTE_DURATION_US
 
     def _on_ballot(self, conn: Connection, body: Any, answer: Answer) -> None:
         if not self._may_vote():
             return
         duty, kind, number, address = str(body[0]), str(body[1]), (int(body[2][0]), str(body[2][1])), str(body[3])
         # reads the clock now: after a pause within this turn, `loop.now` would date the vote too early
-        vote = self._voter.hear(Ask(duty, kind, number), address, self._loop.clock())
-        packed = [vote.kind, list(vote.number), vote.yes, vote.round, vote.holder, vote.where, vote.left]
-        votes = self._voter.kept()
+        vote = self._voter.vote(VoteRequest(duty, kind, number), address, self._loop.clock())
+        packed = [
+            vote.kind,
+            list(vote.ballot),
+            vote.granted,
+            vote.highest_round,
+            vote.holder,
+            vote.holder_address,
+            vote.remaining_us,
+        ]
+        votes = self._voter.recorded_holders()
         if votes != self._stored_votes or self._pending_writes:  # renewals by the same holder need no sync
             self._stored_votes = votes
             self._pending_writes += 1
@@ -93,8 +101,8 @@
             self._storage.write(("fact", ("votes", cbor2.dumps(votes))), saved)
         else:
             answer(packed)
-        if not vote.yes and vote.holder:
-            self._probe(vote.holder, vote.where)
+        if not vote.granted and vote.holder:
+            self._probe(vote.holder, vote.holder_address)
 
     def _probe(self, holder: str, where: str, on_done: Callable[[], None] = lambda: None) -> None:
         """Asks a suspected holder for its incarnation, and frees its votes at once if it has ended. `on_done` is called
@@ -116,7 +124,7 @@
                 or answer is None
                 and self._transport.ended(address, asked_at)
             ):
-                self._voter.ended(holder, self._loop.now)
+                self._voter.release_votes(holder, self._loop.now)
             elif answer is None and self._voter.votes_for(holder, self._loop.now):
                 self._loop.at(self._loop.now + PROBE_RETRY_DELAY_US, lambda _: self._probe(holder, where))
             for call in callbacks:
@@ -138,7 +146,7 @@
 
         def on_incarnation(reported: Any) -> None:
             if reported == incarnation:
-                self._voter.ended(holder[0], self._loop.now)  # type: ignore[index]
+                self._voter.release_votes(holder[0], self._loop.now)  # type: ignore[index]
             reply()
 
         suspected = len(body) > 3 and bool(body[3])  # gateways of the previous version omit it
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -10,7 +10,7 @@
 from oakvale.controlplane.replication import Replaced
 from oakvale.controlplane.view_change import FOUNDER, Seat, View, founding
 from oakvale.controlplane.voter import VoterService
-from oakvale.election.voting import SPAN
+from oakvale.election.voting import VOTE_DURATION_US
 from tests.simulated_processes import MS
 from tests.test_view_change import roles, settled
 
@@ -157,7 +157,7 @@
     transport = SimpleNamespace(handlers={}, ask=lambda *_: None)
     VoterService(cast(Any, loop), cast(Any, transport), cast(Any, disk))
     votes: list[list[Any]] = []
-    for at, incarnation in ((T, "one"), (T + SPAN - 1, "other"), (T + SPAN, "other")):
+    for at, incarnation in ((T, "one"), (T + VOTE_DURATION_US - 1, "other"), (T + VOTE_DURATION_US, "other")):
         time[0] = at
         loop.now = at if incarnation == "other" else loop.now
         transport.handlers["ballot"](None, ["counter", "elect", [1, incarnation], "h:1"], votes.append)
--- a/tests/test_voter.py
+++ b/tests/test_voter.py
@@ -8,7 +8,7 @@
 import pytest
 
 from oakvale.controlplane.voter import VoterService
-from oakvale.election.voting import SPAN
+from oakvale.election.voting import VOTE_DURATION_US
 from tests.ratelimit_simulation import Fleet
 from tests.simulated_processes import MS, SECOND
 
@@ -29,11 +29,11 @@
     for gateway in others:
         gateway.start()
     fleet.run(2 * SECOND)
-    assert holder.rate_limiter is not None and len(holder.rate_limiter.held()) == 4
+    assert holder.rate_limiter is not None and len(holder.rate_limiter.held_duties()) == 4
     fleet.cut([holder], [*others, other_side_voter], 60 * SECOND, True)
     fleet.cut(others, [holder_side_voter], 60 * SECOND, True)
-    fleet.run(SPAN + 300 * MS)
-    assert len(holder.rate_limiter.held()) == 4
+    fleet.run(VOTE_DURATION_US + 300 * MS)
+    assert len(holder.rate_limiter.held_duties()) == 4
     common_voter.wipe()
     fleet.run(50 * MS)
     common_voter.start()
@@ -43,7 +43,7 @@
 def test_a_voter_that_lost_its_disk_gives_no_second_vote_while_the_first_is_binding() -> None:
     fleet = fleet_with_one_common_voter()
     fleet.run(5 * SECOND)  # the fleet checks continuously that no duty has two holders
-    held = [duty for gateway in fleet.gates if gateway.rate_limiter for duty in gateway.rate_limiter.held()]
+    held = [duty for gateway in fleet.gates if gateway.rate_limiter for duty in gateway.rate_limiter.held_duties()]
     assert len(held) == 4, "counted again once the lost votes are no longer binding"
 
 
@@ -99,21 +99,21 @@
 def test_with_an_empty_disk_no_ballot_and_no_question_is_answered_for_a_span() -> None:
     process = VoterProcess(None)
     start_voter(process, first_start=False)
-    process.run(SPAN - 1)
+    process.run(VOTE_DURATION_US - 1)
     assert not process.votes("a") and not process.answers("who", ["d", "2.2.2.2:2", "a"])
-    process.run(SPAN)
+    process.run(VOTE_DURATION_US)
     assert process.votes("a") and process.answers("who", ["d", "2.2.2.2:2", "a"])
 
 
 def test_a_restart_within_the_span_starts_it_again() -> None:
     process = VoterProcess(None)
     start_voter(process, first_start=False)
-    process.run(SPAN - 1)
+    process.run(VOTE_DURATION_US - 1)
     start_voter(process, first_start=False)  # killed before it stored that its votes are known
     process.timers = process.timers[-1:]
-    process.run(SPAN)
+    process.run(VOTE_DURATION_US)
     assert not process.votes("a")
-    process.run(2 * SPAN)
+    process.run(2 * VOTE_DURATION_US)
     assert process.votes("a")
 
 
@@ -127,13 +127,13 @@
 def test_a_new_voter_of_a_view_waits_for_a_span_and_a_removed_one_does_not_answer() -> None:
     process, is_voter = VoterProcess({}), [False]
     start_voter(process, first_start=False, is_voter=lambda: is_voter[0])
-    process.run(10 * SPAN)
+    process.run(10 * VOTE_DURATION_US)
     assert not process.votes("a"), "not a voter"
     is_voter[0] = True
     assert not process.votes("a"), "the voter that it replaces may have voted just before"
-    process.run(11 * SPAN - 1)
+    process.run(11 * VOTE_DURATION_US - 1)
     assert not process.votes("a")
-    process.run(11 * SPAN)
+    process.run(11 * VOTE_DURATION_US)
     assert process.votes("a")
     is_voter[0] = False
     assert not process.votes("a")
