--- a/tests/test_view_change.py
+++ b/tests/test_view_change.py
@@ -7,7 +7,7 @@
 import cbor2
 import pytest
 
-from oakvale.controlplane.core import SILENCE, Core
+from oakvale.controlplane.core import PEER_TIMEOUT_US, Core
 from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.controlplane.view_change import (
     BOOTSTRAP_INCARNATION,
@@ -107,7 +107,7 @@
     assert machine is not None and machine.core is not None
     view = machine.core.view()
     assert view is not None
-    [backup] = [m for m in world.machines if m.core is not None and m.core.own == view.backups[0]]
+    [backup] = [m for m in world.machines if m.core is not None and m.core.self_id == view.backups[0]]
     assert backup.core is not None
     return machine, machine.core, backup.core
 
@@ -130,7 +130,7 @@
     world.change(machine)
     world.run(SECOND)
     world.down(machine, 4 * SECOND, wiped)
-    backup._carry(backup.view_manager.learn(View(2, A, (C,), ABC.witnesses)))
+    backup._apply_view_change(backup.view_manager.learn(View(2, A, (C,), ABC.witnesses)))
     world.run(3_500 * MS)
     now = world.serving()
     assert now is not None and now.core is backup
@@ -145,9 +145,9 @@
     primary, backup, other = (m.core for m in world.machines)
     assert primary is not None and backup is not None and other is not None
     view = View(2, A, (C,), ABC.witnesses)
-    other._carry(other.view_manager.message(world.now, B, "void", [view.pack()]))
-    backup._carry(backup.view_manager.learn(view))
-    primary._carry(primary.view_manager.learn(view))
+    other._apply_view_change(other.view_manager.message(world.now, B, "void", [view.pack()]))
+    backup._apply_view_change(backup.view_manager.learn(view))
+    primary._apply_view_change(primary.view_manager.learn(view))
     world.machines[1].kill()
     world.run(4 * SECOND)
     assert world.serving() is world.machines[0]
@@ -196,7 +196,7 @@
     world.down(machine, 100 * MS)
     world.run(2 * SECOND)
     again = roles(world)[1]
-    assert again.own == core.own and again is not core and again._next_pulse() > before
+    assert again.self_id == core.self_id and again is not core and again._next_pulse() > before
 
 
 def test_seeds_keep_their_bootstrap_view() -> None:
@@ -217,9 +217,9 @@
     machine.disk_hangs = world.now + 5 * SECOND
     results: list[bool] = []
     core.change({"a": 1}, results.append)
-    view = View(2, backup.own, (core.own,), ABC.witnesses)
+    view = View(2, backup.self_id, (core.self_id,), ABC.witnesses)
     assert machine.life is not None
-    body = [view.pack(), list(backup.own), [1, 1], [0, [], []], []]
+    body = [view.pack(), list(backup.self_id), [1, 1], [0, [], []], []]
     core.transport.handlers["sync"](cast(Any, Link(machine.life, None)), body, print)
     assert results == [False]
     core.change({"a": 2}, results.append)
@@ -369,6 +369,6 @@
     world = settled()
     machine, core, _ = roles(world)
     core.leave(lambda: None)
-    world.run(SILENCE * 3 // 4)
+    world.run(PEER_TIMEOUT_US * 3 // 4)
     serving = world.serving()
     assert serving is not None and serving is not machine
