--- a/oakvale/lab/modelcheck/machine.py
+++ b/oakvale/lab/modelcheck/machine.py
@@ -181,7 +181,7 @@
     def _heartbeat(self, sender: Replica, view: Any, sent: int, life: int) -> None:
         """As `core` does: it is heard first, and learned from, then answered."""
         assert self.part is not None and self.leases is not None
-        self.leases.speaks(unpack_replica(sender), view[0])
+        self.leases.peer_reported_view(unpack_replica(sender), view[0])
         self._do(
             self.part.apply_view_outputs(
                 self.part.view_manager.heartbeat_received(
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -29,7 +29,7 @@
         "backup": view.backups,
         "witness": tuple(w for w in view.witnesses if w not in view.copies),
     }[role]
-    return next(m for m in world.machines if m.core is not None and m.core.own == replicas[-1])
+    return next(m for m in world.machines if m.core is not None and m.core.self_id == replicas[-1])
 
 
 def lose(world: World, machine: Machine, kind: str, x: int = SECOND, span: int = 2 * SECOND) -> int:
@@ -133,7 +133,7 @@
     assert len(there) == 3
     for machine in world.machines:
         part = core(machine)
-        known = {parsed[0] + f":{parsed[1]}" for parsed in part._others()} | {part.own[0]}
+        known = {parsed[0] + f":{parsed[1]}" for parsed in part._peer_addresses()} | {part.self_id[0]}
         view_manager = part.view_manager
         assert known == there and {peer[0] for peer in view_manager._last_heartbeat} <= there
         assert not view_manager._spares and not view_manager._leaving and len(part.peers._last_heartbeat) <= 3
@@ -164,7 +164,7 @@
     world = settled()
     busy(world, SECOND)
     machine, view, began = machine_with_role(world, role), core(machine_with_role(world, "primary")).view(), world.now
-    own = core(machine).own
+    own = core(machine).self_id
     machine.stop()
     while machine.life is not None:
         world.run(10 * MS)
@@ -195,7 +195,7 @@
     others = [m for m in world.machines if m is not machine]
     assert world.now - began < (SECOND if slow == 1 else 3_500 * MS)
     view = core(others[0]).view()
-    assert view is not None and sorted(view.witnesses) == sorted(core(m).own for m in others)
+    assert view is not None and sorted(view.witnesses) == sorted(core(m).self_id for m in others)
     world.run(SECOND)
     world.remove(machine_with_role(world, "backup"))
     world.run(2 * SECOND)
@@ -240,7 +240,7 @@
     assert core(machine_with_role(world, "primary")).view() == view
     machine.kill()
     world.run(8 * SECOND)
-    assert core(world.machines[3]).own in core(machine_with_role(world, "primary")).view().witnesses  # type: ignore[union-attr]
+    assert core(world.machines[3]).self_id in core(machine_with_role(world, "primary")).view().witnesses  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize("machines", [1, 2, 3, 5])
