--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -170,7 +170,7 @@
             and not self.router.stopping
         )
 
-    def know(self, seeds: tuple[Address, ...]) -> None:
+    def update_seeds(self, seeds: tuple[Address, ...]) -> None:
         """Adds addresses of core machines, which are tried right after the primary.
 
         At the end of a full list they would be dropped at once, even if every older address is obsolete."""
--- a/oakvale/dataplane/process.py
+++ b/oakvale/dataplane/process.py
@@ -32,7 +32,7 @@
         self.shutdown = Shutdown(gateway)
         serve_status(gateway.transport, "sluice", settings.node, lambda: status_fields(gateway))
         gateway.transport.handlers["chains"] = lambda conn, body, answer: answer({"held": gateway.table.get("chains")})
-        self.know = gateway.know
+        self.know = gateway.update_seeds
         Status(gateway.shared).begin()
         log_event("sluice", node=settings.node, own=gateway.self_address, life=gateway.incarnation)
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -305,7 +305,7 @@
     assert sum(s.process.works.core.serving() for s in works.cores if s.process) == 1
     sluice = works.edges[0].process.works.gateway  # type: ignore[union-attr]
     sluice._core_addresses = [f"10.99.0.{n}:7340" for n in range(24)]  # as many as are remembered, all gone
-    sluice.know(((new.machine.ip, 8783),))
+    sluice.update_seeds(((new.machine.ip, 8783),))
     assert sluice._core_addresses[1] == f"{new.machine.ip}:7340"
 
 
