--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -166,7 +166,7 @@
         if checked.gen in known:
             if known[checked.gen][1] == checked.digest:
                 return self._core.confirm(reply_if_done(Reply(200)), after_pending=True)
-            log_event("configuration refused", why=f"different content for gen {checked.gen}")
+            log_event("configuration refused", why=f"another content of gen {checked.gen}")
             conflict = error_reply(409, f"gen {checked.gen}: taken with another content, which stays")
             return self._core.confirm(reply_if_done(conflict), after_pending=True)
         if forgotten is not None and checked.gen <= forgotten:
