--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients' connections: what a request becomes, bad input, answers whole, leaving, half-closing, slowness."""
+"""Client connections: parsing, malformed input, complete answers, disconnects, half-closing and slow clients."""
 
 import socket
 import time
@@ -11,27 +11,27 @@
 from oakvale.wire.clients import ClientConnection
 from tests.node import MS, Node, StubConnection, answer, request
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # microseconds
 
 
 def refuse(request: i.Request) -> list[i.Action]:
     return [i.Refuse(request.id, 250_000)]
 
 
-def refused_clients(node: Node, n: int) -> list[StubConnection]:
-    """Clients that have had their answer and keep their connections."""
+def refused_clients(node: Node, count: int) -> list[StubConnection]:
+    """Clients that got a refusal and keep their connections open."""
     node.script.answers[i.Request] = refuse
-    clients = [node.client() for _ in range(n)]
+    clients = [node.client() for _ in range(count)]
     for k, client in enumerate(clients):
         node.ask(client, f"a{k}")
         node.reads(client, b"later\n")
     return clients
 
 
-def dripping(node: Node, times: int, pause: int) -> StubConnection:
-    """A client that sends a byte of its request at a time."""
+def bytewise_client(node: Node, count: int, pause: int) -> StubConnection:
+    """A client that sends the first `count` bytes of its request one by one."""
     client, data = node.client(), request("a1")
-    for k in range(times):
+    for k in range(count):
         client.send(data[k : k + 1])
         node.turns()
         node.pass_time(pause)
@@ -51,39 +51,38 @@
 
 
 @pytest.mark.parametrize("text, wait", [("480m", 480_000), ("480u", 480), ("1.5m", 1_500), ("0m", 0)])
-def test_remaining_time_has_two_units(node: Node, text: str, wait: int) -> None:
+def test_the_remaining_time_is_read_in_both_units(node: Node, text: str, wait: int) -> None:
     node.ask(node.client(), X_Expires_In=text)
     assert node.came(i.Request).deadline == node.clock.now + wait
 
 
-@pytest.mark.parametrize("known", [True, False])
-def test_what_a_request_waited_in_the_gateways_own_socket_is_seen(node: Node, known: bool) -> None:
-    """A gateway that stood still for 300 ms reads a request that came meanwhile: the client's time, and the
-    module's sense of how old it is, count from its arrival. The kernel tells it, also before an accept."""
-    began = time.time_ns()
+@pytest.mark.parametrize("accepted", [True, False])
+def test_time_in_the_gateways_receive_buffer_counts_against_the_deadline(node: Node, accepted: bool) -> None:
+    """After a pause of 300 ms the deadline counts from the arrival that the kernel reports, also before an accept."""
+    started_ns = time.time_ns()
     client = node.client()
-    if known:
+    if accepted:
         node.until(lambda: node.host.clients.all)
     node.ask(client)
     node.host.unix_time = lambda: time.time_ns() + 300_000_000
     waited = node.clock.now + 4_000_000 - node.came(i.Request).deadline
-    assert 300_000 <= waited <= 300_000 + (time.time_ns() - began) // 1000
+    assert 300_000 <= waited <= 300_000 + (time.time_ns() - started_ns) // 1000
 
 
-@pytest.mark.parametrize("step", [-3_600, 3_600])
-def test_a_step_of_the_systems_clock_is_no_wait(node: Node, step: int) -> None:
-    node.host.unix_time = lambda: time.time_ns() + step * 1_000_000_000
+@pytest.mark.parametrize("step_s", [-3_600, 3_600])
+def test_a_step_of_the_system_clock_is_not_taken_for_a_wait(node: Node, step_s: int) -> None:
+    node.host.unix_time = lambda: time.time_ns() + step_s * 1_000_000_000
     node.ask(node.client())
     assert node.came(i.Request).deadline == node.clock.now + 4_000_000
 
 
-def test_a_request_that_came_with_its_connection_is_read_in_the_turn_that_accepts_it(node: Node) -> None:
+def test_a_request_that_is_there_at_accept_is_read_in_the_same_turn(node: Node) -> None:
     node.ask(node.client())
     node.loop.turn(0)
     assert len(node.script.of(i.Request)) == 1
 
 
-def test_a_refusal_names_a_time_to_come_back_and_the_connection_stays(node: Node) -> None:
+def test_a_refusal_carries_retry_after_and_keeps_the_connection(node: Node) -> None:
     node.script.answers[i.Request] = refuse
     client = node.client()
     for n in range(3):
@@ -95,15 +94,15 @@
     assert len(node.script.of(i.Request)) == 3 and not len(node.host.requests)
 
 
-def test_a_failure_promises_nothing(node: Node) -> None:
+def test_a_failure_is_answered_502(node: Node) -> None:
     node.script.answers[i.Request] = lambda r: [i.Fail(r.id)]
     client = node.client()
     node.ask(client)
     assert node.reads(client, b"failed\n").startswith(b"HTTP/1.1 502")
 
 
-GOOD: dict[str, Any] = {"request_id": "a1", "target": "/slot-lookup?key=00000000b4d65521"}
-BAD: list[tuple[dict[str, Any], int]] = [
+VALID_REQUEST: dict[str, Any] = {"request_id": "a1", "target": "/slot-lookup?key=00000000b4d65521"}
+INVALID_REQUESTS: list[tuple[dict[str, Any], int]] = [
     ({"X_Trace_Id": ""}, 400),
     ({"request_id": "has space"}, 400),
     ({"request_id": "x" * 65}, 400),
@@ -129,7 +128,7 @@
     ({"X_Call_Terms": "units=1,spread=0,first=0"}, 400),
     ({"X_Call_Terms": "units=1,spread=x,first=0"}, 400),
     ({"X_Call_Terms": "units"}, 400),
-    # what Python's own readers would take, and what is out of range: a fleet of 4, units of 4 at most
+    # numbers that only Python's int() and float() accept, or out of range: the fleet size and the most units are 4
     *(
         ({"X_Call_Terms": f"units={units},spread={spread},first={first}"}, 400)
         for units, spread, first in (
@@ -163,18 +162,20 @@
 ]
 
 
-@pytest.mark.parametrize("bad, status", BAD, ids=range(len(BAD)))
-def test_bad_requests_get_4xx_at_once_and_the_connection_goes_on(node: Node, bad: dict[str, Any], status: int) -> None:
+@pytest.mark.parametrize("changes, status", INVALID_REQUESTS, ids=range(len(INVALID_REQUESTS)))
+def test_an_invalid_request_gets_4xx_at_once_and_keeps_the_connection(
+    node: Node, changes: dict[str, Any], status: int
+) -> None:
     node.script.answers[i.Request] = refuse
     client = node.client()
-    client.send(request(**{**GOOD, **bad}))
+    client.send(request(**{**VALID_REQUEST, **changes}))
     reply = node.reads(client)
     assert reply.startswith(b"HTTP/1.1 %d" % status)
     assert node.script.of(i.Request) == []
     node.turns()
     client.read()
     client.came = b""
-    client.send(request(**GOOD))
+    client.send(request(**VALID_REQUEST))
     assert node.reads(client, b"later\n").startswith(b"HTTP/1.1 429")
 
 
@@ -197,37 +198,40 @@
     ],
     ids=range(13),
 )
-def test_lost_framing_gets_an_answer_and_a_clean_close(node: Node, data: bytes, status: int) -> None:
+def test_broken_framing_gets_an_answer_and_a_clean_close(node: Node, data: bytes, status: int) -> None:
     client = node.client()
     client.send(data)
     reply = node.reads(client)
     assert reply.startswith(b"HTTP/1.1 %d" % status) and b"connection: close" in reply.lower()
-    node.until(lambda: client.read() and client.ended)  # sending ended, and no reset took the answer
+    node.until(lambda: client.read() and client.ended)  # a FIN, not a reset that would destroy the answer
     client.close()
     node.until(lambda: not node.host.clients.all)
     assert node.script.of(i.Request) == []
 
 
-HIDDEN = request("b2", body=b"")
+SMUGGLED_REQUEST = request("b2", body=b"")
 
 
 @pytest.mark.parametrize(
     "framing, body",
     [
-        (b"Content-Length: %d\r\nTransfer-Encoding: chunked", b"0\r\n\r\n" + HIDDEN),
-        (b"Transfer-Encoding: chunked\r\nContent-Length: %d", b"0\r\n\r\n" + HIDDEN),
-        (b"Transfer-Encoding: chunked\r\nContent-Length: %d", b"%x\r\n%s\r\n0\r\n\r\n" % (len(HIDDEN), HIDDEN)),
+        (b"Content-Length: %d\r\nTransfer-Encoding: chunked", b"0\r\n\r\n" + SMUGGLED_REQUEST),
+        (b"Transfer-Encoding: chunked\r\nContent-Length: %d", b"0\r\n\r\n" + SMUGGLED_REQUEST),
+        (
+            b"Transfer-Encoding: chunked\r\nContent-Length: %d",
+            b"%x\r\n%s\r\n0\r\n\r\n" % (len(SMUGGLED_REQUEST), SMUGGLED_REQUEST),
+        ),
     ],
     ids=range(3),
 )
-@pytest.mark.parametrize("line", [b"POST /save?key=00000000b4d65521 HTTP/1.1"])
-def test_a_body_with_a_length_and_chunks_gets_400_and_nothing_in_it_is_read(
-    node: Node, line: bytes, framing: bytes, body: bytes
+@pytest.mark.parametrize("request_line", [b"POST /save?key=00000000b4d65521 HTTP/1.1"])
+def test_content_length_with_chunked_encoding_gets_400_and_the_body_is_not_parsed(
+    node: Node, request_line: bytes, framing: bytes, body: bytes
 ) -> None:
-    """Another request may hide in it: passed on, it would run though no client sent it."""
+    """Prevents request smuggling: a request inside the body must not run."""
     client = node.client()
     head = request("a1", "POST", "/save?key=00000000b4d65521").partition(b"\r\n")[2][:-2]
-    client.send(line + b"\r\n" + head + framing.replace(b"%d", b"%d" % len(body)) + b"\r\n\r\n" + body)
+    client.send(request_line + b"\r\n" + head + framing.replace(b"%d", b"%d" % len(body)) + b"\r\n\r\n" + body)
     reply = node.reads(client)
     assert reply.startswith(b"HTTP/1.1 400") and b"connection: close" in reply
     node.until(lambda: client.read() and client.ended)
@@ -235,31 +239,31 @@
 
 
 @pytest.mark.parametrize(
-    "lines",
+    "first_lines",
     [
         b"GET /slot-lookup?key=00000000b4d65521 HTTP/1.1\r\nContent-Length: 5\r\n",
         b"GET /slot-lookup?key=00000000b4d65521 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n",
         b"POST /save?key=00000000b4d65521 HTTP/1.0\r\nTransfer-Encoding: chunked\r\n",
     ],
 )
-def test_chunks_where_none_can_be_get_400(node: Node, lines: bytes) -> None:
+def test_a_body_of_a_get_and_chunks_in_http_1_0_get_400(node: Node, first_lines: bytes) -> None:
     client = node.client()
-    client.send(lines + request("a1").partition(b"\r\n")[2] + b"5\r\nhello\r\n0\r\n\r\n")
+    client.send(first_lines + request("a1").partition(b"\r\n")[2] + b"5\r\nhello\r\n0\r\n\r\n")
     reply = node.reads(client)
     assert reply.startswith(b"HTTP/1.1 400") and b"connection: close" in reply.lower()
     assert node.script.of(i.Request) == []
 
 
-def test_an_id_in_hand_is_not_taken_twice(node: Node) -> None:
-    one, other = node.client(), node.client()
-    node.ask(one, "a1")
+def test_the_id_of_a_pending_request_is_rejected(node: Node) -> None:
+    first, second = node.client(), node.client()
+    node.ask(first, "a1")
     node.came(i.Request)
-    node.ask(other, "a1")
-    assert node.reads(other).startswith(b"HTTP/1.1 409")
+    node.ask(second, "a1")
+    assert node.reads(second).startswith(b"HTTP/1.1 409")
     assert len(node.script.of(i.Request)) == 1
 
 
-def test_no_more_requests_in_hand_than_may_be() -> None:
+def test_pending_requests_are_limited() -> None:
     node = Node(requests=3)
     clients = [node.client() for _ in range(4)]
     for n, client in enumerate(clients):
@@ -270,7 +274,7 @@
     node.close()
 
 
-def test_a_request_may_come_in_pieces_and_several_in_one(node: Node) -> None:
+def test_requests_are_read_in_fragments_and_pipelined(node: Node) -> None:
     node.script.answers[i.Request] = refuse
     client = node.client()
     data = request("a1") + request("a2")
@@ -283,8 +287,8 @@
     assert [r.id for r in node.script.of(i.Request)] == ["a1", "a2", "a3", "a4", "a5"]
 
 
-def test_nonsense_behind_a_request_is_answered_and_the_connection_is_not_idle_meanwhile(node: Node) -> None:
-    """Taken for idle, it could be closed with its answer half written."""
+def test_a_malformed_pipelined_request_is_answered_and_its_connection_does_not_count_as_idle(node: Node) -> None:
+    """An idle connection could be closed with its answer half written."""
     node.script.answers[i.Request] = refuse
     client = node.client()
     client.send(request("a1") + b"nonsense\r\n\r\n")
@@ -294,14 +298,14 @@
     node.until(lambda: not node.host.clients.all)
 
 
-def test_a_request_behind_one_in_hand_waits_its_turn_and_does_not_spin(node: Node) -> None:
+def test_a_pipelined_request_waits_without_a_busy_loop(node: Node) -> None:
     client = node.client()
     client.send(request("a1"))
     node.came(i.Request)
     client.send(request("a2"))
     node.turns()
     turns = node.loop.turns
-    node.loop.turn(0.05)  # a turn that has nothing to do waits
+    node.loop.turn(0.05)  # waits, as there is nothing to do
     assert node.loop.turns == turns + 1 and len(node.script.of(i.Request)) == 1
     node.host.dispatch(i.Timer(1))
     node.script.answers[i.Timer] = lambda _: [i.Refuse("a1", 1)]
@@ -317,11 +321,11 @@
     node.ask(other, "one")
     node.loop.turn(0)
     came = [r.id for r in node.script.of(i.Request)]
-    assert "one" in came and len(came) < 200  # a buffer's worth of the busy one's
+    assert "one" in came and len(came) < 200  # at most one buffer of the busy connection's
     node.until(lambda: busy.read().count(b"HTTP/1.1 429 Too Many Requests") == 600)
 
 
-def test_a_client_that_closes_is_told_to_the_module(node: Node) -> None:
+def test_the_policy_is_told_when_a_client_closes(node: Node) -> None:
     client = node.client()
     node.ask(client, "a1")
     node.came(i.Request)
@@ -330,7 +334,7 @@
     assert not len(node.host.requests) and not node.host.clients.all
 
 
-def test_a_client_that_resets_is_told_to_the_module(node: Node) -> None:
+def test_the_policy_is_told_when_a_client_resets(node: Node) -> None:
     client = node.client()
     node.ask(client, "a1")
     node.came(i.Request)
@@ -338,8 +342,8 @@
     node.came(i.Withdrawn)
 
 
-def test_a_client_that_only_ends_its_sending_still_gets_its_answer(node: Node) -> None:
-    """Both look alike until something is written: an interim answer tells them apart."""
+def test_a_half_closed_client_still_gets_its_answer(node: Node) -> None:
+    """A half-close looks like a close until something is written: an interim answer distinguishes them."""
     client = node.client()
     node.ask(client, "a1")
     node.came(i.Request)
@@ -353,7 +357,7 @@
     node.until(lambda: client.read() and client.ended)
 
 
-def test_a_large_answer_goes_as_the_client_takes_it_and_holds_nobody_up(node: Node) -> None:
+def test_a_slow_reader_of_a_large_answer_does_not_delay_others(node: Node) -> None:
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
     slow = StubConnection(socket.socket())
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -378,7 +382,7 @@
     node.until(lambda: body_of(slow.read()) == body)
 
 
-def test_a_client_that_never_takes_its_answer_is_dropped_in_time(node: Node) -> None:
+def test_a_client_that_does_not_read_its_answer_is_dropped(node: Node) -> None:
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
     slow = StubConnection(socket.socket())
     slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -398,7 +402,7 @@
     assert not node.host.clients.all
 
 
-def test_a_client_that_stops_half_way_gets_408_and_holds_nothing(node: Node) -> None:
+def test_a_client_that_stops_within_a_request_gets_408_and_is_closed(node: Node) -> None:
     client = node.client()
     client.send(request("a1")[:40])
     node.turns()
@@ -408,7 +412,7 @@
     node.until(lambda: not node.host.clients.all)
 
 
-def test_a_client_that_says_nothing_is_closed_before_3_s(node: Node) -> None:
+def test_a_client_that_sends_nothing_is_closed_before_3_s(node: Node) -> None:
     client = node.client()
     node.until(lambda: node.host.clients.all)
     node.pass_time(2_400 * MS)
@@ -417,13 +421,13 @@
     node.until(lambda: client.read() == b"" and client.ended)
 
 
-def test_a_first_request_that_drips_in_has_no_longer_than_one_that_never_comes(node: Node) -> None:
-    client = dripping(node, 13, 200 * MS)
+def test_sending_the_first_request_bytewise_does_not_extend_its_time_limit(node: Node) -> None:
+    client = bytewise_client(node, 13, 200 * MS)
     assert node.reads(client).startswith(b"HTTP/1.1 408")
 
 
-def test_what_stands_behind_a_long_request_is_owed_a_word_in_time_too(node: Node) -> None:
-    """Whatever waits on the connection: the request in hand has failed, its attempt is called off."""
+def test_malformed_input_behind_a_slow_request_is_answered_in_time(node: Node) -> None:
+    """The pending request is withdrawn for it, and gets no answer."""
     client = node.client()
     client.send(request("a1") + b"nonsense\r\n\r\n")
     node.came(i.Request)
@@ -437,7 +441,7 @@
     assert client.came.count(b"HTTP/1.1") == 1
 
 
-def test_a_long_request_with_nothing_behind_it_has_its_time(node: Node) -> None:
+def test_a_slow_request_without_pipelined_input_may_last_until_its_deadline(node: Node) -> None:
     client = node.client()
     node.ask(client)
     node.came(i.Request)
@@ -445,26 +449,26 @@
     assert client.read() == b"" and not client.ended and not node.script.of(i.Withdrawn)
 
 
-def test_the_end_of_one_with_an_id_in_hand_leaves_the_first_alone(node: Node) -> None:
-    one, other = node.client(), node.client()
-    node.ask(one, "a1")
+def test_closing_the_client_of_a_duplicate_id_does_not_withdraw_the_pending_request(node: Node) -> None:
+    first, second = node.client(), node.client()
+    node.ask(first, "a1")
     node.came(i.Request)
-    node.ask(other, "a1")
-    assert node.reads(other).startswith(b"HTTP/1.1 409")
-    other.close(reset=True)
+    node.ask(second, "a1")
+    assert node.reads(second).startswith(b"HTTP/1.1 409")
+    second.close(reset=True)
     node.until(lambda: len(node.host.clients.all) == 1)
     assert not node.script.of(i.Withdrawn) and node.host.requests.get("a1") is not None
     node.acts(i.Refuse("a1", 1))
-    assert node.reads(one, b"later\n").startswith(b"HTTP/1.1 429")
+    assert node.reads(first, b"later\n").startswith(b"HTTP/1.1 429")
 
 
-def test_a_huge_body_is_dropped_as_it_comes_and_the_error_arrives_whole(node: Node) -> None:
+def test_a_huge_body_is_discarded_and_the_error_arrives_completely(node: Node) -> None:
     client = node.client()
     client.send(request("a1", "POST", "/save?key=00000000b4d65521", Content_Length=str(60 << 20)))
     reply = node.reads(client, b"too large\n")
     assert reply.startswith(b"HTTP/1.1 413")
     part, sent = b"x" * 65536, 0
-    while sent < 4 << 20:  # it goes on sending, and is not reset
+    while sent < 4 << 20:  # the client goes on sending and is not reset
         try:
             sent += client.sock.send(part)
         except BlockingIOError:
@@ -478,38 +482,37 @@
     return b"%x\r\n%s\r\n" % (size, b"x" * size)
 
 
-def test_bodies_are_bounded_together_and_their_room_comes_back() -> None:
-    """Each within its bound, as many as there are connections would not fit into the memory."""
+def test_the_total_size_of_bodies_is_limited_and_released() -> None:
+    """Bodies within their own limit, one on each connection, would still exceed the memory."""
     node = Node(bodies=100_000)
-    one, other = node.client(), node.client()
-    part = request("a1", "POST", "/save?key=00000000b4d65521", Content_Length="60000")
-    one.send(part)
+    first, second = node.client(), node.client()
+    head = request("a1", "POST", "/save?key=00000000b4d65521", Content_Length="60000")
+    first.send(head)
     node.until(lambda: node.host.bodies.taken == 60_000)
-    other.send(part.replace(b"a1", b"a2"))
-    assert node.reads(other).startswith(b"HTTP/1.1 503")
-    other.close()
+    second.send(head.replace(b"a1", b"a2"))
+    assert node.reads(second).startswith(b"HTTP/1.1 503")
+    second.close()
     node.until(lambda: len(node.host.clients.all) == 1)
     assert node.host.bodies.taken == 60_000
-    one.send(b"x" * 60_000)
+    first.send(b"x" * 60_000)
     assert node.came(i.Request).id == "a1"
     node.acts(i.Refuse("a1", 1))
-    node.reads(one, b"later\n")
+    node.reads(first, b"later\n")
     assert node.host.bodies.taken == 0
-    one.send(request("a3", "POST", "/save?key=00000000b4d65521", Transfer_Encoding="chunked") + chunk(60_000))
+    first.send(request("a3", "POST", "/save?key=00000000b4d65521", Transfer_Encoding="chunked") + chunk(60_000))
     node.until(lambda: node.host.bodies.taken == 60_000)
-    one.close(reset=True)
+    first.close(reset=True)
     node.until(lambda: node.host.bodies.taken == 0)
     node.close()
 
 
-def test_chunks_take_room_as_they_come() -> None:
-    """Each once held what the longest body would take until it was answered, so that a gateway refused a second one
-    at the same time; and still all of them together are bounded."""
+def test_a_chunked_body_reserves_only_what_has_arrived() -> None:
+    """Reserving the longest body would refuse a second one at the same time; the total stays limited."""
     node = Node(bodies=100_000)
-    asked = request("a1", "POST", "/save?key=00000000b4d65521", Transfer_Encoding="chunked")
+    head = request("a1", "POST", "/save?key=00000000b4d65521", Transfer_Encoding="chunked")
     clients = [node.client() for _ in range(3)]
     for n, client in enumerate(clients):
-        client.send(asked.replace(b"a1", b"a%d" % n) + chunk(40_000))
+        client.send(head.replace(b"a1", b"a%d" % n) + chunk(40_000))
         if n < 2:
             node.until(lambda n=n: node.host.bodies.taken == 40_000 * (n + 1))  # type: ignore[misc]
     assert node.reads(clients[2]).startswith(b"HTTP/1.1 503")
@@ -518,12 +521,12 @@
     node.close()
 
 
-def test_a_client_that_sends_a_byte_now_and_then_has_no_longer(node: Node) -> None:
-    client = dripping(node, 12, SECOND)
+def test_sending_a_byte_now_and_then_does_not_extend_the_time_limit(node: Node) -> None:
+    client = bytewise_client(node, 12, SECOND)
     assert node.reads(client).startswith(b"HTTP/1.1 408")
 
 
-def test_idle_connections_are_closed_in_time(node: Node) -> None:
+def test_idle_connections_are_closed_after_their_time_limit(node: Node) -> None:
     node.script.answers[i.Request] = refuse
     client = node.client()
     node.ask(client)
@@ -535,9 +538,8 @@
     assert not node.host.clients.all
 
 
-def test_of_those_between_requests_only_so_many_stay() -> None:
-    """A crowd that asks once and stays leaves no place for the next, long before the descriptors are used up:
-    what is in front of this gateway holds only so many connections too."""
+def test_the_number_of_idle_connections_is_limited() -> None:
+    """The oldest are closed: a load balancer in front has a limit, too, lower than the gateway's descriptors."""
     node = Node(clients_idle=3)
     clients = refused_clients(node, 5)
     node.until(lambda: clients[1].read() and clients[1].ended and clients[0].read() and clients[0].ended)
@@ -552,7 +554,7 @@
         b"GET /odd HTTP/1.1\r\nHost: a\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n",
     ],
 )
-def test_a_wish_for_another_protocol_is_answered_in_this_one(node: Node, head: bytes) -> None:
+def test_connect_and_upgrade_are_answered_in_http_1_1(node: Node, head: bytes) -> None:
     client = node.client()
     client.send(head)
     assert node.reads(client).startswith(b"HTTP/1.1 40")
@@ -560,7 +562,7 @@
     node.until(lambda: not node.host.clients.all)
 
 
-def test_clients_that_wait_for_100_continue(node: Node) -> None:
+def test_expect_100_continue_is_answered(node: Node) -> None:
     client = node.client()
     head = request("a1", method="POST", target="/save?key=00000000b4d65521", Expect="100-continue", Content_Length="4")
     client.send(head)
@@ -569,9 +571,7 @@
     assert node.came(i.Request).class_index == 1
 
 
-def test_a_fault_in_the_module_answers_that_request_and_serves_the_rest(
-    node: Node, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_an_exception_in_the_policy_fails_only_that_request(node: Node, caplog: pytest.LogCaptureFixture) -> None:
     def fails(request: i.Request) -> list[i.Action]:
         if request.id == "bad":
             raise KeyError("odd")
@@ -588,23 +588,23 @@
     assert node.reads(client, b"later\n").startswith(b"HTTP/1.1 429")
 
 
-def test_a_fault_on_a_timer_does_not_end_the_modules_own_work(node: Node) -> None:
-    """The module sets its next tick when it is given one: lost with a fault, no tick would ever follow."""
-    n = Node(script=False)
-    gateway = n.host.gateway
+def test_an_exception_on_a_timer_does_not_stop_the_policys_ticks(node: Node) -> None:
+    """The policy requests the next tick in the current one, so an exception there could end all ticks."""
+    policy_node = Node(script=False)
+    gateway = policy_node.host.gateway
     assert isinstance(gateway, Gateway)
-    real, gateway.lending.send_batch = gateway.lending.send_batch, None  # type: ignore[method-assign, assignment]
+    send_batch, gateway.lending.send_batch = gateway.lending.send_batch, None  # type: ignore[method-assign, assignment]
     gateway.lending.enabled = True
-    n.pass_time(250 * MS)
-    gateway.lending.send_batch = real  # type: ignore[method-assign]
+    policy_node.pass_time(250 * MS)
+    gateway.lending.send_batch = send_batch  # type: ignore[method-assign]
     before = gateway.context.now
     for _ in range(8):
-        n.pass_time(250 * MS)
+        policy_node.pass_time(250 * MS)
     assert gateway.context.now == before + 8 * 250 * MS
-    n.close()
+    policy_node.close()
 
 
-def test_a_fault_before_the_module_answers_that_request(
+def test_an_exception_before_the_policy_is_called_fails_that_request(
     node: Node, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     def fails() -> bool:
@@ -617,7 +617,7 @@
     assert any(r.exc_info for r in caplog.records)
 
 
-def test_health_answers_only_when_the_gateway_can_serve(node: Node) -> None:
+def test_health_is_200_only_when_the_gateway_can_serve(node: Node) -> None:
     client = node.client()
     client.send(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
     assert node.reads(client).startswith(b"HTTP/1.1 200")
