--- a/tests/test_attempts_wire.py
+++ b/tests/test_attempts_wire.py
@@ -1,4 +1,4 @@
-"""Attempts on sockets: every way one can end, connections reused and dropped, what passes unchanged."""
+"""Attempts over sockets: their endings, reuse and closing of backend connections, and what is passed on unchanged."""
 
 import socket
 from typing import Any
@@ -10,38 +10,38 @@
 from oakvale.wire.backends import BackendConnection, load_report
 from tests.node import MS, Node, StubConnection, StubServer, answer, request, row
 
-RESET = True
+RESET = True  # argument of StubConnection.close
 
 
 @pytest.fixture
 def sending(node: Node) -> Node:
-    """Each request goes to the one backend."""
+    """A node whose policy sends each request to the one backend."""
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
     return node
 
 
-def pushed(node: Node, backend: StubConnection, data: bytes) -> None:
-    """Sends more than the sockets hold, as the gateway takes it."""
+def send_all(node: Node, backend: StubConnection, data: bytes) -> None:
+    """Sends more than the socket buffers hold, while the gateway reads."""
     while data:
         try:
             data = data[backend.sock.send(data) :]
         except BlockingIOError:
             pass
         except OSError:
-            return  # it was given up
+            return  # the gateway closed the connection
         node.turns(1)
 
 
-def started(node: Node, rid: str = "a1") -> tuple[StubConnection, StubConnection]:
-    """A client whose request has come to the backend."""
+def started(node: Node, request_id: str = "a1") -> tuple[StubConnection, StubConnection]:
+    """A client whose request has reached the backend, and the backend's connection."""
     client = node.client()
-    node.ask(client, rid)
+    node.ask(client, request_id)
     backend = node.taken(node.backend)
     node.reads(backend)
     return client, backend
 
 
-def test_what_passes_on_is_unchanged(sending: Node) -> None:
+def test_a_request_is_passed_on_unchanged_without_hop_by_hop_headers(sending: Node) -> None:
     body = bytes(range(256))
     target = "/save/%7Ea//b?x=1&key=00000000b4d65521&y=%2F"
     client = sending.client()
@@ -66,13 +66,13 @@
     assert b"hop" not in head and b"\r\nte:" not in head and b"connection" not in head
 
 
-def test_an_empty_body_is_told_as_such(sending: Node) -> None:
+def test_an_empty_body_is_passed_on_with_content_length_0(sending: Node) -> None:
     client = sending.client()
     client.send(request("a1", method="POST", target="/save?key=00000000b4d65521", Content_Length="0"))
     assert b"content-length: 0\r\n" in sending.reads(sending.taken(sending.backend))
 
 
-def test_a_chunked_body_passes_on_whole(sending: Node) -> None:
+def test_a_chunked_body_is_passed_on_with_its_length(sending: Node) -> None:
     client = sending.client()
     head = request("a1", method="POST", target="/save?key=00000000b4d65521", Transfer_Encoding="chunked")
     client.send(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
@@ -80,7 +80,7 @@
     assert b"content-length: 5" in sending.reads(backend, b"abcde")
 
 
-def test_a_served_answer_comes_back_unchanged_without_hop_by_hop_headers(sending: Node) -> None:
+def test_a_served_answer_is_returned_unchanged_without_hop_by_hop_headers(sending: Node) -> None:
     client, backend = started(sending)
     body = bytes(range(256)) * 200
     backend.send(
@@ -96,7 +96,7 @@
     head = reply.partition(b"\r\n\r\n")[0].lower()
     assert reply.endswith(body) and head.startswith(b"http/1.1 200")
     assert b"content-type: image/x" in head and b"x-more: 1" in head and b"keep-alive" not in head
-    assert b"endpoint-load-metrics" not in head  # what a backend holds is no client's affair
+    assert b"endpoint-load-metrics" not in head  # not meant for clients
     assert sending.came(i.Ended) == i.Ended("a1", 1, 0, True, Ending.SERVED, 0, report=(7.0, 0.61))
 
 
@@ -130,7 +130,7 @@
         (answer("500 Oops", X_Never_Ran="1"), Ending.ERROR),
         (answer("408 Late"), Ending.ERROR),
         (answer("429 Busy"), Ending.ERROR),
-        # spoilt: it may have run
+        # malformed: it may have run
         (b"nonsense\r\n\r\n", Ending.RESET),
         (b"\x00\xff" * 100 + b"\r\n", Ending.RESET),
         (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000, Ending.RESET),
@@ -151,28 +151,28 @@
     ],
     ids=range(22),
 )
-def test_what_an_answer_means(sending: Node, reply: bytes, ending: Ending) -> None:
+def test_the_ending_of_an_answer(sending: Node, reply: bytes, ending: Ending) -> None:
     _, backend = started(sending)
-    pushed(sending, backend, reply)
+    send_all(sending, backend, reply)
     ended = sending.came(i.Ended)
     assert (ended.ending, ended.over, ended.hop) == (ending, False, 0)
     assert sending.host.bodies.taken == 0
 
 
-def test_good_answers_longer_than_a_request_may_be_are_served_within_bounds(sending: Node) -> None:
-    """A fleet sent one of some hundred KiB in seven; each was a failed attempt, tried four times."""
+def test_an_answer_longer_than_the_request_limit_is_served(sending: Node) -> None:
+    """Answers have a higher limit than requests; refusing a long one would only repeat the attempt."""
     client, backend = started(sending)
     body = bytes(range(256)) * 1_600
-    pushed(sending, backend, answer(body=body))
+    send_all(sending, backend, answer(body=body))
     assert sending.reads(client, body[-1000:]).endswith(body)
     assert sending.host.bodies.taken == 0
 
 
-def test_long_answers_are_bounded_together() -> None:
+def test_the_total_size_of_answers_is_limited() -> None:
     node = Node(bodies=500_000)
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
-    ones = [started(node, f"a{k}") for k in range(2)]
-    for _, backend in ones:
+    connections = [started(node, f"a{k}") for k in range(2)]
+    for _, backend in connections:
         backend.send(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\nslots")
     assert node.came(i.Ended).ending is Ending.RESET
     assert node.host.bodies.taken == 400_000
@@ -181,7 +181,7 @@
     node.close()
 
 
-def test_an_answer_that_goes_on_coming_has_its_time(sending: Node) -> None:
+def test_a_slow_answer_that_keeps_arriving_is_waited_for(sending: Node) -> None:
     client, backend = started(sending)
     backend.send(answer(body=b"x" * 10)[:-10])
     for _ in range(10):
@@ -199,10 +199,10 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nslots\r\n",
     ],
 )
-def test_an_answer_that_never_ends_is_not_waited_for_to_the_deadline(sending: Node, begun: bytes) -> None:
-    """It says more than it sends, and its connection stays open: another attempt has its time."""
+def test_an_answer_that_stops_midway_is_given_up_before_the_deadline(sending: Node, begun: bytes) -> None:
+    """The backend announces more than it sends and keeps the connection open: time must remain for another attempt."""
     client, backend = started(sending)
-    sending.pass_time(500 * MS)  # before its first byte it has all the time there is
+    sending.pass_time(500 * MS)  # before the first byte only the deadline counts
     backend.send(begun)
     sending.turns()
     sending.pass_time(240 * MS)
@@ -213,7 +213,7 @@
     assert client.read() == b"" and sending.host.backend_connections == 0
 
 
-def test_interim_answers_go_no_further_and_the_answer_behind_them_has_its_time(sending: Node) -> None:
+def test_interim_answers_are_not_passed_on_and_do_not_start_the_answer_timeout(sending: Node) -> None:
     client, backend = started(sending)
     backend.send(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n")
     sending.turns()
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize("status", ["400 Bad Request", "404 None", "422 Odd"])
-def test_what_no_backend_can_use_is_told_to_the_client_and_not_tried_elsewhere(sending: Node, status: str) -> None:
+def test_a_client_error_is_passed_on_and_not_repeated(sending: Node, status: str) -> None:
     client, backend = started(sending)
     backend.send(answer(status, body=b"no such slot"))
     reply = sending.reads(client, b"no such slot")
@@ -234,8 +234,8 @@
 
 
 @pytest.mark.parametrize("extra", [answer(), b"HTTP/1.1 2", b"\x00noise"])
-def test_what_comes_right_behind_an_answer_is_not_the_next_ones(sending: Node, extra: bytes) -> None:
-    """Also when it comes a moment later, and the next request is there already."""
+def test_bytes_behind_an_answer_are_not_taken_for_the_next_answer(sending: Node, extra: bytes) -> None:
+    """Even if they arrive a moment later, when the next request is already there."""
     client, backend = started(sending)
     backend.send(answer(body=b"first"))
     sending.reads(client, b"first")
@@ -249,24 +249,24 @@
     sending.until(lambda: backend.read() and backend.ended)
 
 
-def test_long_heads_of_answers_are_not_kept(sending: Node) -> None:
+def test_long_answer_headers_are_not_cached(sending: Node) -> None:
     client, backend = started(sending)
     backend.send(answer(X_Long="x" * 10_000))
     sending.reads(client, b"slots")
     assert sending.host.response.cache_info().currsize == 0
 
 
-def test_a_connection_of_a_backend_that_left_meanwhile_is_not_kept(sending: Node) -> None:
+def test_the_connection_of_a_backend_that_left_is_not_kept(sending: Node) -> None:
     client, backend = started(sending)
-    gone = {"name": "s-1", "status": "left"}
-    sending.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [gone]})
+    departed = {"name": "s-1", "status": "left"}
+    sending.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [departed]})
     backend.send(answer())
     sending.reads(client, b"slots")
     sending.until(lambda: sending.host.backend_connections == 0)
     assert not sending.host.idle._by_backend
 
 
-def test_a_new_backend_at_the_address_of_one_that_left_gets_connections_of_its_own(sending: Node) -> None:
+def test_a_new_backend_at_the_address_of_one_that_left_gets_new_connections(sending: Node) -> None:
     client, backend = started(sending)
     backend.send(answer())
     sending.reads(client, b"slots")
@@ -284,7 +284,7 @@
 
 @pytest.mark.parametrize("reset", [True, False])
 @pytest.mark.parametrize("begun", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nslo"])
-def test_a_break_after_the_last_byte_may_have_run(sending: Node, reset: bool, begun: bytes) -> None:
+def test_a_connection_lost_after_the_last_byte_may_have_run(sending: Node, reset: bool, begun: bytes) -> None:
     client, backend = started(sending)
     backend.send(begun)
     backend.close(reset)
@@ -292,23 +292,23 @@
     assert client.read() == b""  # nothing of it reached the client
 
 
-def test_a_refused_connection_never_ran(sending: Node) -> None:
+def test_a_refused_connection_did_not_run(sending: Node) -> None:
     sending.backend.close()
     sending.ask(sending.client())
     assert sending.came(i.Ended).ending is Ending.NO_CONNECTION
 
 
-def test_a_connection_that_never_comes_up_never_ran(sending: Node) -> None:
-    """A listener whose backlog is full lets a connection neither come up nor fail."""
-    silent = socket.socket()
-    silent.bind(("127.0.0.1", 0))
-    silent.listen(0)
-    held = []
+def test_a_connection_that_is_never_established_did_not_run(sending: Node) -> None:
+    """With a full backlog, a connection attempt neither succeeds nor fails."""
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(0)
+    backlog = []
     for _ in range(3):
-        held.append(socket.socket())
-        held[-1].setblocking(False)
-        held[-1].connect_ex(silent.getsockname())
-    sending.host.backend_names._addresses[1] = silent.getsockname()
+        backlog.append(socket.socket())
+        backlog[-1].setblocking(False)
+        backlog[-1].connect_ex(listener.getsockname())
+    sending.host.backend_names._addresses[1] = listener.getsockname()
     sending.ask(sending.client())
     sending.came(i.Request)
     sending.pass_time(sending.host.limits.connect - 1)
@@ -316,32 +316,32 @@
     sending.pass_time(1)
     assert sending.script.of(i.Ended)[0].ending is Ending.NO_CONNECTION
     assert sending.host.backend_connections == 0
-    for sock in (silent, *held):
+    for sock in (listener, *backlog):
         sock.close()
 
 
 @pytest.mark.parametrize("may_run, ending", [(False, Ending.NO_CONNECTION), (True, Ending.RESET)])
-def test_a_break_before_the_last_byte_is_written_never_ran(sending: Node, may_run: bool, ending: Ending) -> None:
-    """The backend's side takes little, so that the body stays in the gateway in part. In the whole system a part
-    that was written may have run: sent again, it could run twice."""
+def test_a_connection_lost_before_the_last_byte_is_written(sending: Node, may_run: bool, ending: Ending) -> None:
+    """Small buffers keep a part of the body in the gateway. With `part_may_run`, as in the full gateway, the written
+    part counts as may have run: repeated, it could run twice."""
     sending.host.dialect.part_may_run = may_run
     sending.backend.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     client = sending.client()
     client.send(request("a1", method="POST", target="/save?key=00000000b4d65521", body=b"x" * 65536))
     sending.came(i.Request)
-    held = sending.host.requests.get("a1")
-    assert held is not None
-    connection = held.out[0].connection
+    pending = sending.host.requests.get("a1")
+    assert pending is not None
+    connection = pending.out[0].connection
     assert isinstance(connection, BackendConnection)
     connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
     backend = sending.taken(sending.backend)
     sending.turns(10)
-    assert not held.out[0].written
+    assert not pending.out[0].written
     backend.close(RESET)
     assert sending.came(i.Ended).ending is ending
 
 
-def test_silence_is_a_timeout_at_the_clients_deadline_and_closes_the_connection(sending: Node) -> None:
+def test_a_silent_backend_times_out_at_the_clients_deadline_and_its_connection_is_closed(sending: Node) -> None:
     _, backend = started(sending)
     sending.pass_time(4_000 * MS - 1)
     assert sending.script.of(i.Ended) == []
@@ -351,7 +351,7 @@
     sending.until(lambda: backend.read() and backend.ended)
 
 
-def test_an_attempts_own_time_out_is_kept_and_cut_to_the_deadline(node: Node) -> None:
+def test_an_attempts_own_timeout_is_limited_by_the_deadline(node: Node) -> None:
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1, 50 * MS)]
     node.script.answers[i.Ended] = lambda e: [i.Attempt(e.id, 1, 9_000 * MS)] if e.hop == 0 else []
     _, backend = started(node)
@@ -361,7 +361,7 @@
     assert [e.hop for e in node.script.of(i.Ended)] == [0, 1]
 
 
-def test_a_called_off_attempt_closes_its_connection_at_once(sending: Node) -> None:
+def test_a_cancelled_attempt_closes_its_connection_at_once(sending: Node) -> None:
     _, backend = started(sending)
     sending.script.answers[i.Timer] = lambda _: [i.Cancel("a1", 0)]
     sending.host.dispatch(i.Timer(1))
@@ -370,7 +370,7 @@
     assert sending.host.backend_connections == 0
 
 
-def test_an_attempt_is_called_off_also_while_it_connects(sending: Node) -> None:
+def test_an_attempt_can_be_cancelled_while_it_connects(sending: Node) -> None:
     sending.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1), i.Cancel(r.id, 0)]
     sending.ask(sending.client())
     assert sending.came(i.Ended).ending is Ending.CANCELLED
@@ -380,25 +380,25 @@
     sending.until(lambda: backend.read() == b"" and backend.ended)
 
 
-def test_cancelling_twice_or_what_has_ended_is_passed_over(sending: Node) -> None:
+def test_cancelling_twice_or_after_the_end_has_no_effect(sending: Node) -> None:
     started(sending)
     sending.script.answers[i.Timer] = lambda _: [i.Cancel("a1", 0), i.Cancel("a1", 0), i.Cancel("zz", 0)]
     sending.host.dispatch(i.Timer(1))
     assert len(sending.script.of(i.Ended)) == 1
 
 
-def test_the_latest_used_connection_is_reused(sending: Node) -> None:
-    ones = [started(sending, f"a{k}") for k in range(3)]
+def test_the_most_recently_used_connection_is_reused(sending: Node) -> None:
+    connections = [started(sending, f"a{k}") for k in range(3)]
     for k in (0, 2, 1):
-        ones[k][1].send(answer())
+        connections[k][1].send(answer())
         sending.came(i.Ended, len(sending.script.of(i.Ended)) + 1)
     sending.clock.now += 2 * MS
-    sending.ask(ones[0][0], "b1")
-    sending.until(lambda: b"b1" in ones[1][1].read())
+    sending.ask(connections[0][0], "b1")
+    sending.until(lambda: b"b1" in connections[1][1].read())
     assert sending.backend.take() is None and sending.host.backend_connections == 3
 
 
-def test_an_answer_frees_its_connection_for_an_attempt_a_moment_later(sending: Node) -> None:
+def test_a_connection_is_reused_by_an_attempt_a_moment_after_its_answer(sending: Node) -> None:
     client, backend = started(sending)
     sending.script.answers[i.Ended] = lambda e: [i.Wake(7, 5 * MS)] if e.hop == 0 else []
     sending.script.answers[i.Timer] = lambda _: [i.Attempt("a1", 1)]
@@ -413,8 +413,8 @@
 
 
 @pytest.mark.parametrize("stray", [b"", b"x"])
-def test_an_idle_connection_that_ended_or_holds_stray_bytes_is_not_used(sending: Node, stray: bytes) -> None:
-    """What is written to a connection that its peer has closed is a reset that may have run."""
+def test_an_idle_connection_that_was_closed_or_holds_unread_bytes_is_not_used(sending: Node, stray: bytes) -> None:
+    """Writing to a connection that the peer has closed ends in a reset, after which the request may have run."""
     client, backend = started(sending)
     backend.send(answer())
     sending.reads(client, b"slots")
@@ -428,7 +428,7 @@
         backend.close()
     sending.host.dispatch(i.Timer(1))
     client.came = b""
-    # in the same turn as the request: the loop has not told of the end yet
+    # in the same turn as the request, before the loop reports the close
     sending.ask(client, "a2")
     again = sending.taken(sending.backend)
     assert b"a2" in sending.reads(again)
@@ -440,7 +440,7 @@
 @pytest.mark.parametrize(
     "reply", [answer(Connection="close"), b"HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nslots", answer() + b"x"]
 )
-def test_a_connection_that_can_not_be_used_again_is_closed(sending: Node, reply: bytes) -> None:
+def test_a_connection_that_cannot_be_reused_is_closed(sending: Node, reply: bytes) -> None:
     client, backend = started(sending)
     backend.send(reply)
     sending.reads(client, b"slots")
@@ -448,15 +448,15 @@
     assert sending.host.idle.count == 0
 
 
-def test_an_answer_that_ends_with_its_connection_is_not_taken_for_whole(sending: Node) -> None:
-    """One that was cut would look the same."""
+def test_an_answer_without_a_length_is_not_taken_as_complete(sending: Node) -> None:
+    """Its end is that of the connection, and a truncated answer looks the same."""
     client, backend = started(sending)
     backend.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nslots")
     backend.close()
     assert sending.came(i.Ended).ending is Ending.RESET and client.read() == b""
 
 
-def test_idle_connections_age_out_well_before_the_backend_closes_them(sending: Node) -> None:
+def test_idle_connections_are_closed_well_before_the_backend_closes_them(sending: Node) -> None:
     client, backend = started(sending)
     backend.send(answer())
     sending.reads(client, b"slots")
@@ -468,7 +468,7 @@
 
 
 @pytest.mark.parametrize("change", ["leaving", "left", "moved"])
-def test_idle_connections_are_freed_when_a_backend_leaves_or_moves(sending: Node, change: str) -> None:
+def test_idle_connections_are_closed_when_a_backend_leaves_or_moves(sending: Node, change: str) -> None:
     client, backend = started(sending)
     backend.send(answer())
     sending.reads(client, b"slots")
@@ -476,38 +476,38 @@
     entry = row("s-1", elsewhere.text) if change == "moved" else row("s-1", sending.backend.text, status=change)
     sending.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [entry]})
     sending.until(lambda: backend.read() and backend.ended)
-    if change == "moved":  # the backend keeps its number, and is found where it listens now
+    if change == "moved":  # the backend keeps its number and gets the new address
         sending.ask(client, "a2")
         assert b"a2" in sending.reads(sending.taken(elsewhere))
     elsewhere.close()
 
 
-def test_no_more_connections_than_may_be_the_oldest_idle_makes_room() -> None:
+def test_backend_connections_are_limited_and_the_oldest_idle_one_makes_room() -> None:
     node = Node(backends=2)
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
-    ones = [started(node, f"a{k}") for k in range(2)]
+    connections = [started(node, f"a{k}") for k in range(2)]
     client = node.client()
     node.ask(client, "a3")
     assert node.came(i.Ended).ending is Ending.NO_CONNECTION  # both are busy
-    ones[0][1].send(answer())
+    connections[0][1].send(answer())
     node.came(i.Ended, 2)
-    other = StubServer()
-    node.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [row("s-2", other.text)]})
+    other_backend = StubServer()
+    node.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [row("s-2", other_backend.text)]})
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 2)]
     node.ask(node.client(), "a4")
-    assert b"a4" in node.reads(node.taken(other))
-    node.until(lambda: ones[0][1].read() and ones[0][1].ended)
+    assert b"a4" in node.reads(node.taken(other_backend))
+    node.until(lambda: connections[0][1].read() and connections[0][1].ended)
     assert node.host.backend_connections == 2
-    other.close()
+    other_backend.close()
     node.close()
 
 
-def test_no_attempt_is_sent_for_what_is_over_late_or_tried_too_often(node: Node) -> None:
+def test_no_attempt_is_sent_for_a_request_that_is_over_late_or_at_its_attempt_limit(node: Node) -> None:
     node.script.answers[i.Request] = lambda r: [i.Refuse(r.id, 1), i.Attempt(r.id, 1)]
     node.ask(node.client(), "a1")
     node.came(i.Request)
     node.turns()
-    assert node.script.of(i.Ended) == []  # it is not in hand any more
+    assert node.script.of(i.Ended) == []  # it is no longer pending
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
     node.ask(node.client(), "a2", X_Expires_In="0m")
     assert node.came(i.Ended) == i.Ended("a2", 1, 0, False, Ending.MOOT, 0)
@@ -520,11 +520,11 @@
     assert endings == [(k, Ending.NO_CONNECTION if k < 4 else Ending.MOOT) for k in range(6)]
 
 
-def test_an_answer_for_a_client_that_left_is_told_and_goes_nowhere(sending: Node) -> None:
+def test_an_answer_for_a_client_that_left_is_reported_and_dropped(sending: Node) -> None:
     client, backend = started(sending)
     client.close(RESET)
     sending.came(i.Withdrawn)
-    assert len(sending.host.requests) == 1  # its attempt is still out
+    assert len(sending.host.requests) == 1  # its attempt is still in flight
     backend.send(answer())
     assert sending.came(i.Ended) == i.Ended("a1", 1, 0, True, Ending.SERVED, 0)
     assert len(sending.host.requests) == 0
@@ -534,19 +534,19 @@
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1), i.Attempt(r.id, 1)]
     client = node.client()
     node.ask(client)
-    one, other = node.taken(node.backend), node.taken(node.backend)
-    node.reads(one)
-    node.reads(other)
-    other.send(answer(body=b"second"))
+    first, second = node.taken(node.backend), node.taken(node.backend)
+    node.reads(first)
+    node.reads(second)
+    second.send(answer(body=b"second"))
     node.reads(client, b"second")
-    one.send(answer(body=b"first!"))
+    first.send(answer(body=b"first!"))
     node.came(i.Ended, 2)
     node.turns()
     assert b"first!" not in client.read()
     assert [(e.hop, e.over) for e in node.script.of(i.Ended)] == [(1, True), (0, True)]
 
 
-def test_a_refusal_after_an_attempt_is_not_the_clients_fault(sending: Node) -> None:
+def test_a_refusal_after_an_attempt_is_answered_503(sending: Node) -> None:
     sending.script.answers[i.Ended] = lambda e: [i.Refuse(e.id, 500_000)]
     client, backend = started(sending)
     backend.send(answer("500 Oops"))
@@ -554,7 +554,7 @@
     assert reply.startswith(b"HTTP/1.1 503") and b"retry-after: 0.50\r\n" in reply
 
 
-def test_a_fault_in_an_attempt_still_ends_it(
+def test_an_exception_in_an_attempt_ends_it(
     sending: Node, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     def fails(*_: Any) -> bytes:
@@ -566,7 +566,7 @@
     assert "odd" in caplog.text and sending.host.backend_connections == 0
 
 
-def test_every_buffer_is_given_back(sending: Node) -> None:
+def test_every_buffer_is_returned(sending: Node) -> None:
     client, backend = started(sending)
     backend.send(answer())
     sending.reads(client, b"slots")
--- a/tests/test_counter_wire.py
+++ b/tests/test_counter_wire.py
@@ -1,4 +1,4 @@
-"""The counter's lines: how each call ends, answers owed, order within a name, stuck and idle connections."""
+"""The counter's line protocol: endings of calls, late answers, order within a name, stuck and idle connections."""
 
 import socket
 from typing import cast
@@ -10,18 +10,18 @@
 from oakvale.wire.counter import Call, answer
 from tests.node import MS, Node, StubConnection
 
-TIMEOUT = 80 * MS
+TIMEOUT_US = 80 * MS
 
 
-def call(node: Node, *charges: i.Charge) -> None:
-    """Has the module make calls."""
+def make_calls(node: Node, *charges: i.Charge) -> None:
+    """Makes the policy charge these amounts."""
     node.acts(*charges)
     node.turns()
 
 
-def one(node: Node, name: str = "q:a:1", amount: float = 2.0) -> StubConnection:
-    """Makes a call and gives the counter's side of the connection."""
-    call(node, i.Charge(name, amount, 4_000_000))
+def connect_call(node: Node, name: str = "q:a:1", amount: float = 2.0) -> StubConnection:
+    """Makes a call over a new connection and returns the counter's end of it."""
+    make_calls(node, i.Charge(name, amount, 4_000_000))
     counter = node.taken(node.counter)
     node.reads(counter, b"\r\n")
     return counter
@@ -32,8 +32,8 @@
     return [(e.name, e.ending, e.level) for e in node.script.of(i.Counted)]
 
 
-def test_a_call_is_a_line_and_its_answer_an_event(node: Node) -> None:
-    counter = one(node)
+def test_a_call_is_one_line_and_its_answer_an_event(node: Node) -> None:
+    counter = connect_call(node)
     assert counter.came == b"add q:a:1 2 4000\r\n"
     node.clock.now += 3 * MS
     counter.send(b"ok 12.5\r\n")
@@ -71,30 +71,30 @@
         i.Charge("qé", 1, 1000),
     ],
 )
-def test_a_call_that_the_counter_would_not_take_is_never_written(node: Node, charge: i.Charge) -> None:
-    call(node, charge)
+def test_a_call_that_the_counter_would_reject_is_never_written(node: Node, charge: i.Charge) -> None:
+    make_calls(node, charge)
     assert outcomes(node) == [(charge.name, Ending.FULL, 0.0)]
     assert node.counter.take() is None
 
 
-@pytest.mark.parametrize("life, text", [(0, b" 1\r\n"), (500, b" 1\r\n"), (90_000_000, b" 60000\r\n")])
-def test_lives_stay_within_a_minute(node: Node, life: int, text: bytes) -> None:
-    call(node, i.Charge("n", 1.0, life))
+@pytest.mark.parametrize("life_us, text", [(0, b" 1\r\n"), (500, b" 1\r\n"), (90_000_000, b" 60000\r\n")])
+def test_lifetimes_are_limited_to_a_minute(node: Node, life_us: int, text: bytes) -> None:
+    make_calls(node, i.Charge("n", 1.0, life_us))
     assert node.reads(node.taken(node.counter), b"\r\n").endswith(text)
 
 
 @pytest.mark.parametrize("line", [b"busy\r\n", b"error\r\n"])
-def test_busy_and_error_added_nothing(node: Node, line: bytes) -> None:
-    one(node).send(line)
+def test_busy_and_error_end_as_full(node: Node, line: bytes) -> None:
+    connect_call(node).send(line)
     assert outcomes(node) == [("q:a:1", Ending.FULL, 0.0)]
 
 
-def test_calls_are_written_one_behind_another_and_answered_in_order(node: Node) -> None:
-    call(node, *(i.Charge(f"n{k}", float(k), 1_000_000) for k in range(5)))
+def test_calls_are_pipelined_and_answered_in_order(node: Node) -> None:
+    make_calls(node, *(i.Charge(f"n{k}", float(k), 1_000_000) for k in range(5)))
     counter = node.taken(node.counter)
     node.until(lambda: counter.read().count(b"\r\n") == 5)
-    for part in (b"ok 0\r\nok 1\r\nbu", b"sy\r", b"\nok 3\r\nok 4\r\n"):
-        counter.send(part)
+    for fragment in (b"ok 0\r\nok 1\r\nbu", b"sy\r", b"\nok 3\r\nok 4\r\n"):
+        counter.send(fragment)
         node.turns()
     assert outcomes(node) == [
         ("n0", Ending.SERVED, 0),
@@ -106,12 +106,12 @@
     assert node.counter.take() is None
 
 
-def test_silence_is_a_time_out_and_the_late_answer_is_thrown_away(node: Node) -> None:
-    """It is still owed: taken for the next call's, every later answer would be another call's."""
-    counter = one(node, "n1")
-    node.pass_time(TIMEOUT // 2)
-    call(node, i.Charge("n2", 1.0, 1_000_000))
-    node.pass_time(TIMEOUT // 2)
+def test_a_call_times_out_and_its_late_answer_is_discarded(node: Node) -> None:
+    """Taken for the answer to the next call, it would shift all later answers by one call."""
+    counter = connect_call(node, "n1")
+    node.pass_time(TIMEOUT_US // 2)
+    make_calls(node, i.Charge("n2", 1.0, 1_000_000))
+    node.pass_time(TIMEOUT_US // 2)
     assert outcomes(node) == [("n1", Ending.TIMEOUT, 0.0)]
     counter.send(b"ok 1\r\n")
     assert outcomes(node) == [("n1", Ending.TIMEOUT, 0.0)]
@@ -119,46 +119,46 @@
     assert outcomes(node) == [("n1", Ending.TIMEOUT, 0.0), ("n2", Ending.SERVED, 2.0)]
 
 
-def test_a_refused_connection_added_nothing(node: Node) -> None:
+def test_a_call_on_a_refused_connection_did_not_count(node: Node) -> None:
     node.counter.close()
-    call(node, i.Charge("n1", 1.0, 1_000_000))
+    make_calls(node, i.Charge("n1", 1.0, 1_000_000))
     assert outcomes(node) == [("n1", Ending.NO_CONNECTION, 0.0)]
 
 
-def test_a_refusing_counter_is_not_connected_to_for_each_call(node: Node) -> None:
+def test_after_a_refused_connection_calls_fail_until_the_retry_pause_ends(node: Node) -> None:
     node.counter.close()
-    call(node, i.Charge("n1", 1.0, 1_000_000))
+    make_calls(node, i.Charge("n1", 1.0, 1_000_000))
     node.turns()
     before = node.host.counter.retry_at  # type: ignore[union-attr]
-    call(node, i.Charge("n2", 1.0, 1_000_000))
+    make_calls(node, i.Charge("n2", 1.0, 1_000_000))
     assert [e for _, e, _ in outcomes(node)] == [Ending.NO_CONNECTION] * 2
     assert node.host.counter.retry_at == before > node.clock.now  # type: ignore[union-attr]
 
 
-def test_a_connection_that_never_comes_up_added_nothing_and_writes_nothing_late(node: Node) -> None:
-    silent = socket.socket()
-    silent.bind(("127.0.0.1", 0))
-    silent.listen(0)
-    held = []
+def test_a_connection_that_is_never_established_is_given_up_and_not_written_to(node: Node) -> None:
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(0)
+    backlog = []
     for _ in range(3):
-        held.append(socket.socket())
-        held[-1].setblocking(False)
-        held[-1].connect_ex(silent.getsockname())
+        backlog.append(socket.socket())
+        backlog[-1].setblocking(False)
+        backlog[-1].connect_ex(listener.getsockname())
     assert node.host.counter is not None
-    node.host.counter.address = silent.getsockname()
-    call(node, i.Charge("n1", 1.0, 1_000_000))
-    node.pass_time(TIMEOUT)
+    node.host.counter.address = listener.getsockname()
+    make_calls(node, i.Charge("n1", 1.0, 1_000_000))
+    node.pass_time(TIMEOUT_US)
     assert outcomes(node) == [("n1", Ending.NO_CONNECTION, 0.0)]
     [connection] = node.host.counter.connections
-    connection._write = lambda: pytest.fail("it was given up")  # type: ignore[method-assign]
+    connection._write = lambda: pytest.fail("written to a connection that was given up")  # type: ignore[method-assign]
     node.pass_time(node.host.limits.connect)
     assert node.host.counter.connections == []
-    for sock in (silent, *held):
+    for sock in (listener, *backlog):
         sock.close()
 
 
-def test_a_call_whose_time_was_up_while_connecting_is_not_written(node: Node) -> None:
-    call(node, i.Charge("n1", 1.0, 1_000_000))
+def test_a_call_that_timed_out_while_connecting_is_not_written(node: Node) -> None:
+    make_calls(node, i.Charge("n1", 1.0, 1_000_000))
     counter = node.taken(node.counter)
     counter.read()
     counter.came = b""
@@ -167,43 +167,43 @@
     late = Call("late", 1.0, 1, node.clock.now)
     late.ending = Ending.NO_CONNECTION
     connection.send(late)
-    call(node, i.Charge("n2", 1.0, 1_000_000))
+    make_calls(node, i.Charge("n2", 1.0, 1_000_000))
     assert b"late" not in node.reads(counter, b"n2")
 
 
 @pytest.mark.parametrize("reset", [True, False])
-def test_a_break_after_the_last_byte_may_have_added(node: Node, reset: bool) -> None:
-    one(node).close(reset)
+def test_a_connection_lost_after_the_last_byte_may_have_counted(node: Node, reset: bool) -> None:
+    connect_call(node).close(reset)
     assert outcomes(node) == [("q:a:1", Ending.RESET, 0.0)]
 
 
-def test_a_break_before_the_last_byte_added_nothing(node: Node) -> None:
-    """Of two calls, the socket takes one and a part of the other."""
-    counter = one(node, "n0")
+def test_a_connection_lost_before_the_last_byte_did_not_count(node: Node) -> None:
+    """The socket takes the first call and a part of the second."""
+    counter = connect_call(node, "n0")
     counter.send(b"ok 1\r\n")
     node.turns()
     assert node.host.counter is not None
     [connection] = node.host.counter.connections
-    whole = Call("n1", 1.0, 1_000_000, 0).line()
+    line = Call("n1", 1.0, 1_000_000, 0).line()
 
-    class Narrow:
-        """A socket that has room for one call and four bytes."""
+    class LimitedSocket:
+        """A socket that takes one call and four bytes."""
 
         def __init__(self, sock: socket.socket) -> None:
-            self.sock, self.room = sock, len(whole) + 4
+            self.sock, self.capacity_bytes = sock, len(line) + 4
 
         def send(self, data: bytes) -> int:
-            if not self.room:
+            if not self.capacity_bytes:
                 raise BlockingIOError
-            sent = self.sock.send(data[: self.room])
-            self.room -= sent
+            sent = self.sock.send(data[: self.capacity_bytes])
+            self.capacity_bytes -= sent
             return sent
 
         def __getattr__(self, name: str) -> object:
             return getattr(self.sock, name)
 
-    connection._sock = Narrow(cast(socket.socket, connection._sock))  # type: ignore[assignment]
-    call(node, *(i.Charge(n, 1.0, 1_000_000_000) for n in ("n1", "n2", "n3")))
+    connection._sock = LimitedSocket(cast(socket.socket, connection._sock))  # type: ignore[assignment]
+    make_calls(node, *(i.Charge(n, 1.0, 1_000_000_000) for n in ("n1", "n2", "n3")))
     counter.close(reset=True)
     assert sorted(outcomes(node)[1:]) == [
         ("n1", Ending.RESET, 0.0),
@@ -232,24 +232,24 @@
     ],
     ids=range(14),
 )
-def test_a_spoilt_line_was_added_and_a_new_connection_is_made(
+def test_a_malformed_line_ends_the_calls_of_its_connection_and_a_new_one_is_made(
     node: Node, bad: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Also one that has no end: what is written behind it would wait in vain."""
-    counter = one(node, "n1")
-    call(node, i.Charge("n9", 1.0, 1_000_000))  # behind it: written, and never to be answered
+    """Also a line without an end, behind which later calls would wait in vain."""
+    counter = connect_call(node, "n1")
+    make_calls(node, i.Charge("n9", 1.0, 1_000_000))  # written behind the first call, never answered
     counter.send(bad)
     node.turns()
     assert outcomes(node) == [("n1", Ending.ERROR, 0.0), ("n9", Ending.RESET, 0.0)]
     assert "counter lost" in caplog.text
-    again = one(node, "n2")
-    again.send(b"ok 3\r\n")
+    new_connection = connect_call(node, "n2")
+    new_connection.send(b"ok 3\r\n")
     assert outcomes(node)[2:] == [("n2", Ending.SERVED, 3.0)]
 
 
 @pytest.mark.parametrize("line", [b"ok 12.5\r\n", b"ok -0.25\r\n", b"ok 1.5e-7\r\n", b"busy\r\n", b"error\r\n"])
-def test_an_answer_may_come_a_byte_at_a_time(node: Node, line: bytes) -> None:
-    counter = one(node, "n1")
+def test_an_answer_may_arrive_bytewise(node: Node, line: bytes) -> None:
+    counter = connect_call(node, "n1")
     for k in range(len(line)):
         counter.send(line[k : k + 1])
         node.turns(1)
@@ -257,84 +257,84 @@
     assert node.host.counter is not None and len(node.host.counter.connections) == 1
 
 
-def test_an_answer_to_no_call_drops_the_connection(node: Node) -> None:
-    counter = one(node, "n1")
+def test_an_answer_without_a_call_closes_the_connection(node: Node) -> None:
+    counter = connect_call(node, "n1")
     counter.send(b"ok 1\r\nok 2\r\n")
     assert outcomes(node) == [("n1", Ending.SERVED, 1.0)]
     assert node.host.counter is not None and node.host.counter.connections == []
 
 
-def test_a_stuck_connection_does_not_swallow_later_calls(node: Node) -> None:
-    one(node, "n1")
-    node.pass_time(TIMEOUT)
-    fresh = one(node, "n2")
-    fresh.send(b"ok 5\r\n")
+def test_later_calls_do_not_use_a_stuck_connection(node: Node) -> None:
+    connect_call(node, "n1")
+    node.pass_time(TIMEOUT_US)
+    new_connection = connect_call(node, "n2")
+    new_connection.send(b"ok 5\r\n")
     assert outcomes(node) == [("n1", Ending.TIMEOUT, 0.0), ("n2", Ending.SERVED, 5.0)]
 
 
-def test_a_slow_counter_is_not_a_stuck_connection(node: Node) -> None:
-    counter = one(node, "n1")
-    node.pass_time(TIMEOUT // 2)
-    call(node, i.Charge("n2", 1.0, 1_000_000))
-    node.pass_time(TIMEOUT // 4)
+def test_the_connection_of_a_slow_counter_does_not_count_as_stuck(node: Node) -> None:
+    counter = connect_call(node, "n1")
+    node.pass_time(TIMEOUT_US // 2)
+    make_calls(node, i.Charge("n2", 1.0, 1_000_000))
+    node.pass_time(TIMEOUT_US // 4)
     counter.send(b"ok 1\r\n")
     node.turns()
-    node.pass_time(TIMEOUT)  # the second is late, but the connection has spoken since it was made
-    call(node, i.Charge("n3", 1.0, 1_000_000))
+    node.pass_time(TIMEOUT_US)  # the second call is late, but an answer has arrived since it was written
+    make_calls(node, i.Charge("n3", 1.0, 1_000_000))
     assert node.counter.take() is None
 
 
-def test_a_connection_that_speaks_again_is_used_again(node: Node) -> None:
-    counter = one(node, "n1")
-    node.pass_time(TIMEOUT)
+def test_a_stuck_connection_is_used_again_after_an_answer(node: Node) -> None:
+    counter = connect_call(node, "n1")
+    node.pass_time(TIMEOUT_US)
     counter.send(b"ok 1\r\n")
     node.turns()
-    call(node, i.Charge("n2", 1.0, 1_000_000))
+    make_calls(node, i.Charge("n2", 1.0, 1_000_000))
     assert node.counter.take() is None and b"n2" in node.reads(counter, b"n2")
 
 
-def test_outcomes_of_a_name_keep_the_order_of_its_calls_over_connections(node: Node) -> None:
-    """The module takes each outcome for that of the oldest call of its name."""
-    one(node, "x")
-    node.pass_time(TIMEOUT // 2)
-    call(node, i.Charge("same", 1.0, 1_000_000))
-    node.pass_time(TIMEOUT // 2)  # the connection is stuck now, with the first of the two calls on it
-    fresh = one(node, "same")
-    fresh.send(b"ok 7\r\n")
+def test_outcomes_of_a_name_keep_the_order_of_its_calls_across_connections(node: Node) -> None:
+    """The policy assigns each outcome to the oldest pending call of its name."""
+    connect_call(node, "x")
+    node.pass_time(TIMEOUT_US // 2)
+    make_calls(node, i.Charge("same", 1.0, 1_000_000))
+    node.pass_time(TIMEOUT_US // 2)  # the connection is stuck now, and the first `same` call is on it
+    new_connection = connect_call(node, "same")
+    new_connection.send(b"ok 7\r\n")
     assert outcomes(node) == [("x", Ending.TIMEOUT, 0.0)]
-    node.pass_time(TIMEOUT // 2)
+    node.pass_time(TIMEOUT_US // 2)
     assert outcomes(node) == [("x", Ending.TIMEOUT, 0.0), ("same", Ending.TIMEOUT, 0.0), ("same", Ending.SERVED, 7.0)]
 
 
-def test_no_more_connections_than_may_be_to_a_silent_counter(node: Node) -> None:
-    sides = []
+def test_connections_to_a_silent_counter_are_limited(node: Node) -> None:
+    connections = []
     for k in range(3 * node.host.limits.counters):
-        sides.append(one(node, f"n{k}"))
-        node.pass_time(TIMEOUT)
+        connections.append(connect_call(node, f"n{k}"))
+        node.pass_time(TIMEOUT_US)
     assert node.host.counter is not None
     assert len(node.host.counter.connections) <= node.host.limits.counters < 32
-    assert [e for _, e, _ in outcomes(node)] == [Ending.TIMEOUT] * len(sides)
+    assert [e for _, e, _ in outcomes(node)] == [Ending.TIMEOUT] * len(connections)
     node.pass_time(node.host.limits.counter_late)
     assert node.host.counter.connections == []
 
 
-def test_a_connection_closed_while_idle_is_not_written_to(node: Node) -> None:
-    counter = one(node, "n1")
+def test_a_connection_that_was_closed_while_idle_is_not_written_to(node: Node) -> None:
+    counter = connect_call(node, "n1")
     counter.send(b"ok 1\r\n")
     node.turns()
     node.clock.now += node.host.limits.counter_idle
     counter.close()
     node.script.answers[i.Timer] = lambda _: [i.Charge("n2", 1.0, 1_000_000)]
     node.host.loop.at(node.clock.now, lambda _: node.host.dispatch(i.Timer(1)))
-    # the loop's events of this turn: the call is made before or after the end was seen, never on the old one
-    again = node.taken(node.counter)
-    assert b"n2" in node.reads(again, b"\r\n")
-    again.send(b"ok 2\r\n")
+    # whether the call is made before or after the loop sees the close, it doesn't use the old connection
+    new_connection = node.taken(node.counter)
+    assert b"n2" in node.reads(new_connection, b"\r\n")
+    new_connection.send(b"ok 2\r\n")
     assert outcomes(node)[1:] == [("n2", Ending.SERVED, 2.0)]
 
 
-def test_an_idle_connection_is_looked_at_before_it_is_used(node: Node) -> None:
-    counter = one(node, "n1")
+def test_an_idle_connection_is_checked_for_a_close_before_it_is_used(node: Node) -> None:
+    counter = connect_call(node, "n1")
     counter.send(b"ok 1\r\n")
     node.turns()
     assert node.host.counter is not None
@@ -345,33 +345,33 @@
     assert not connection.usable(later) and connection.ended
 
 
-def test_a_lost_counter_is_said_once_and_so_is_its_return(node: Node, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_lost_counter_and_its_return_are_logged_once(node: Node, caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level("INFO")
     for k in range(3):
-        one(node, f"n{k}")
-        node.pass_time(TIMEOUT)
+        connect_call(node, f"n{k}")
+        node.pass_time(TIMEOUT_US)
     assert [r.message for r in caplog.records] == ["counter lost"]
-    one(node, "n9").send(b"ok 1\r\n")
+    connect_call(node, "n9").send(b"ok 1\r\n")
     node.turns()
     assert [r.message for r in caplog.records] == ["counter lost", "counter back"]
 
 
-def test_nothing_grows_with_calls(node: Node) -> None:
+def test_finished_calls_leave_no_timers_names_or_buffers(node: Node) -> None:
     before = len(node.loop._timers)
-    counter = one(node, "n0")
+    counter = connect_call(node, "n0")
     counter.send(b"ok 1\r\n")
     for k in range(50):
-        call(node, i.Charge(f"n{k}", 1.0, 1_000_000))
+        make_calls(node, i.Charge(f"n{k}", 1.0, 1_000_000))
         counter.send(b"ok 1\r\n")
         node.turns()
         node.pass_time(10 * MS)
-    node.pass_time(TIMEOUT)
+    node.pass_time(TIMEOUT_US)
     assert node.host.counter is not None
     assert not node.host.counter._by_name and len(node.loop._timers) == before
     assert node.host.buffers.taken == 0
 
 
 @pytest.mark.parametrize("line", [b"", b"okay 1", b"busy 2", b"pong"])
-def test_lines_that_are_no_answers(line: bytes) -> None:
+def test_invalid_answer_lines_are_rejected(line: bytes) -> None:
     with pytest.raises(ValueError):
         answer(line)
