--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -358,10 +358,10 @@
         self.counter_response: tuple[bool, int, bool] | None = (True, 0, True)  # None: the counter answers later
         self.pending_counter_calls: list[Callable[[bool, int, bool], None]] = []
         rate_limiter = SimpleNamespace(
-            ask=self._count,
-            counts=lambda duty: False,
+            count_request=self._count,
+            holds=lambda duty: False,
             holder=lambda duty: None,
-            give_back=lambda receipt: None,
+            refund=lambda receipt: None,
         )
         transport = SimpleNamespace(handlers={})
         self.router = RequestRouter(
