--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -135,10 +135,10 @@
             self.simulation.check(
                 current is None or current.answered, "a request was sent on a connection with an unanswered one"
             )
-            found = ATTEMPT_ID_HEADER.search(data)
-            if found is None:
+            id_match = ATTEMPT_ID_HEADER.search(data)
+            if id_match is None:
                 return self.simulation.check(False, f"bytes outside any request: {data!r}")
-            request = self.simulation.requests[found[1].decode()]
+            request = self.simulation.requests[id_match[1].decode()]
             current = Delivery(request, len(request.deliveries), data, len(data))
             current.deadline = self.simulation.now + int(TIME_LEFT_HEADER.findall(data)[0]) * MS
             request.deliveries.append(current)
@@ -190,11 +190,11 @@
                 (connection.close_peer if how % 8 else connection.reset)()
             self.unsent, current.answered = b"", True
             return "sends the rest of its response, or breaks off"
-        whole, part_size = response(current), len(response(current)) - 5
+        complete_response, part_size = response(current), len(response(current)) - 5
         kind = how % 32
         if kind < 7 or 25 < kind < 30:
             current.served = self.simulation.now < current.deadline and not current.unrelated_responses
-            return self._send_final(whole, "serves")
+            return self._send_final(complete_response, "serves")
         if kind == 7:
             return self._send_final(chunked_response(current), "serves in chunks")
         if kind in (8, 9, 10):
@@ -223,7 +223,7 @@
         if kind == 16:
             return self._send_final(b"STRAY noise\r\n\r\n", "sends noise")
         if kind in (17, 18):
-            connection.deliver(whole[:part_size] if how & 64 else whole[:9])
+            connection.deliver(complete_response[:part_size] if how & 64 else complete_response[:9])
             current.answered = True
             connection.close_peer() if kind == 17 else connection.reset()
             return "breaks off in its response"
@@ -232,13 +232,15 @@
             connection.close_peer() if kind == 19 else connection.reset()
             return "closes without a response"
         if kind == 21:
-            self.unsent = whole[part_size:]
-            connection.deliver(whole[:part_size])
+            self.unsent = complete_response[part_size:]
+            connection.deliver(complete_response[:part_size])
             return "sends part of a response"
         if kind in (22, 30, 31):
-            trailing = (whole, b"STRAY\r\n\r\n", b"", b"")[how >> 5 & 3]
-            self.duplicate = whole if not trailing else b""
-            return self._send_final(whole + trailing, "serves, with more bytes behind it or at the next request")
+            trailing = (complete_response, b"STRAY\r\n\r\n", b"", b"")[how >> 5 & 3]
+            self.duplicate = complete_response if not trailing else b""
+            return self._send_final(
+                complete_response + trailing, "serves, with more bytes behind it or at the next request"
+            )
         if kind == 23:
             current.not_run = True
             self.duplicate = not_run_response(current, how >> 3) if how & 64 else b""
@@ -326,12 +328,12 @@
     def responses(self) -> list[tuple[int, dict[str, str], bytes, bool]]:
         """Of each final response: status, headers, body, and whether it is complete."""
         data = bytes(self.connection.received)
-        found: list[tuple[int, dict[str, str], bytes, bool]] = []
+        parsed: list[tuple[int, dict[str, str], bytes, bool]] = []
         assert b"STRAY" not in data, "bytes that belong to no response were passed on"
         while data:
             head, end, rest = data.partition(b"\r\n\r\n")
             if not end:
-                found.append((0, {}, b"", False))
+                parsed.append((0, {}, b"", False))
                 break
             status_line, *lines = head.decode().split("\r\n")
             assert status_line.startswith("HTTP/1.1 "), f"not a response: {status_line!r}"
@@ -341,9 +343,9 @@
                 data = rest
                 continue
             length = int(headers["content-length"])
-            found.append((status, headers, rest[:length], len(rest) >= length))
+            parsed.append((status, headers, rest[:length], len(rest) >= length))
             data = rest[length:]
-        return found
+        return parsed
 
 
 class DataPlaneSimulation:
@@ -403,12 +405,12 @@
         self.backend_ends.append(BackendEnd(self, connection))
 
     def _count(
-        self, tenant: str, again: bool, then: Callable[[bool, int, bool], None], patience: int, receipt: Any
+        self, tenant: str, again: bool, on_done: Callable[[bool, int, bool], None], patience: int, receipt: Any
     ) -> None:
         if self.counter_response is None:
-            self.pending_counter_calls.append(then)
+            self.pending_counter_calls.append(on_done)
         else:
-            then(*self.counter_response)
+            on_done(*self.counter_response)
 
     def publish_configuration(self) -> None:
         """Gives the router the next generation of routes and backends."""
@@ -483,6 +485,7 @@
         return self.requests[request_id]
 
     def play(self, schedule: bytes) -> None:
+        """Plays the steps, then lets everything end and checks it."""
         for position in range(0, len(schedule) - 2, 3):
             self.step(*schedule[position : position + 3])
             self.run_turns()
@@ -490,6 +493,7 @@
         self.finish()
 
     def step(self, action: int, which: int, how: int) -> None:
+        """Performs one step: `action` selects what happens, `which` selects the connection, `how` the variant."""
         action %= 32
         open_clients = [c for c in self.clients if not c.has_closed and not c.connection.closed]
         open_ends = [
@@ -630,8 +634,8 @@
                 f"{request.id} got another request's response: {headers}"
             )
             if 200 <= status < 300:
-                found = [d for d in request.deliveries if d.seal.decode() == headers.get("seal")]
-                intact = found and found[0].response_body() == body and "content-encoding" not in headers
+                sealed = [d for d in request.deliveries if d.seal.decode() == headers.get("seal")]
+                intact = sealed and sealed[0].response_body() == body and "content-encoding" not in headers
                 assert intact, f"{request.id} got {headers} {body!r}"
             elif request.unsafe and any(d.served for d in request.deliveries):
                 raise AssertionError(f"{request.id} got {status} although its backend served it")
--- a/tests/test_attempts_wire.py
+++ b/tests/test_attempts_wire.py
@@ -241,10 +241,10 @@
     sending.reads(client, b"first")
     client.came = b""
     sending.ask(client, "a2")  # within the same millisecond
-    again = sending.taken(sending.backend)
+    new_connection = sending.taken(sending.backend)
     backend.send(extra)
-    assert b"a2" in sending.reads(again)
-    again.send(answer(body=b"second"))
+    assert b"a2" in sending.reads(new_connection)
+    new_connection.send(answer(body=b"second"))
     assert b"first" not in sending.reads(client, b"second")
     sending.until(lambda: backend.read() and backend.ended)
 
@@ -277,8 +277,8 @@
     )
     sending.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 2)]
     sending.ask(client, "a2")
-    again = sending.taken(sending.backend)
-    assert b"a2" in sending.reads(again)
+    new_connection = sending.taken(sending.backend)
+    assert b"a2" in sending.reads(new_connection)
     sending.until(lambda: backend.read() and backend.ended)
 
 
@@ -430,9 +430,9 @@
     client.came = b""
     # in the same turn as the request, before the loop reports the close
     sending.ask(client, "a2")
-    again = sending.taken(sending.backend)
-    assert b"a2" in sending.reads(again)
-    again.send(answer())
+    new_connection = sending.taken(sending.backend)
+    assert b"a2" in sending.reads(new_connection)
+    new_connection.send(answer())
     sending.reads(client, b"slots")
     assert [e.ending for e in sending.script.of(i.Ended)] == [Ending.SERVED] * 2
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -320,8 +320,8 @@
     busy.send(b"".join(request(f"b{k}") for k in range(600)))
     node.ask(other, "one")
     node.loop.turn(0)
-    came = [r.id for r in node.script.of(i.Request)]
-    assert "one" in came and len(came) < 200  # at most one buffer of the busy connection's
+    request_ids = [r.id for r in node.script.of(i.Request)]
+    assert "one" in request_ids and len(request_ids) < 200  # at most one buffer of the busy connection's
     node.until(lambda: busy.read().count(b"HTTP/1.1 429 Too Many Requests") == 600)
 
 
--- a/tests/test_counter_wire.py
+++ b/tests/test_counter_wire.py
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "data",
     [
         b"what\r\n",
         b"ok x\r\n",
@@ -233,12 +233,12 @@
     ids=range(14),
 )
 def test_a_malformed_line_ends_the_calls_of_its_connection_and_a_new_one_is_made(
-    node: Node, bad: bytes, caplog: pytest.LogCaptureFixture
+    node: Node, data: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Also a line without an end, behind which later calls would wait in vain."""
     counter = connect_call(node, "n1")
     make_calls(node, i.Charge("n9", 1.0, 1_000_000))  # written behind the first call, never answered
-    counter.send(bad)
+    counter.send(data)
     node.turns()
     assert outcomes(node) == [("n1", Ending.ERROR, 0.0), ("n9", Ending.RESET, 0.0)]
     assert "counter lost" in caplog.text
--- a/tests/test_discovery_wire.py
+++ b/tests/test_discovery_wire.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "data",
     [
         b"4\r\nnope\r\n1\r\n\n\r\n",
         b"3\r\n[]\n\r\n",
@@ -120,10 +120,10 @@
     ],
 )
 def test_malformed_lines_are_logged_and_the_watch_is_reopened(
-    node: Node, bad: bytes, caplog: pytest.LogCaptureFixture
+    node: Node, data: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     discovery = accept_watch(node)
-    discovery.send(WATCH_HEAD + bad)
+    discovery.send(WATCH_HEAD + data)
     node.until(lambda: discovery.read() and discovery.ended)
     assert len(backend_lists(node)) == 1 and "discovery lost" in caplog.text
     node.pass_time(node.host.limits.discovery_retry)
@@ -189,8 +189,8 @@
 
 def test_unknown_zones_kinds_and_fields_are_accepted(node: Node) -> None:
     discovery = accept_watch(node)
-    odd = row("s-9", "127.0.0.1:1", zone="attic", type="odd", colour="red")
-    discovery.send(WATCH_HEAD + chunk(catalog_change(42, odd)))
+    unknown = row("s-9", "127.0.0.1:1", zone="attic", type="odd", colour="red")
+    discovery.send(WATCH_HEAD + chunk(catalog_change(42, unknown)))
     [entry] = backend_lists(node)[1].entries
     assert (entry.zone, entry.kind) == (2, 1)
 
