--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -21,7 +21,7 @@
 from oakvale.controlplane.compaction import LEFT
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.view_change import View
-from oakvale.dissemination.table import PRIVATE
+from oakvale.dissemination.table import CORE_ONLY_PREFIX
 from oakvale.lifecycle.eventlog import EventLogger
 
 if TYPE_CHECKING:  # of use only with contracts, or to a primary
@@ -31,7 +31,10 @@
 JSON = (b"content-type", b"application/json")
 ID = re.compile(r"[!-~]{1,128}")
 NAME = re.compile(r"[0-9A-Za-z._-]{1,64}")  # of an order
-TAKEN, FORGOTTEN = PRIVATE, "up-to"  # of entries on numbers; of that on the highest number that is known no longer
+TAKEN, FORGOTTEN = (
+    CORE_ONLY_PREFIX,
+    "up-to",
+)  # of entries on numbers; of that on the highest number that is known no longer
 MOST = 1_000  # numbers whose content is remembered, the highest
 CHECKED = 64  # texts that need not be checked again
 QUEUE = 16  # texts that wait to be checked; beyond, the caller is sent on
@@ -245,7 +248,7 @@
         if held is not None and all(held[field] == value for field, value in said.items()):
             return (
                 give(yes)
-                if not self._core.replicated_state.waits()
+                if not self._core.replicated_state.has_pending()
                 else self._core.when_settled(lambda done: give(yes if done else UNSURE))
             )
         changes: dict[str, Any] = {key: said | {"calls": calls, "warm": warm}}
@@ -344,7 +347,7 @@
             if any(held[field] != value for field, value in given.items()):
                 return give(problem(409, "another order has this name"))
             return self._core.confirm(lambda done: give(Reply(200) if done else UNSURE))
-        if keep and any(key.startswith("drain/") for key in self._core.replicated_state.waiting()):
+        if keep and any(key.startswith("drain/") for key in self._core.replicated_state.pending_keys()):
             return give(UNSURE)  # another order is being kept: this one's plan has to know it
         entry, plan = self._drains.entry(given, now)
         told = report.of_plan(plan)
--- a/oakvale/ratelimit/presence.py
+++ b/oakvale/ratelimit/presence.py
@@ -54,7 +54,7 @@
         listed, known = self._members(), self._listed
         if listed is not known:
             changes: dict[str, Member | None] = dict(listed)
-            if listed.before is known:
+            if listed.previous is known:
                 changes = listed.changes
             else:
                 changes.update({node: None for node in known if node not in listed})
@@ -107,7 +107,9 @@
         now = self._loop.now
         if now - self._share[1] >= SHARE_CACHE_US:
             may_pass = {
-                node for node, member in self.recent_members.items() if self.proven_ended.get(node) != member.life
+                node
+                for node, member in self.recent_members.items()
+                if self.proven_ended.get(node) != member.incarnation
             }
             present = sum(1 for node in may_pass | {self._node} if node == self._node or self.is_present(node))
             self._share = (min(1.0, present / max(1, len(may_pass | {self._node}))), now)
@@ -123,16 +125,16 @@
                 address
                 and node != self._node
                 and not self.is_present(node)
-                and self.proven_ended.get(node) != member.life
+                and self.proven_ended.get(node) != member.incarnation
             ):
                 check = partial(self.check_incarnation, member, address, self._loop.now)
                 self._transport.ask(address, "life", None, PROBE_TIMEOUT_US, check)
 
     def check_incarnation(self, member: Member, address: Address, asked: int, answer: Any) -> None:
         """Records whether the listed incarnation has ended, by another incarnation's answer or a refused connection."""
-        refused = answer is None and self._transport.ended(address, asked)
-        if isinstance(answer, str) and answer != member.life or refused:
-            self.proven_ended[member.node] = member.life
+        refused = answer is None and self._transport.recently_refused(address, asked)
+        if isinstance(answer, str) and answer != member.incarnation or refused:
+            self.proven_ended[member.node] = member.incarnation
 
     def record_contact(self, address: Address) -> None:
         """The gateway answered, or is proven to have ended."""
--- a/oakvale/transport/status_service.py
+++ b/oakvale/transport/status_service.py
@@ -1,5 +1,6 @@
-"""Standing: what a process says of itself when it is asked over the mains (`oakvale status`), and notes in its log
-at intervals. Values are numbers and short texts; ages are in milliseconds of the steady clock.
+"""Status of a process: returned over the transport on request (`oakvale status`) and logged at intervals.
+
+Values are numbers and short texts; ages are in milliseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -15,70 +16,70 @@
 from oakvale.transport.frames import BadFrame, decode, encode
 from oakvale.transport.links import Transport
 
-EACH = 30_000_000  # microseconds between two notes
-KIND = "status"
-MS = 1_000
+LOG_INTERVAL_US = 30_000_000
+STATUS_KIND = "status"
+US_PER_MS = 1_000
 
 log_event = EventLogger(__name__)
 
 Fields = dict[str, Any]
 
 
-class Silent(Exception):
-    """Who was asked did not answer; one line."""
+class NoResponse(Exception):
+    """The process did not answer; the message is a single line."""
 
 
-def offer(transport: Transport, role: str, node: str, tell: Callable[[], Fields]) -> None:
-    """Answers whoever asks, and notes the same at intervals."""
-    loop, began = transport.loop, transport.loop.now
+def serve_status(transport: Transport, role: str, node: str, own_fields: Callable[[], Fields]) -> None:
+    """Answers status requests and logs the same fields at intervals."""
+    loop, started_at = transport.loop, transport.loop.now
 
-    def standing() -> Fields:
-        (cpu, memory), (out, come) = loop.net.used(), transport.links()
+    def status_fields() -> Fields:
+        (cpu_seconds, memory_mb), (outgoing, incoming) = loop.net.used(), transport.connection_counts()
         return (
-            {"role": role, "node": node, "up_ms": (loop.now - began) // MS}
-            | tell()
+            {"role": role, "node": node, "up_ms": (loop.now - started_at) // US_PER_MS}
+            | own_fields()
             | {
-                "links_out": out,
-                "links_in": come,
-                "sent_bytes": transport.sent.total(),
+                "links_out": outgoing,
+                "links_in": incoming,
+                "sent_bytes": transport.sent_bytes.total(),
                 "turns": loop.turns,
-                "cpu_ms": round(cpu * 1000),
-                "memory_mb": memory,
+                "cpu_ms": round(cpu_seconds * 1000),
+                "memory_mb": memory_mb,
             }
-            | {f"sent.{kind}": count for kind, count in sorted(transport.sent.items())}
+            | {f"sent.{kind}": count for kind, count in sorted(transport.sent_bytes.items())}
         )
 
-    def again(_: Any) -> None:
-        loop.at(loop.now + EACH, again)
-        log_event("standing", **standing())
+    def log_status(_: Any) -> None:
+        loop.at(loop.now + LOG_INTERVAL_US, log_status)
+        log_event("standing", **status_fields())
 
-    transport.handlers[KIND] = lambda conn, body, answer: answer(standing())
-    loop.at(loop.now + EACH, again)
+    transport.handlers[STATUS_KIND] = lambda conn, body, answer: answer(status_fields())
+    loop.at(loop.now + LOG_INTERVAL_US, log_status)
 
 
-def by_service(backends: Iterable[tuple[str, str]]) -> Fields:
-    """Counts from pairs of service and state."""
+def count_by_service(backends: Iterable[tuple[str, str]]) -> Fields:
+    """Status fields that count backends, given as pairs of service and state."""
     counts = Counter(backends)
     return {f"backends.{service}.{state}": count for (service, state), count in sorted(counts.items())}
 
 
-def inquire(address: Address, timeout: float, kind: str = KIND) -> Mapping[str, Any]:
-    """Asks from outside a loop; raises Silent."""
-    due = time.monotonic() + timeout
-    came = bytearray()
+def query_status(address: Address, timeout_seconds: float, kind: str = STATUS_KIND) -> Mapping[str, Any]:
+    """Requests the status of a process, blocking, from outside an event loop; raises NoResponse."""
+    deadline = time.monotonic() + timeout_seconds
+    received = bytearray()
     try:
-        with socket.create_connection(address, timeout) as sock:
+        with socket.create_connection(address, timeout_seconds) as sock:
             sock.sendall(encode(kind, 1, None))
             while True:
-                sock.settimeout(max(0.01, due - time.monotonic()))
+                sock.settimeout(max(0.01, deadline - time.monotonic()))
                 data = sock.recv(65536)
                 if not data:
-                    raise Silent("closed without an answer")
-                came += data
-                for sort, number, body in decode(came):
-                    if not sort and number == 1 and isinstance(body, dict):
+                    raise NoResponse("connection closed without a response")
+                received += data
+                for response_kind, number, body in decode(received):
+                    if not response_kind and number == 1 and isinstance(body, dict):
                         return body
-                if time.monotonic() > due:
-                    raise Silent("no answer in time")
+                if time.monotonic() > deadline:
+                    raise NoResponse("no response before the timeout")
     except (OSError, BadFrame) as error:
-        raise Silent(str(error)) from error
+        raise NoResponse(str(error)) from error
