--- a/oakvale/lab/modelcheck/breakages.py
+++ b/oakvale/lab/modelcheck/breakages.py
@@ -204,7 +204,7 @@
 
 
 def _looks_at_an_old_clock(self: Leases, view: View, now: int, real: Callable[..., bool] = Leases.holds) -> bool:
-    return real(self, view, now - self._silence)
+    return real(self, view, now - self._lease_us)
 
 
 def _forgets_grants(
@@ -391,7 +391,7 @@
     Breakage(
         "grant-not-waited-for",
         "who granted a lease serves in the next view before it has run out",
-        ((Leases, "free", lambda self, now: True),),
+        ((Leases, "grants_expired", lambda self, now: True),),
         replace(QUIET, wakes=1, beats=1),
     ),
     Breakage(
--- a/tests/control_plane_simulation.py
+++ b/tests/control_plane_simulation.py
@@ -16,7 +16,7 @@
 import cbor2
 
 from oakvale.config.settings import Bounds, Settings
-from oakvale.controlplane.compaction import Pruning
+from oakvale.controlplane.compaction import Compactor
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.view_change import View, unpack_durable_state
 from oakvale.dissemination.table import NO_VERSION, Table, Version, unpack
@@ -164,11 +164,11 @@
             settings,
             cast(Any, Storage(self.world, self.life)),
         )
-        self.core.on_change.append(lambda serves: self.world.serving_changed(self, serves))
+        self.core.on_serving_change.append(lambda serves: self.world.serving_changed(self, serves))
         if self.world.on_machine_start is not None:
             self.world.on_machine_start(self, Loop(self.world, self.life))
         if self.world.compaction_intervals:
-            Pruning(self.core, cast(Any, Loop(self.world, self.life)), *self.world.compaction_intervals)
+            Compactor(self.core, cast(Any, Loop(self.world, self.life)), *self.world.compaction_intervals)
 
     def stop(self) -> None:
         """SIGTERM, and SIGKILL after `grace`."""
@@ -335,7 +335,7 @@
         core = machine.core
         if serves and core is not None:
             number = core.view().number  # type: ignore[union-attr]
-            core.outlet.subscribe(cast(Any, Subscriber(self, machine)), self.gateway.highest_version, (number, 0))
+            core.publisher.subscribe(cast(Any, Subscriber(self, machine)), self.gateway.highest_version, (number, 0))
 
     def receive_updates(self, body: Any) -> None:
         pulse, entries = tuple(body[0]), unpack(body[1])
@@ -421,7 +421,7 @@
         view."""
         found = self.serving()
         view = found.core.view() if found is not None and found.core is not None else None
-        cores = {m.core.own: m.core for m in self.machines if m.core is not None and not m.paused}
+        cores = {m.core.self_id: m.core for m in self.machines if m.core is not None and not m.paused}
         return (
             view is not None
             and len(view.witnesses) > 2 * self.tolerate
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -13,7 +13,7 @@
 
 from oakvale.controlplane import chunks
 from oakvale.controlplane.chunks import MAX_CHUNK_BYTES, chunk_digests, join_chunks, split_state
-from oakvale.controlplane.core import SILENCE, Core
+from oakvale.controlplane.core import PEER_TIMEOUT_US, Core
 from oakvale.dissemination.table import NO_VERSION, Entry
 from oakvale.lab.simulation.works import Layout, Station, Works
 from tests.control_plane_simulation import Machine, World
@@ -141,7 +141,7 @@
         """The backup's machine."""
         view = self.serving().view()
         assert view is not None
-        return next(m for m in self.world.machines if m.core is not None and m.core.own == view.backups[0])
+        return next(m for m in self.world.machines if m.core is not None and m.core.self_id == view.backups[0])
 
     def changes(self, span: int) -> None:
         """Makes small and large changes, ten a second."""
@@ -326,7 +326,7 @@
         if core is None:
             return
         now = self.works.events.now
-        process = self.station(core.own).process
+        process = self.station(core.self_id).process
         assert process is not None
         process.post(
             lambda: core.change(
@@ -374,7 +374,7 @@
     took = system.serves[0][0] - began
     print(how, "serves after", took / SECOND, "longest gaps", dict(system.gaps))
     assert took < (6 if how == "planned" else 12) * SECOND
-    assert max(system.gaps.values()) < SILENCE // 2
+    assert max(system.gaps.values()) < PEER_TIMEOUT_US // 2
     answered = [span for at, span, done in system.results if done and at > system.serves[0][0]]
     assert len(answered) > 20 and max(answered) < SECOND // 2
 
@@ -416,7 +416,9 @@
         gap for pair, gap in system.gaps.items() if not pair.startswith(backup.machine.ip)
     ]  # except for the one that restarted
     assert (
-        all(done for _, _, done in system.results) and len(system.results) == 361 and max(heartbeat_gaps) < SILENCE // 2
+        all(done for _, _, done in system.results)
+        and len(system.results) == 361
+        and max(heartbeat_gaps) < PEER_TIMEOUT_US // 2
     )
 
 
@@ -434,7 +436,7 @@
     print("the configuration", spans[-1] / SECOND, "others at most", spans[-2] / SECOND, dict(system.gaps))
     assert all(done for _, _, done in system.results) and len(spans) == 61
     assert 9 * SECOND < spans[-1] < 13 * SECOND and spans[-2] < SECOND // 2
-    assert max(system.gaps.values()) < SILENCE // 2 and not system.views
+    assert max(system.gaps.values()) < PEER_TIMEOUT_US // 2 and not system.views
 
 
 def test_gateways_get_a_configuration_of_the_planned_size_over_slow_links() -> None:
@@ -455,4 +457,4 @@
         spans += [second] * (sum(held()) - len(spans))
     print("held after", spans, dict(system.gaps))
     assert len(spans) == 6 and spans[2] <= 36 and spans[5] <= 46
-    assert not system.stalls and not system.views and max(system.gaps.values()) < SILENCE
+    assert not system.stalls and not system.views and max(system.gaps.values()) < PEER_TIMEOUT_US
