--- a/oakvale/host.py
+++ b/oakvale/host.py
@@ -65,7 +65,7 @@
             raise BadRequest(405, "only GET and POST")
         request = decode(incoming, came, self.names, self.limits.client_wait, self.terms)
         if self.requests.get(request.id) is not None:
-            raise BadRequest(409, "X-Trace-Id is in use by another pending request")
+            raise BadRequest(409, "X-Trace-Id is of a request in hand")
         if self.refuses_requests():
             return plain(503, "no room")
         return InHand(
