--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -8,7 +8,7 @@
 
 from oakvale.base.net import Sock
 from tests.data_plane import KEY, GatewayHarness, success_answer
-from tests.data_plane_model import World
+from tests.data_plane_model import DataPlaneSimulation
 from tests.node import MS, StubConnection
 
 LARGE_BODY = b"x" * 60_000  # more than the reduced socket buffers hold
@@ -164,17 +164,17 @@
 
 def test_an_attempt_that_is_connecting_ends_when_its_client_leaves() -> None:
     """Guards against a connection that is established late delivering a request that nobody waits for."""
-    world = World()
-    world.mode = 2  # connections hang
-    caller = world.client()
-    caller.ask(world.request(1, 0), 0)
-    world.turn()
-    assert world.router.shared.backend_connections == 1
-    caller.left = True
-    caller.line.reset()
-    world.turn()
-    assert world.router.shared.backend_connections == 0 and not len(world.router.requests)
-    world.finish()
+    simulation = DataPlaneSimulation()
+    simulation.connect_mode = 2  # connections hang
+    client = simulation.connect_client()
+    client.send_request(simulation.add_request(1, 0), 0)
+    simulation.run_turns()
+    assert simulation.router.shared.backend_connections == 1
+    client.has_closed = True
+    client.connection.reset()
+    simulation.run_turns()
+    assert simulation.router.shared.backend_connections == 0 and not len(simulation.router.requests)
+    simulation.finish()
 
 
 def end_client_while_gateway_is_paused(gateway: GatewayHarness, client: StubConnection, ends: str) -> None:
