--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -113,7 +113,7 @@
         floor = max((gen for at, gen in self.acked if at <= now - STALE_AFTER_US - MAX_RELAY_DELAY_US), default=0)
         for station in self.works.edges:
             if station.up and station.process is not None and not station.process.paused:
-                sluice = station.process.works.sluice
+                sluice = station.process.works.gateway
                 if sluice.feed.is_fresh():
                     current = (sluice.table.get("config") or {"gen": 0})["gen"]
                     assert current >= floor, f"{station.name} is fresh at {current} after {floor} was acknowledged"
@@ -137,7 +137,7 @@
     last = scenario.highest
     scenario.works.run_for(2 * SECOND)
     assert scenario.highest > last
-    assert all(s.process.works.sluice.feed.is_fresh() for s in scenario.works.edges if s.process is not None)
+    assert all(s.process.works.gateway.feed.is_fresh() for s in scenario.works.edges if s.process is not None)
 
 
 @pytest.mark.parametrize("direction", ["both ways", "receives nothing", "is not received"])
