--- a/oakvale/policy/admission.py
+++ b/oakvale/policy/admission.py
@@ -12,7 +12,7 @@
         self.limits, self.quota, self.counter = attempts.limits, attempts.quota, attempts.quota.counter
         self.wait_counts: dict[tuple[int, int], int] = {}  # (class, slot of time left) -> requests
 
-    def on_request(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:  # refuses it, sends it, or first calls the counter
         context, settings, now = self.context, self.context.settings, self.context.now
         if not (0 <= request.plan < len(settings.plans) and 0 <= request.class_index < len(settings.classes)):
             return context.actions.append(Refuse(request.id))
--- a/oakvale/policy/attempts.py
+++ b/oakvale/policy/attempts.py
@@ -15,7 +15,7 @@
         self.limits, self.health, self.quota = selector.limits, selector.health, selector.limits.quota
         self.budget, self.timers, self.next_timer = budget, dict[int, tuple[str, int]](), 1
 
-    def max_attempts(self, pending: PendingRequest) -> int:
+    def max_attempts(self, pending: PendingRequest) -> int:  # the request class's bound, or the default
         return pending.request_class.tries or self.context.settings.max_attempts
 
     def send(self, pending: PendingRequest) -> None:  # or refuses it where all backends are full
@@ -40,7 +40,7 @@
             expected = 2.5 * self.health.latency_of(backend) * request.units
             self.schedule_check(pending, hop, int(max(expected, 0.3 * pending.request_class.aim)))
 
-    def schedule_check(self, pending: PendingRequest, hop: int, delay: int) -> None:
+    def schedule_check(self, pending: PendingRequest, hop: int, delay: int) -> None:  # delay in microseconds
         token, self.next_timer = self.next_timer, self.next_timer + 1
         self.timers[token] = (pending.request.id, hop)
         self.context.actions.append(Wake(token, delay))
@@ -64,7 +64,7 @@
         if backend.in_flight.pop((request_id, hop), 0):
             self.health.add_sample(backend, (now - sent_at) / units)
 
-    def on_head(self, event: Head) -> None:
+    def on_head(self, event: Head) -> None:  # the head of an answer has arrived
         if event.id in self.context.pending:
             self.context.pending[event.id].responding = True
 
--- a/oakvale/policy/choice.py
+++ b/oakvale/policy/choice.py
@@ -11,7 +11,7 @@
         self.context, self.limits, self.health = context, limits, limits.health
         self.sent_units, self.sent_rate = 0.0, 0.0  # since the last tick; moving average per second
 
-    def tick(self) -> None:
+    def tick(self) -> None:  # updates the send rate at each batch interval
         elapsed = BATCH_INTERVAL_US if self.context.now > self.context.resumed_at else self.context.paused_for
         self.sent_rate += EWMA_WEIGHT * (self.sent_units * SECOND_US / elapsed - self.sent_rate)
         self.sent_units = 0.0
--- a/oakvale/policy/lending.py
+++ b/oakvale/policy/lending.py
@@ -21,7 +21,7 @@
         self.added = dict.fromkeys(self.periods, 0.0)  # by this gateway, not yet sent
         self.current, self.counter_reset = dict.fromkeys(self.periods, -1), False  # number of the period
 
-    def start_periods(self) -> None:
+    def start_periods(self) -> None:  # clears counts of periods that have ended
         for kind, period in self.periods.items():
             if self.context.now // period != self.current[kind]:
                 self.current[kind], self.counter_reset = self.context.now // period, False
@@ -41,7 +41,7 @@
 
     def on_batch_counted(self, kind: str, event: Counted, amount: float, answered: bool) -> None:
         if event.name != f"g:{kind}:{self.current[kind]}":
-            return
+            return  # the global count of an earlier period
         if answered:
             self.read_at = self.context.now
             self.counter_reset |= event.level < 0.999 * self.counts[kind]  # the counter lost it: lend nothing
--- a/oakvale/policy/limits.py
+++ b/oakvale/policy/limits.py
@@ -20,7 +20,7 @@
         latency, rejected = self.health.latency, self.context.now - self.rejected_at < SECOND_US
         return rejected or latency > OVERLOAD_RATIO * (self.health.baseline or latency)
 
-    def adapt(self, backend: Backend, ending: Ending) -> None:
+    def adapt(self, backend: Backend, ending: Ending) -> None:  # adapts the limits after a latency sample
         self.adjust(backend.limit, len(backend.in_flight), self.health.latency_of(backend), self.min_limit)
         if ending is Ending.SERVED:
             in_flight = sum(len(x.in_flight) for x in self.context.backends.values())
--- a/oakvale/policy/quota.py
+++ b/oakvale/policy/quota.py
@@ -21,7 +21,7 @@
         self.target_share, self.answering, self.called_at = 1.0, True, 0  # share to return to
 
     def call(self, name: str, amount: float, kind: str, request_id: str, period: int = EPOCH_US) -> None:
-        self.calls.setdefault(name, deque()).append((kind, request_id, amount))
+        self.calls.setdefault(name, deque()).append((kind, request_id, amount))  # answered in this order
         self.batch_credit = min(2.0, self.batch_credit + BATCH_CALL_SHARE)
         self.called_at = self.context.now
         self.context.actions.append(Charge(name, amount, min(2 * period, 2 * EPOCH_US)))
@@ -52,17 +52,17 @@
     def __init__(self, context: Context, counter: CounterCalls) -> None:
         self.context, self.counter = context, counter
 
-    def report_use(self, customer: Customer, kind: str, request_id: str) -> None:
+    def report_use(self, customer: Customer, kind: str, request_id: str) -> None:  # sends the unsent units
         self.counter.call(self.quota_name(customer), customer.unsent, kind, request_id)
         customer.unsent = 0.0
 
-    def quota_name(self, customer: Customer) -> str:
+    def quota_name(self, customer: Customer) -> str:  # its count in this epoch
         return f"q:{customer.name}:{self.context.now // EPOCH_US}"
 
-    def open_name(self, customer: Customer) -> str:
+    def open_name(self, customer: Customer) -> str:  # its count of attempts
         return f"o:{customer.name}:{self.context.now // self.context.max_deadline}"
 
-    def open_share(self, customer: Customer) -> float:
+    def open_share(self, customer: Customer) -> float:  # local room for further attempts
         return max(1, customer.plan.open / customer.gateways) - customer.in_flight
 
     def report_open(self, customer: Customer, request_id: str = "") -> None:
@@ -128,7 +128,7 @@
         fits = customer.balance >= units and customer.allowance >= units * self.context.rng.random()
         self.charge(pending, fits)
 
-    def charge(self, pending: PendingRequest, fits: bool) -> None:
+    def charge(self, pending: PendingRequest, fits: bool) -> None:  # charges the units if they fit
         pending.charged, pending.within_quota = fits, pending.within_quota and fits
         pending.customer.balance -= pending.request.units if fits else 0.0
         pending.customer.allowance -= pending.request.units if fits else 0.0
--- a/oakvale/policy/upkeep.py
+++ b/oakvale/policy/upkeep.py
@@ -10,7 +10,7 @@
     def __init__(self, context: Context, attempts: Attempts) -> None:
         self.context, self.attempts, self.lending = context, attempts, attempts.lending
 
-    def on_backends(self, event: Backends) -> None:
+    def on_backends(self, event: Backends) -> None:  # takes over a list of backends, or a change
         context, min_limit = self.context, self.attempts.limits.min_limit
         if not context.started_at:
             context.started_at = context.now
@@ -33,7 +33,7 @@
         context.backends = {
             k: x for k, x in context.backends.items() if x.in_flight or x.entry.state != State.GONE}
 
-    def on_timer(self, event: Timer) -> None:
+    def on_timer(self, event: Timer) -> None:  # the batch, or an attempt's check
         if event.token != BATCH_TIMER:
             return self.attempts.check_progress(*self.attempts.timers.pop(event.token, ("", 0)))
         context = self.context
--- a/oakvale/policy_records.py
+++ b/oakvale/policy_records.py
@@ -76,7 +76,7 @@
 
 
 class Context:
-    """State that all policy modules share: settings, time, known parties, and the actions of the current event."""
+    """State that all policy modules share: settings, time, customers, backends, and actions of the current event."""
 
     settings: Settings
     min_aim: int  # over all request classes
--- a/oakvale/retry_budget.py
+++ b/oakvale/retry_budget.py
@@ -32,6 +32,8 @@
 
 
 class RetryBudget(Protocol):
+    """What decides whether a request may be retried."""
+
     def can_retry(self, now: int) -> bool:
         """Whether the budget covers a whole retry."""
 
@@ -49,9 +51,11 @@
         self.saved_attempts = MAX_SAVED_ATTEMPTS
 
     def can_retry(self, now: int) -> bool:
+        """Whether a whole retry has been saved up."""
         return self.saved_attempts >= 1
 
     def try_spend(self, spent: RetryCost, ending: Ending, now: int) -> bool:
+        """Charges one retry, or nothing if the attempt never ran; returns whether it may be made."""
         cost = 0 if ending in NEVER_RAN else 1
         if self.saved_attempts < cost:
             return False
@@ -59,6 +63,7 @@
         return True
 
     def record_attempt_end(self, spent: RetryCost, ending: Ending, learned: bool, now: int) -> None:
+        """Earns a fraction of a retry for an answer that says something about its backend."""
         if learned:
             self.saved_attempts = min(
                 MAX_SAVED_ATTEMPTS, self.saved_attempts + EARNED_PER_ANSWER * (ending is Ending.SERVED)
@@ -95,9 +100,11 @@
         self._requests += 1
 
     def can_retry(self, now: int) -> bool:
+        """Whether a whole retry is left of this gateway's share in the current window."""
         return self._available(now) >= 1
 
     def try_spend(self, spent: RetryCost, ending: Ending, now: int) -> bool:
+        """Charges up to one retry unless no attempt has arrived yet; returns whether it may be made."""
         if not spent.arrived:
             return True  # it would be the first to arrive
         available = self._available(now)
@@ -108,6 +115,7 @@
         return available >= 1 or self._draw() < available
 
     def record_attempt_end(self, spent: RetryCost, ending: Ending, learned: bool, now: int) -> None:
+        """Refunds the latest attempt if it never arrived; else notes that the request has reached a backend."""
         if ending in NEVER_ARRIVED:
             self._spend(-spent.last_cost, now)
         else:
@@ -133,7 +141,6 @@
             while self._slots[0][0] < number - SLOTS_PER_WINDOW:
                 self._slots.popleft()
             self._requests = sum(slot[1] for slot in self._slots if slot[0] > number - SLOTS_PER_WINDOW)
-            self._spent = sum(
-                slot[2] for slot in self._slots
-            )  # one slot more: the oldest is still partly in the window
+            # Spent retries include one slot more, as the oldest is still partly in the window.
+            self._spent = sum(slot[2] for slot in self._slots)
         return self._slots[-1]
--- a/oakvale/shared.py
+++ b/oakvale/shared.py
@@ -42,6 +42,7 @@
 
     @property
     def tally(self) -> Tally:
+        """Counters of the process."""
         return self.shared.tally
 
     @tally.setter
@@ -50,6 +51,7 @@
 
     @property
     def stopping(self) -> bool:
+        """Whether the process is shutting down."""
         return self.shared.stopping
 
     @stopping.setter
@@ -58,6 +60,7 @@
 
     @property
     def ended(self) -> bool:
+        """Whether the process has finished its work and its loop is to end."""
         return self.shared.ended
 
     @ended.setter
