--- a/tests/node.py
+++ b/tests/node.py
@@ -76,19 +76,19 @@
     """The peer's side of a connection: the data received, and a socket to answer on."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.came, self.ended = sock, b"", False
+        self.sock, self.received, self.ended = sock, b"", False
         sock.setblocking(False)
 
     def read(self) -> bytes:
         try:
             while data := self.sock.recv(65536):
-                self.came += data
+                self.received += data
             self.ended = True
         except BlockingIOError:
             pass
         except OSError:
             self.ended = True
-        return self.came
+        return self.received
 
     def send(self, data: bytes) -> None:
         self.sock.setblocking(True)
@@ -204,24 +204,25 @@
     def ask(self, client: StubConnection, request_id: str = "9b1f03aa5c7e2d41", **headers: Any) -> None:
         client.send(request(request_id, **headers))
 
-    def came(self, kind: type[Any], n: int = 1) -> Any:
+    def wait_event(self, kind: type[Any], n: int = 1) -> Any:
         """Waits for the n-th event of a type and returns it."""
         self.until(lambda: len(self.script.of(kind)) >= n)
         return self.script.of(kind)[n - 1]
 
-    def taken(self, party: StubServer) -> StubConnection:
-        return self._kept(self.until(party.take))
+    def accept_from(self, server: StubServer) -> StubConnection:
+        """Waits for a new connection to a stub server and returns it."""
+        return self._kept(self.until(server.take))
 
     def reads(self, peer: StubConnection, end: bytes = b"\r\n\r\n") -> bytes:
         """Waits until the data that a peer received contains `end` and returns it."""
         self.until(lambda: end in peer.read())
-        return peer.came
+        return peer.received
 
     def close(self) -> None:
         self.host.ended = True
         self.loop.close()
-        for party in (self.backend, self.counter, self.discovery):
-            party.close()
+        for server in (self.backend, self.counter, self.discovery):
+            server.close()
         for peer in self.peers:
             peer.close()
 
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -77,7 +77,7 @@
     gateway.until(lambda: gateway.router.tally.abandoned["at_backend"] == 1)
     gateway.turns()
     gateway.until_ended(backend)
-    assert len(backend.came) < len(LARGE_BODY) and not len(gateway.router.requests)
+    assert len(backend.received) < len(LARGE_BODY) and not len(gateway.router.requests)
 
 
 @pytest.mark.parametrize("client_leaves", [True, False], ids=["client leaves", "deadline passes"])
@@ -218,7 +218,7 @@
     end_client_while_gateway_is_paused(gateway, client, "half")
     _, backend, _ = gateway.next_backend_request()
     backend.send(success_answer())
-    gateway.until(lambda: b"200 OK" in client.read() and client.came.endswith(b"ok"))
+    gateway.until(lambda: b"200 OK" in client.read() and client.received.endswith(b"ok"))
 
 
 def test_a_request_read_in_time_is_not_delayed_by_a_probe(gateway: GatewayHarness) -> None:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -167,7 +167,7 @@
     node.script.answers[i.Ended] = lambda e: [i.Refuse(e.id, 1)]
     client = node.client()
     client.send(request("a1", X_Expires_In="2499m") + b"nonsense\r\n\r\n")
-    node.reads(node.taken(node.backend))
+    node.reads(node.accept_from(node.backend))
     node.pass_time(2_600 * MS)
     assert node.reads(client).startswith(b"HTTP/1.1 503")
     node.close()
--- a/tests/test_attempts_wire.py
+++ b/tests/test_attempts_wire.py
@@ -36,7 +36,7 @@
     """A client whose request has reached the backend, and the backend's connection."""
     client = node.client()
     node.ask(client, request_id)
-    backend = node.taken(node.backend)
+    backend = node.accept_from(node.backend)
     node.reads(backend)
     return client, backend
 
@@ -57,7 +57,7 @@
             X_Hop="dropped",
         )
     )
-    backend = sending.taken(sending.backend)
+    backend = sending.accept_from(sending.backend)
     data = sending.reads(backend, body)
     head = data.partition(b"\r\n\r\n")[0].lower()
     assert data.startswith(b"POST " + target.encode() + b" HTTP/1.1\r\n") and data.endswith(body)
@@ -69,14 +69,14 @@
 def test_an_empty_body_is_passed_on_with_content_length_0(sending: Node) -> None:
     client = sending.client()
     client.send(request("a1", method="POST", target="/save?key=00000000b4d65521", Content_Length="0"))
-    assert b"content-length: 0\r\n" in sending.reads(sending.taken(sending.backend))
+    assert b"content-length: 0\r\n" in sending.reads(sending.accept_from(sending.backend))
 
 
 def test_a_chunked_body_is_passed_on_with_its_length(sending: Node) -> None:
     client = sending.client()
     head = request("a1", method="POST", target="/save?key=00000000b4d65521", Transfer_Encoding="chunked")
     client.send(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
-    backend = sending.taken(sending.backend)
+    backend = sending.accept_from(sending.backend)
     assert b"content-length: 5" in sending.reads(backend, b"abcde")
 
 
@@ -97,7 +97,7 @@
     assert reply.endswith(body) and head.startswith(b"http/1.1 200")
     assert b"content-type: image/x" in head and b"x-more: 1" in head and b"keep-alive" not in head
     assert b"endpoint-load-metrics" not in head  # not meant for clients
-    assert sending.came(i.Ended) == i.Ended("a1", 1, 0, True, Ending.SERVED, 0, report=(7.0, 0.61))
+    assert sending.wait_event(i.Ended) == i.Ended("a1", 1, 0, True, Ending.SERVED, 0, report=(7.0, 0.61))
 
 
 @pytest.mark.parametrize(
@@ -154,7 +154,7 @@
 def test_the_ending_of_an_answer(sending: Node, reply: bytes, ending: Ending) -> None:
     _, backend = started(sending)
     send_all(sending, backend, reply)
-    ended = sending.came(i.Ended)
+    ended = sending.wait_event(i.Ended)
     assert (ended.ending, ended.over, ended.hop) == (ending, False, 0)
     assert sending.host.bodies.taken == 0
 
@@ -174,10 +174,10 @@
     connections = [started(node, f"a{k}") for k in range(2)]
     for _, backend in connections:
         backend.send(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\nslots")
-    assert node.came(i.Ended).ending is Ending.RESET
+    assert node.wait_event(i.Ended).ending is Ending.RESET
     assert node.host.bodies.taken == 400_000
     node.pass_time(node.host.limits.answer_rest)
-    assert node.came(i.Ended, 2).ending is Ending.RESET and node.host.bodies.taken == 0
+    assert node.wait_event(i.Ended, 2).ending is Ending.RESET and node.host.bodies.taken == 0
     node.close()
 
 
@@ -229,7 +229,7 @@
     backend.send(answer(status, body=b"no such slot"))
     reply = sending.reads(client, b"no such slot")
     assert reply.startswith(b"HTTP/1.1 " + status[:3].encode())
-    ended = sending.came(i.Ended)
+    ended = sending.wait_event(i.Ended)
     assert (ended.ending, ended.over) == (Ending.ERROR, True)
 
 
@@ -239,9 +239,9 @@
     client, backend = started(sending)
     backend.send(answer(body=b"first"))
     sending.reads(client, b"first")
-    client.came = b""
+    client.received = b""
     sending.ask(client, "a2")  # within the same millisecond
-    new_connection = sending.taken(sending.backend)
+    new_connection = sending.accept_from(sending.backend)
     backend.send(extra)
     assert b"a2" in sending.reads(new_connection)
     new_connection.send(answer(body=b"second"))
@@ -277,7 +277,7 @@
     )
     sending.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 2)]
     sending.ask(client, "a2")
-    new_connection = sending.taken(sending.backend)
+    new_connection = sending.accept_from(sending.backend)
     assert b"a2" in sending.reads(new_connection)
     sending.until(lambda: backend.read() and backend.ended)
 
@@ -288,14 +288,14 @@
     client, backend = started(sending)
     backend.send(begun)
     backend.close(reset)
-    assert sending.came(i.Ended).ending is Ending.RESET
+    assert sending.wait_event(i.Ended).ending is Ending.RESET
     assert client.read() == b""  # nothing of it reached the client
 
 
 def test_a_refused_connection_did_not_run(sending: Node) -> None:
     sending.backend.close()
     sending.ask(sending.client())
-    assert sending.came(i.Ended).ending is Ending.NO_CONNECTION
+    assert sending.wait_event(i.Ended).ending is Ending.NO_CONNECTION
 
 
 def test_a_connection_that_is_never_established_did_not_run(sending: Node) -> None:
@@ -310,7 +310,7 @@
         backlog[-1].connect_ex(listener.getsockname())
     sending.host.backend_names._addresses[1] = listener.getsockname()
     sending.ask(sending.client())
-    sending.came(i.Request)
+    sending.wait_event(i.Request)
     sending.pass_time(sending.host.limits.connect - 1)
     assert sending.script.of(i.Ended) == []
     sending.pass_time(1)
@@ -328,17 +328,17 @@
     sending.backend.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     client = sending.client()
     client.send(request("a1", method="POST", target="/save?key=00000000b4d65521", body=b"x" * 65536))
-    sending.came(i.Request)
+    sending.wait_event(i.Request)
     pending = sending.host.requests.get("a1")
     assert pending is not None
     connection = pending.out[0].connection
     assert isinstance(connection, BackendConnection)
     connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-    backend = sending.taken(sending.backend)
+    backend = sending.accept_from(sending.backend)
     sending.turns(10)
     assert not pending.out[0].written
     backend.close(RESET)
-    assert sending.came(i.Ended).ending is ending
+    assert sending.wait_event(i.Ended).ending is ending
 
 
 def test_a_silent_backend_times_out_at_the_clients_deadline_and_its_connection_is_closed(sending: Node) -> None:
@@ -365,7 +365,7 @@
     _, backend = started(sending)
     sending.script.answers[i.Timer] = lambda _: [i.Cancel("a1", 0)]
     sending.host.dispatch(i.Timer(1))
-    assert sending.came(i.Ended).ending is Ending.CANCELLED
+    assert sending.wait_event(i.Ended).ending is Ending.CANCELLED
     sending.until(lambda: backend.read() and backend.ended)
     assert sending.host.backend_connections == 0
 
@@ -373,7 +373,7 @@
 def test_an_attempt_can_be_cancelled_while_it_connects(sending: Node) -> None:
     sending.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1), i.Cancel(r.id, 0)]
     sending.ask(sending.client())
-    assert sending.came(i.Ended).ending is Ending.CANCELLED
+    assert sending.wait_event(i.Ended).ending is Ending.CANCELLED
     sending.turns()
     assert sending.host.backend_connections == 0 and len(sending.script.of(i.Ended)) == 1
     backend = sending.until(sending.backend.take)
@@ -391,7 +391,7 @@
     connections = [started(sending, f"a{k}") for k in range(3)]
     for k in (0, 2, 1):
         connections[k][1].send(answer())
-        sending.came(i.Ended, len(sending.script.of(i.Ended)) + 1)
+        sending.wait_event(i.Ended, len(sending.script.of(i.Ended)) + 1)
     sending.clock.now += 2 * MS
     sending.ask(connections[0][0], "b1")
     sending.until(lambda: b"b1" in connections[1][1].read())
@@ -402,9 +402,9 @@
     client, backend = started(sending)
     sending.script.answers[i.Ended] = lambda e: [i.Wake(7, 5 * MS)] if e.hop == 0 else []
     sending.script.answers[i.Timer] = lambda _: [i.Attempt("a1", 1)]
-    backend.came = b""
+    backend.received = b""
     backend.send(answer("500 Oops"))
-    sending.came(i.Ended)
+    sending.wait_event(i.Ended)
     sending.pass_time(sending.host.limits.wake_slack)
     assert b"a1" in sending.reads(backend)
     assert sending.backend.take() is None
@@ -427,10 +427,10 @@
     else:
         backend.close()
     sending.host.dispatch(i.Timer(1))
-    client.came = b""
+    client.received = b""
     # in the same turn as the request, before the loop reports the close
     sending.ask(client, "a2")
-    new_connection = sending.taken(sending.backend)
+    new_connection = sending.accept_from(sending.backend)
     assert b"a2" in sending.reads(new_connection)
     new_connection.send(answer())
     sending.reads(client, b"slots")
@@ -453,7 +453,7 @@
     client, backend = started(sending)
     backend.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nslots")
     backend.close()
-    assert sending.came(i.Ended).ending is Ending.RESET and client.read() == b""
+    assert sending.wait_event(i.Ended).ending is Ending.RESET and client.read() == b""
 
 
 def test_idle_connections_are_closed_well_before_the_backend_closes_them(sending: Node) -> None:
@@ -478,7 +478,7 @@
     sending.until(lambda: backend.read() and backend.ended)
     if change == "moved":  # the backend keeps its number and gets the new address
         sending.ask(client, "a2")
-        assert b"a2" in sending.reads(sending.taken(elsewhere))
+        assert b"a2" in sending.reads(sending.accept_from(elsewhere))
     elsewhere.close()
 
 
@@ -488,14 +488,14 @@
     connections = [started(node, f"a{k}") for k in range(2)]
     client = node.client()
     node.ask(client, "a3")
-    assert node.came(i.Ended).ending is Ending.NO_CONNECTION  # both are busy
+    assert node.wait_event(i.Ended).ending is Ending.NO_CONNECTION  # both are busy
     connections[0][1].send(answer())
-    node.came(i.Ended, 2)
+    node.wait_event(i.Ended, 2)
     other_backend = StubServer()
     node.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [row("s-2", other_backend.text)]})
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 2)]
     node.ask(node.client(), "a4")
-    assert b"a4" in node.reads(node.taken(other_backend))
+    assert b"a4" in node.reads(node.accept_from(other_backend))
     node.until(lambda: connections[0][1].read() and connections[0][1].ended)
     assert node.host.backend_connections == 2
     other_backend.close()
@@ -505,12 +505,12 @@
 def test_no_attempt_is_sent_for_a_request_that_is_over_late_or_at_its_attempt_limit(node: Node) -> None:
     node.script.answers[i.Request] = lambda r: [i.Refuse(r.id, 1), i.Attempt(r.id, 1)]
     node.ask(node.client(), "a1")
-    node.came(i.Request)
+    node.wait_event(i.Request)
     node.turns()
     assert node.script.of(i.Ended) == []  # it is no longer pending
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
     node.ask(node.client(), "a2", X_Expires_In="0m")
-    assert node.came(i.Ended) == i.Ended("a2", 1, 0, False, Ending.MOOT, 0)
+    assert node.wait_event(i.Ended) == i.Ended("a2", 1, 0, False, Ending.MOOT, 0)
     node.backend.close()
     node.script.answers[i.Ended] = lambda e: [i.Attempt(e.id, 1)] if e.hop < 5 else [i.Fail(e.id)]
     client = node.client()
@@ -523,10 +523,10 @@
 def test_an_answer_for_a_client_that_left_is_reported_and_dropped(sending: Node) -> None:
     client, backend = started(sending)
     client.close(RESET)
-    sending.came(i.Withdrawn)
+    sending.wait_event(i.Withdrawn)
     assert len(sending.host.requests) == 1  # its attempt is still in flight
     backend.send(answer())
-    assert sending.came(i.Ended) == i.Ended("a1", 1, 0, True, Ending.SERVED, 0)
+    assert sending.wait_event(i.Ended) == i.Ended("a1", 1, 0, True, Ending.SERVED, 0)
     assert len(sending.host.requests) == 0
 
 
@@ -534,13 +534,13 @@
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1), i.Attempt(r.id, 1)]
     client = node.client()
     node.ask(client)
-    first, second = node.taken(node.backend), node.taken(node.backend)
+    first, second = node.accept_from(node.backend), node.accept_from(node.backend)
     node.reads(first)
     node.reads(second)
     second.send(answer(body=b"second"))
     node.reads(client, b"second")
     first.send(answer(body=b"first!"))
-    node.came(i.Ended, 2)
+    node.wait_event(i.Ended, 2)
     node.turns()
     assert b"first!" not in client.read()
     assert [(e.hop, e.over) for e in node.script.of(i.Ended)] == [(1, True), (0, True)]
@@ -562,7 +562,7 @@
 
     monkeypatch.setattr("oakvale.wire.backends.BackendConnection._message", fails)
     sending.ask(sending.client())
-    assert sending.came(i.Ended).ending is Ending.NO_CONNECTION
+    assert sending.wait_event(i.Ended).ending is Ending.NO_CONNECTION
     assert "odd" in caplog.text and sending.host.backend_connections == 0
 
 
@@ -570,14 +570,14 @@
     client, backend = started(sending)
     backend.send(answer())
     sending.reads(client, b"slots")
-    client.came = b""
+    client.received = b""
     sending.clock.now += 2 * MS
     sending.ask(client, "a2")
     sending.reads(backend, b"a2")
     backend.close(RESET)
-    sending.came(i.Ended, 2)
+    sending.wait_event(i.Ended, 2)
     client.close(RESET)
-    sending.came(i.Withdrawn)
+    sending.wait_event(i.Withdrawn)
     sending.turns()
     assert sending.host.buffers.taken == 0
     assert len(sending.host.requests) == 0 and not sending.host.clients.all
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -45,7 +45,7 @@
 def test_a_request_becomes_an_event(node: Node) -> None:
     client = node.client()
     node.ask(client, X_Second_Try="1")
-    assert node.came(i.Request) == i.Request(
+    assert node.wait_event(i.Request) == i.Request(
         "9b1f03aa5c7e2d41", "00000000b4d65521", 0, 0, 2.0, 3, 1, node.clock.now + 4_000_000, 2
     )
 
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("text, wait", [("480m", 480_000), ("480u", 480), ("1.5m", 1_500), ("0m", 0)])
 def test_the_remaining_time_is_read_in_both_units(node: Node, text: str, wait: int) -> None:
     node.ask(node.client(), X_Expires_In=text)
-    assert node.came(i.Request).deadline == node.clock.now + wait
+    assert node.wait_event(i.Request).deadline == node.clock.now + wait
 
 
 @pytest.mark.parametrize("accepted", [True, False])
@@ -65,7 +65,7 @@
         node.until(lambda: node.host.clients.all)
     node.ask(client)
     node.host.unix_time = lambda: time.time_ns() + 300_000_000
-    waited = node.clock.now + 4_000_000 - node.came(i.Request).deadline
+    waited = node.clock.now + 4_000_000 - node.wait_event(i.Request).deadline
     assert 300_000 <= waited <= 300_000 + (time.time_ns() - started_ns) // 1000
 
 
@@ -73,7 +73,7 @@
 def test_a_step_of_the_system_clock_is_not_taken_for_a_wait(node: Node, step_s: int) -> None:
     node.host.unix_time = lambda: time.time_ns() + step_s * 1_000_000_000
     node.ask(node.client())
-    assert node.came(i.Request).deadline == node.clock.now + 4_000_000
+    assert node.wait_event(i.Request).deadline == node.clock.now + 4_000_000
 
 
 def test_a_request_that_is_there_at_accept_is_read_in_the_same_turn(node: Node) -> None:
@@ -86,7 +86,7 @@
     node.script.answers[i.Request] = refuse
     client = node.client()
     for n in range(3):
-        client.came = b""
+        client.received = b""
         node.ask(client, f"id-{n}")
         reply = node.reads(client, b"try again later\n")
         assert reply.startswith(b"HTTP/1.1 429") and b"retry-after: 0.25\r\n" in reply
@@ -174,7 +174,7 @@
     assert node.script.of(i.Request) == []
     node.turns()
     client.read()
-    client.came = b""
+    client.received = b""
     client.send(request(**VALID_REQUEST))
     assert node.reads(client, b"later\n").startswith(b"HTTP/1.1 429")
 
@@ -235,7 +235,7 @@
     reply = node.reads(client)
     assert reply.startswith(b"HTTP/1.1 400") and b"connection: close" in reply
     node.until(lambda: client.read() and client.ended)
-    assert node.script.of(i.Request) == [] and client.came.count(b"HTTP/1.1") == 1
+    assert node.script.of(i.Request) == [] and client.received.count(b"HTTP/1.1") == 1
 
 
 @pytest.mark.parametrize(
@@ -257,7 +257,7 @@
 def test_the_id_of_a_pending_request_is_rejected(node: Node) -> None:
     first, second = node.client(), node.client()
     node.ask(first, "a1")
-    node.came(i.Request)
+    node.wait_event(i.Request)
     node.ask(second, "a1")
     assert node.reads(second).startswith(b"HTTP/1.1 409")
     assert len(node.script.of(i.Request)) == 1
@@ -269,8 +269,8 @@
     for n, client in enumerate(clients):
         node.ask(client, f"a{n}")
     replies = node.until(lambda: [c for c in clients if c.read()])
-    assert len(replies) == 1 and replies[0].came.startswith(b"HTTP/1.1 503")
-    assert b"retry-after: 1\r\n" in replies[0].came
+    assert len(replies) == 1 and replies[0].received.startswith(b"HTTP/1.1 503")
+    assert b"retry-after: 1\r\n" in replies[0].received
     node.close()
 
 
@@ -301,7 +301,7 @@
 def test_a_pipelined_request_waits_without_a_busy_loop(node: Node) -> None:
     client = node.client()
     client.send(request("a1"))
-    node.came(i.Request)
+    node.wait_event(i.Request)
     client.send(request("a2"))
     node.turns()
     turns = node.loop.turns
@@ -310,7 +310,7 @@
     node.host.dispatch(i.Timer(1))
     node.script.answers[i.Timer] = lambda _: [i.Refuse("a1", 1)]
     node.host.dispatch(i.Timer(2))
-    node.came(i.Request, 2)
+    node.wait_event(i.Request, 2)
 
 
 def test_a_busy_connection_does_not_starve_others(node: Node) -> None:
@@ -328,25 +328,25 @@
 def test_the_policy_is_told_when_a_client_closes(node: Node) -> None:
     client = node.client()
     node.ask(client, "a1")
-    node.came(i.Request)
+    node.wait_event(i.Request)
     client.close()
-    assert node.came(i.Withdrawn) == i.Withdrawn("a1")
+    assert node.wait_event(i.Withdrawn) == i.Withdrawn("a1")
     assert not len(node.host.requests) and not node.host.clients.all
 
 
 def test_the_policy_is_told_when_a_client_resets(node: Node) -> None:
     client = node.client()
     node.ask(client, "a1")
-    node.came(i.Request)
+    node.wait_event(i.Request)
     client.close(reset=True)
-    node.came(i.Withdrawn)
+    node.wait_event(i.Withdrawn)
 
 
 def test_a_half_closed_client_still_gets_its_answer(node: Node) -> None:
     """A half-close looks like a close until something is written: an interim answer distinguishes them."""
     client = node.client()
     node.ask(client, "a1")
-    node.came(i.Request)
+    node.wait_event(i.Request)
     client.sock.shutdown(socket.SHUT_WR)
     node.reads(client, b"HTTP/1.1 100 Continue\r\n\r\n")
     node.turns(20)
@@ -366,13 +366,13 @@
     body = bytes(range(256)) * 256
     node.listener.getsockname()
     node.ask(slow, "a1")
-    backend = node.taken(node.backend)
+    backend = node.accept_from(node.backend)
     node.reads(backend)
     for connection in node.host.clients.all:
         assert isinstance(connection, ClientConnection)
         connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     backend.send(answer(body=body))
-    node.came(i.Ended)
+    node.wait_event(i.Ended)
     node.turns(20)  # the client has read nothing yet
     node.script.answers[i.Request] = refuse
     other = node.client()
@@ -389,13 +389,13 @@
     slow.sock.setblocking(True)
     slow.sock.connect(node.address)
     node.ask(slow, "a1")
-    backend = node.taken(node.backend)
+    backend = node.accept_from(node.backend)
     node.reads(backend)
     for connection in node.host.clients.all:
         assert isinstance(connection, ClientConnection)
         connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     backend.send(answer(body=b"x" * 65536))
-    node.came(i.Ended)
+    node.wait_event(i.Ended)
     node.turns(20)
     assert len(node.host.clients.all) == 1
     node.pass_time(node.host.limits.client_take)
@@ -430,7 +430,7 @@
     """The pending request is withdrawn for it, and gets no answer."""
     client = node.client()
     client.send(request("a1") + b"nonsense\r\n\r\n")
-    node.came(i.Request)
+    node.wait_event(i.Request)
     node.pass_time(2_400 * MS)
     assert client.read() == b"" and not node.script.of(i.Withdrawn)
     node.pass_time(200 * MS)
@@ -438,13 +438,13 @@
     assert reply.startswith(b"HTTP/1.1 400") and b"connection: close" in reply
     assert [w.id for w in node.script.of(i.Withdrawn)] == ["a1"]
     node.until(lambda: client.read() and client.ended)
-    assert client.came.count(b"HTTP/1.1") == 1
+    assert client.received.count(b"HTTP/1.1") == 1
 
 
 def test_a_slow_request_without_pipelined_input_may_last_until_its_deadline(node: Node) -> None:
     client = node.client()
     node.ask(client)
-    node.came(i.Request)
+    node.wait_event(i.Request)
     node.pass_time(3_900 * MS)
     assert client.read() == b"" and not client.ended and not node.script.of(i.Withdrawn)
 
@@ -452,7 +452,7 @@
 def test_closing_the_client_of_a_duplicate_id_does_not_withdraw_the_pending_request(node: Node) -> None:
     first, second = node.client(), node.client()
     node.ask(first, "a1")
-    node.came(i.Request)
+    node.wait_event(i.Request)
     node.ask(second, "a1")
     assert node.reads(second).startswith(b"HTTP/1.1 409")
     second.close(reset=True)
@@ -495,7 +495,7 @@
     node.until(lambda: len(node.host.clients.all) == 1)
     assert node.host.bodies.taken == 60_000
     first.send(b"x" * 60_000)
-    assert node.came(i.Request).id == "a1"
+    assert node.wait_event(i.Request).id == "a1"
     node.acts(i.Refuse("a1", 1))
     node.reads(first, b"later\n")
     assert node.host.bodies.taken == 0
@@ -517,7 +517,7 @@
             node.until(lambda n=n: node.host.bodies.taken == 40_000 * (n + 1))  # type: ignore[misc]
     assert node.reads(clients[2]).startswith(b"HTTP/1.1 503")
     clients[1].send(b"0\r\n\r\n")
-    assert node.came(i.Request).id == "a1"
+    assert node.wait_event(i.Request).id == "a1"
     node.close()
 
 
@@ -568,7 +568,7 @@
     client.send(head)
     node.reads(client, b"HTTP/1.1 100 Continue\r\n\r\n")
     client.send(b"body")
-    assert node.came(i.Request).class_index == 1
+    assert node.wait_event(i.Request).class_index == 1
 
 
 def test_an_exception_in_the_policy_fails_only_that_request(node: Node, caplog: pytest.LogCaptureFixture) -> None:
@@ -583,7 +583,7 @@
     assert node.reads(client, b"error\n").startswith(b"HTTP/1.1 500")
     assert node.script.of(i.Withdrawn) == [i.Withdrawn("bad")]
     assert any(r.exc_info for r in caplog.records)
-    client.came = b""
+    client.received = b""
     node.ask(client, "good")
     assert node.reads(client, b"later\n").startswith(b"HTTP/1.1 429")
 
@@ -622,7 +622,7 @@
     client.send(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
     assert node.reads(client).startswith(b"HTTP/1.1 200")
     node.host.listed = False
-    client.came = b""
+    client.received = b""
     client.send(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
     assert node.reads(client).startswith(b"HTTP/1.1 503")
     assert node.script.of(i.Request) == []
--- a/tests/test_counter_wire.py
+++ b/tests/test_counter_wire.py
@@ -22,7 +22,7 @@
 def connect_call(node: Node, name: str = "q:a:1", amount: float = 2.0) -> StubConnection:
     """Makes a call over a new connection and returns the counter's end of it."""
     make_calls(node, i.Charge(name, amount, 4_000_000))
-    counter = node.taken(node.counter)
+    counter = node.accept_from(node.counter)
     node.reads(counter, b"\r\n")
     return counter
 
@@ -34,10 +34,10 @@
 
 def test_a_call_is_one_line_and_its_answer_an_event(node: Node) -> None:
     counter = connect_call(node)
-    assert counter.came == b"add q:a:1 2 4000\r\n"
+    assert counter.received == b"add q:a:1 2 4000\r\n"
     node.clock.now += 3 * MS
     counter.send(b"ok 12.5\r\n")
-    assert node.came(i.Counted) == i.Counted("q:a:1", Ending.SERVED, 12.5, 3 * MS)
+    assert node.wait_event(i.Counted) == i.Counted("q:a:1", Ending.SERVED, 12.5, 3 * MS)
 
 
 @pytest.mark.parametrize(
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("life_us, text", [(0, b" 1\r\n"), (500, b" 1\r\n"), (90_000_000, b" 60000\r\n")])
 def test_lifetimes_are_limited_to_a_minute(node: Node, life_us: int, text: bytes) -> None:
     make_calls(node, i.Charge("n", 1.0, life_us))
-    assert node.reads(node.taken(node.counter), b"\r\n").endswith(text)
+    assert node.reads(node.accept_from(node.counter), b"\r\n").endswith(text)
 
 
 @pytest.mark.parametrize("line", [b"busy\r\n", b"error\r\n"])
@@ -91,7 +91,7 @@
 
 def test_calls_are_pipelined_and_answered_in_order(node: Node) -> None:
     make_calls(node, *(i.Charge(f"n{k}", float(k), 1_000_000) for k in range(5)))
-    counter = node.taken(node.counter)
+    counter = node.accept_from(node.counter)
     node.until(lambda: counter.read().count(b"\r\n") == 5)
     for fragment in (b"ok 0\r\nok 1\r\nbu", b"sy\r", b"\nok 3\r\nok 4\r\n"):
         counter.send(fragment)
@@ -159,9 +159,9 @@
 
 def test_a_call_that_timed_out_while_connecting_is_not_written(node: Node) -> None:
     make_calls(node, i.Charge("n1", 1.0, 1_000_000))
-    counter = node.taken(node.counter)
+    counter = node.accept_from(node.counter)
     counter.read()
-    counter.came = b""
+    counter.received = b""
     assert node.host.counter is not None
     [connection] = node.host.counter.connections
     late = Call("late", 1.0, 1, node.clock.now)
@@ -327,7 +327,7 @@
     node.script.answers[i.Timer] = lambda _: [i.Charge("n2", 1.0, 1_000_000)]
     node.host.loop.at(node.clock.now, lambda _: node.host.dispatch(i.Timer(1)))
     # whether the call is made before or after the loop sees the close, it doesn't use the old connection
-    new_connection = node.taken(node.counter)
+    new_connection = node.accept_from(node.counter)
     assert b"n2" in node.reads(new_connection, b"\r\n")
     new_connection.send(b"ok 2\r\n")
     assert outcomes(node)[1:] == [("n2", Ending.SERVED, 2.0)]
--- a/tests/test_discovery_wire.py
+++ b/tests/test_discovery_wire.py
@@ -11,7 +11,7 @@
 
 def accept_watch(node: Node, since: int = 41) -> StubConnection:
     """Discovery's end of the connection on which the gateway watches from version `since`."""
-    discovery = node.taken(node.discovery)
+    discovery = node.accept_from(node.discovery)
     request = node.reads(discovery)
     assert request.startswith(b"GET /catalog/members?follow=1&since=%d HTTP/1.1\r\n" % since)
     return discovery
@@ -76,7 +76,7 @@
     node.until(lambda: node.host.clients.all)
     node.ask(client)
     discovery.send(chunk(catalog_change(42, row("s-1", "127.0.0.1:7070", "leaving"))))
-    node.came(i.Request)
+    node.wait_event(i.Request)
     kinds = [type(e) for e in node.script.events]
     assert kinds.index(i.Request) > len(kinds) - 1 - kinds[::-1].index(i.Backends)
 
@@ -199,14 +199,14 @@
     accept_watch(node)
     node.script.answers[i.Timer] = lambda _: [i.Fetch(), i.Fetch()]
     node.host.dispatch(i.Timer(1))
-    fetch = node.taken(node.discovery)
+    fetch = node.accept_from(node.discovery)
     assert node.reads(fetch).startswith(b"GET /catalog/members HTTP/1.1")
     assert node.discovery.take() is None  # the second Fetch shares the first one's request
     body = b'{"index":70,"snapshot":true,"endpoints":[]}'
     fetch.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
     assert backend_lists(node)[1].form is ListForm.FULL
     node.host.dispatch(i.Timer(1))
-    node.taken(node.discovery).close()
+    node.accept_from(node.discovery).close()
     assert backend_lists(node)[2].form is ListForm.FAILED
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -56,7 +56,7 @@
 
 def accept_new_watch(node: ReloadNode) -> StubConnection:
     """The new discovery's end of the connection on which the gateway watches."""
-    connection = node.taken(node.new_discovery)
+    connection = node.accept_from(node.new_discovery)
     assert node.reads(connection).startswith(b"GET /catalog/members?follow=1&since=0 HTTP/1.1\r\n")
     return connection
 
@@ -115,7 +115,7 @@
     new.close()
     node.turns()
     node.pass_time(node.host.limits.discovery_retry)
-    reopened = node.taken(node.new_discovery)
+    reopened = node.accept_from(node.new_discovery)
     assert b"since=7 " in node.reads(reopened)
 
 
@@ -162,7 +162,7 @@
     new = accept_new_watch(node)
     new.send(WATCH_HEAD + chunk(catalog_change(7, row("s-5", "127.0.0.1:7075"))))
     node.turns()
-    fetch = node.taken(node.new_discovery)
+    fetch = node.accept_from(node.new_discovery)
     assert node.reads(fetch).startswith(b"GET /catalog/members HTTP/1.1")
     new.send(chunk(catalog_change(8, row("s-6", "127.0.0.1:7076"))))
     backend_lists(node)
@@ -177,13 +177,13 @@
     old = connect_call(node)
     node.reload()
     make_calls(node, i.Charge("q:b:1", 1.0, 4_000_000))
-    new = node.taken(node.new_counter)
+    new = node.accept_from(node.new_counter)
     assert node.reads(new, b"\r\n") == b"add q:b:1 1 4000\r\n"
     old.send(b"ok 2\r\n")
     new.send(b"ok 1\r\n")
     assert sorted(outcomes(node)) == [("q:a:1", Ending.SERVED, 2.0), ("q:b:1", Ending.SERVED, 1.0)]
     node.until(lambda: old.read() and old.ended)  # closed after its last answer
-    assert old.came.count(b"add") == 1 and "counter lost" not in caplog.text
+    assert old.received.count(b"add") == 1 and "counter lost" not in caplog.text
 
 
 def test_a_reset_by_the_old_counter_does_not_mark_the_new_one_as_lost(
@@ -195,7 +195,7 @@
     assert outcomes(node) == [("q:a:1", Ending.RESET, 0.0)]
     assert node.host.counter and not node.host.counter.lost and "counter lost" not in caplog.text
     make_calls(node, i.Charge("q:b:1", 1.0, 4_000_000))
-    node.taken(node.new_counter)
+    node.accept_from(node.new_counter)
 
 
 def test_the_connection_to_a_silent_old_counter_is_closed(node: ReloadNode) -> None:
@@ -217,7 +217,7 @@
     make_calls(node, i.Charge("q:a:1", 2.0, 4_000_000))
     assert outcomes(node) == []
     node.reload()
-    new = node.taken(node.new_counter)
+    new = node.accept_from(node.new_counter)
     assert node.reads(new, b"\r\n") == b"add q:a:1 2 4000\r\n"
     new.send(b"ok 2\r\n")
     assert outcomes(node) == [("q:a:1", Ending.SERVED, 2.0)]
@@ -231,7 +231,7 @@
     assert outcomes(node) == [("q:a:1", Ending.NO_CONNECTION, 0.0)]
     node.reload()
     make_calls(node, i.Charge("q:a:1", 2.0, 4_000_000))
-    node.taken(node.new_counter)
+    node.accept_from(node.new_counter)
 
 
 # ---- signal handling
--- a/tests/test_request_accounting.py
+++ b/tests/test_request_accounting.py
@@ -22,7 +22,7 @@
             while (side := self.counter.take()) is not None:
                 self.sides.append(self._kept(side))
             for side in self.sides:
-                lines, side.came = side.read().split(b"\r\n"), b""
+                lines, side.received = side.read().split(b"\r\n"), b""
                 for line in lines[:-1]:
                     _, name, amount, _ = line.decode().split()
                     self.totals[name] += float(amount)  # type: ignore[assignment]
@@ -62,7 +62,7 @@
             self.backends.append(self._kept(side))
         for side in self.backends:
             if request_id in side.read():
-                side.came = b""
+                side.received = b""
                 return side
         return None
 
@@ -91,7 +91,7 @@
             again = node.until(lambda: node.backend_with(f"a{n}".encode()))  # noqa: B023
             again.send(answer())
             node.step()
-        assert client.came.startswith(b"HTTP/1.1 ")
+        assert client.received.startswith(b"HTTP/1.1 ")
         node.clock.now += 2_500 * MS  # past the ejection of the backend
         node.step()
     client, backend = node.sent("b1")
@@ -118,7 +118,7 @@
     client = node.client()
     node.ask(client, "a1", X_Call_Terms="units=1,spread=1,first=0")
     node.until(lambda: node.host.gateway.counter.calls)
-    side = node.taken(node.counter)
+    side = node.accept_from(node.counter)
     node.reads(side, b"\r\n")
     node.compare()
     side.send(b"what\r\n")
--- a/tests/test_request_router.py
+++ b/tests/test_request_router.py
@@ -24,7 +24,7 @@
     assert fields["backend"] == name and fields["tenant"] == "t1" and fields["attempt-id"] == "a1"
     assert KEY not in received.decode() and fields["x-other"] == "kept" and int(fields["time-left"]) <= 5_000
     backend.send(success_answer())
-    assert gateway.reads(client, b"ok").startswith(b"HTTP/1.1 200") and b"seal: s" in client.came.lower()
+    assert gateway.reads(client, b"ok").startswith(b"HTTP/1.1 200") and b"seal: s" in client.received.lower()
 
 
 @pytest.mark.parametrize(
@@ -44,13 +44,13 @@
 
 def test_the_longest_prefix_matches_and_a_public_route_needs_no_key(gateway: GatewayHarness) -> None:
     gateway.send_request("/r/deep/x", key=None)
-    assert b"tenant" not in gateway.reads(gateway.taken(gateway.backend_3)).lower()
+    assert b"tenant" not in gateway.reads(gateway.accept_from(gateway.backend_3)).lower()
 
 
 def test_requests_before_the_first_configuration_are_told_to_retry(gateway: GatewayHarness) -> None:
     gateway.router.snapshot = RoutingSnapshot()
     client = gateway.send_request("/none/", key="wrong")
-    assert gateway.status(client) == 503 and b"retry-after" in client.came
+    assert gateway.status(client) == 503 and b"retry-after" in client.received
 
 
 def test_client_limits_of_the_configuration_are_enforced(gateway: GatewayHarness) -> None:
@@ -74,10 +74,10 @@
     """With strict-revoke. Public routes and unknown keys are not affected."""
     gateway.router.revocations_current = lambda: False
     client = gateway.send_request()
-    assert gateway.status(client) == 503 and b"retry-after" in client.came
+    assert gateway.status(client) == 503 and b"retry-after" in client.received
     assert gateway.status(gateway.send_request(request_id="a2", key="wrong")) == 401
     gateway.send_request("/r/deep/x", request_id="a3", key=None)
-    gateway.taken(gateway.backend_3)
+    gateway.accept_from(gateway.backend_3)
 
 
 @pytest.mark.parametrize("result, status", [((False, 250_000, True), 429), ((False, 200_000, False), 503)])
@@ -86,7 +86,7 @@
 ) -> None:
     gateway.rate_limiter.result = result
     client = gateway.send_request()
-    assert gateway.status(client) == status and b"retry-after: 0.2" in client.came
+    assert gateway.status(client) == status and b"retry-after: 0.2" in client.received
     assert gateway.backend_1.take() is None and gateway.backend_2.take() is None
 
 
@@ -194,7 +194,7 @@
     for _ in range(2):
         _, backend, _ = gateway.next_backend_request()
         backend.send(answer("503 Service Unavailable", Not_Run="1"))
-    assert gateway.status(client) == 503 and b"retry-after" in client.came
+    assert gateway.status(client) == 503 and b"retry-after" in client.received
 
 
 @pytest.mark.parametrize("status", ["503 Service Unavailable", "429 Too Many Requests"])
@@ -213,7 +213,7 @@
     gateway.turns()
     assert client.read() == b""
     backend.send(success_answer("a2", b"its own"))
-    assert gateway.reads(client, b"its own").endswith(b"its own") and b"another's" not in client.came
+    assert gateway.reads(client, b"its own").endswith(b"its own") and b"another's" not in client.received
 
 
 @pytest.mark.parametrize(
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -94,7 +94,7 @@
     clients = [node.client() for _ in range(2)]
     for n, client in enumerate(clients):
         node.ask(client, f"a{n}")
-    node.came(i.Request, 2)
+    node.wait_event(i.Request, 2)
     extra = node.client()
     node.ask(extra, "a9")
     node.turns()
@@ -109,7 +109,7 @@
     node.host.dispatch(i.Timer(1))
     node.reads(clients[0], b"later\n")
     node.pass_time(node.host.limits.accept_pause)
-    assert node.came(i.Request, 3).id == "a9"
+    assert node.wait_event(i.Request, 3).id == "a9"
     node.close()
 
 
@@ -133,7 +133,7 @@
     assert failing.tries == 1
     node.server.acceptor.listener = node.listener
     node.pass_time(node.host.limits.accept_pause)
-    node.came(i.Request)
+    node.wait_event(i.Request)
 
 
 def test_a_storm_of_clients_is_taken_some_a_turn() -> None:
@@ -152,7 +152,7 @@
     Status(node.host.shared).begin()
     client = node.client()
     for rid in ("a1", "a2"):
-        client.came = b""
+        client.received = b""
         node.ask(client, rid)
         node.reads(client, b"later\n")
     for _ in range(2):
@@ -219,7 +219,7 @@
     clients = [node.client() for _ in range(3)]
     for n, client in enumerate(clients):
         node.ask(client, f"a{n}")
-    node.came(i.Request, 2)
+    node.wait_event(i.Request, 2)
     stopped.shutdown.begin()
     node.pass_time(500 * MS)
     node.script.answers[i.Timer] = lambda _: [i.Refuse("a0", 1), i.Refuse("a1", 1)]
@@ -228,7 +228,7 @@
     clients[0].close()
     node.turns()
     node.pass_time(node.host.limits.accept_pause)
-    assert node.came(i.Request, 3).id == "a2"
+    assert node.wait_event(i.Request, 3).id == "a2"
     node.pass_time(200 * MS)
     with pytest.raises(ConnectionRefusedError):
         node.client()
@@ -261,7 +261,7 @@
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
     client = node.client()
     node.ask(client)
-    backend = node.taken(node.backend)
+    backend = node.accept_from(node.backend)
     node.reads(backend)
     stopped.shutdown.begin()
     for _ in range(20):
@@ -305,7 +305,7 @@
     node = stopped.node
     node.script.answers[i.Request] = lambda r: []
     node.ask(node.client(), X_Expires_In="60000m")
-    node.came(i.Request)
+    node.wait_event(i.Request)
     stopped.shutdown.begin()
     node.pass_time(700 * MS)
     node.pass_time(node.host.limits.stop_longest)
