--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -4,7 +4,7 @@
 from tests.helpers import GatewayHarness, of
 
 
-def test_a_client_that_gives_up_before_the_aim_gets_its_answer_at_once() -> None:
+def test_deadline_before_aim_ends_with_refusal_at_once() -> None:
     harness = GatewayHarness()
     request_id, actions = harness.ask(patience=500_000)
     [first] = of(actions, Attempt)
@@ -14,7 +14,7 @@
     assert [a.id for a in of(actions, Refuse)] == [request_id]
 
 
-def test_an_attempt_that_was_out_of_time_is_not_sent_again() -> None:
+def test_moot_attempt_is_not_retried() -> None:
     harness = GatewayHarness()
     request_id, actions = harness.ask()
     [first] = of(actions, Attempt)
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -4,7 +4,7 @@
 from tests.helpers import GatewayHarness, of
 
 
-def test_slow_answers_shrink_what_a_backend_may_hold() -> None:
+def test_slow_answers_reduce_concurrency_limit() -> None:
     """If all backends slow down, less must be sent on, or every answer would be late."""
     harness = GatewayHarness(backends=1, may_count=False)
     backend = harness.gateway.context.backends[1]
@@ -17,7 +17,7 @@
     assert backend.limit.size < before / 2
 
 
-def test_a_crowded_backend_is_cut_long_before_the_aim() -> None:
+def test_overloaded_backend_limit_falls_before_aim_is_missed() -> None:
     """Overloaded backends recover slowly, so limits follow the baseline latency, not only the aim."""
     harness = GatewayHarness(backends=1, may_count=False)
     backend = harness.gateway.context.backends[1]
@@ -31,7 +31,7 @@
     assert backend.limit.size < grown / 2
 
 
-def test_a_backend_that_turns_work_away_rests() -> None:
+def test_rejecting_backend_is_ejected() -> None:
     """Quick refusals make a full backend look idle; without ejection it would draw all traffic."""
     harness = GatewayHarness(backends=2, may_count=False)
     request_id, actions = harness.request()
@@ -43,14 +43,14 @@
         assert all(a.backend != first.backend for a in of(actions, Attempt))
 
 
-def test_an_attempt_that_was_out_of_time_is_no_fault_of_its_backend() -> None:
+def test_moot_attempt_is_no_backend_failure() -> None:
     harness = GatewayHarness(backends=1, may_count=False)
     request_id, actions = harness.request()
     harness.end(request_id, 1, ending=Ending.MOOT)
     assert not harness.gateway.context.backends[1].failures
 
 
-def test_lending_ends_with_a_refusal_for_want_of_room() -> None:
+def test_refusal_for_lack_of_capacity_counts_as_overload() -> None:
     harness = GatewayHarness(backends=1)
     while of(harness.ask(customer=f"c{harness.request_count}")[1], Attempt):
         pass
@@ -63,7 +63,7 @@
     assert not harness.gateway.limits.overloaded()
 
 
-def test_one_of_many_gateways_sends_a_few_at_once_from_the_start() -> None:
+def test_large_fleet_gateway_allows_concurrent_requests() -> None:
     """Limits divided over 300 gateways are below one per backend, and few answers raise them: the total limit must
     allow concurrent requests."""
     harness = GatewayHarness(backends=60, may_count=False, fleet=300)
@@ -72,30 +72,30 @@
         [sent] = of(actions, Attempt)
         harness.now += 60_000
         harness.end(request_id, sent.backend, latency=60_000)
-    together = [of(harness.request(customer=f"t{k}")[1], Attempt) for k in range(3)]
-    assert all(together)
+    concurrent_attempts = [of(harness.request(customer=f"t{k}")[1], Attempt) for k in range(3)]
+    assert all(concurrent_attempts)
 
 
-def test_a_gateway_that_stood_still_blames_nobody() -> None:
+def test_paused_gateway_learns_nothing_from_late_events() -> None:
     """After a pause of the process, answers look slow, calls unanswered and backends stalled; none must count."""
     harness = GatewayHarness(backends=4)
     sent = [
         (request_id, of(actions, Attempt)[0])
         for request_id, actions in (harness.ask(customer=f"c{k}") for k in range(3))
     ]
-    known, asking = harness.gateway.health.latency, harness.gateway.counter.share
-    _, asked = harness.request(customer="w")
+    known, call_share = harness.gateway.health.latency, harness.gateway.counter.share
+    _, counter_call_actions = harness.request(customer="w")
     harness.now += 2_000_000  # paused: no timer in between
-    harness.count(asked, Ending.TIMEOUT)
+    harness.count(counter_call_actions, Ending.TIMEOUT)
     for token in list(harness.gateway.attempts.timers):
         assert not of(harness.send(Timer(token)), Cancel)
     for request_id, a in sent:
         harness.end(request_id, a.backend, latency=2_000_000)
-    assert (harness.gateway.health.latency, harness.gateway.counter.share) == (known, asking)
+    assert (harness.gateway.health.latency, harness.gateway.counter.share) == (known, call_share)
     assert not any(backend.failures or backend.latency for backend in harness.gateway.context.backends.values())
 
 
-def test_a_try_too_old_to_be_answered_in_time_takes_no_call_and_no_work() -> None:
+def test_request_too_late_to_answer_makes_no_call_or_attempt() -> None:
     harness = GatewayHarness(backends=4)
     for k in range(20):  # first tries wait three seconds, answers take 0.1 s
         request_id, actions = harness.ask(customer=f"c{k}")
@@ -110,7 +110,7 @@
     assert of(late, Charge)
 
 
-def test_nothing_out_grows_before_the_best_latency_is_known() -> None:
+def test_total_limit_is_constant_without_baseline() -> None:
     """Without a baseline, all gateways together would overload the backends at the start."""
     harness = GatewayHarness(backends=40, may_count=False, fleet=200)
     start = harness.gateway.limits.total.size
@@ -121,7 +121,7 @@
     assert harness.gateway.limits.total.size == start
 
 
-def test_a_backend_that_errs_at_once_is_left_alone_also_when_it_serves_now_and_then() -> None:
+def test_backend_with_quick_errors_gets_few_attempts() -> None:
     """Its errors are quicker than any answer, so it looks idle and would be tried first."""
     harness = GatewayHarness(backends=4)
     tries = {1: 0, 2: 0, 3: 0, 4: 0}
@@ -140,7 +140,7 @@
     assert 2 <= tries[1] < 0.1 * sum(tries.values())
 
 
-def test_an_error_that_is_the_requests_own_fault_blames_no_backend() -> None:
+def test_final_error_of_request_ejects_no_backend() -> None:
     """Invalid requests of one client must not eject the backends that reject them."""
     harness = GatewayHarness(backends=4)
     for index in range(8):
@@ -152,7 +152,7 @@
     )
 
 
-def test_backends_that_left_are_forgotten_once_nothing_is_out_there() -> None:
+def test_unlisted_backend_is_dropped_after_its_last_attempt() -> None:
     harness = GatewayHarness(backends=2)
     request_id, actions = harness.ask()
     [attempt] = of(actions, Attempt)
@@ -164,14 +164,14 @@
     assert set(harness.gateway.context.backends) == {3, 4, 109}
 
 
-def test_odd_deadlines_leave_nothing_behind() -> None:
+def test_varied_deadlines_use_bounded_memory() -> None:
     harness = GatewayHarness()
     for k in range(2_000):
         harness.request(f"c{k % 5}", patience=k * 1_000_000 % 3_600_000_000)
     assert len(harness.gateway.admission.wait_counts) <= 66
 
 
-def test_attempts_stuck_at_silent_backends_take_no_room_from_the_others() -> None:
+def test_attempts_at_stalled_backends_leave_total_limit_free() -> None:
     """Attempts lost at stalled backends must not use up the total limit."""
     harness = GatewayHarness(backends=5)
     harness.gateway.health.latency = harness.gateway.health.baseline = 30_000.0
@@ -188,7 +188,7 @@
     assert attempt.backend in (3, 4, 5)
 
 
-def lost(harness: GatewayHarness, after: int) -> tuple[str, int]:
+def send_lost_attempt(harness: GatewayHarness, after: int) -> tuple[str, int]:
     """Sends an attempt that is never answered and runs its first progress check after `after` microseconds."""
     request_id, actions = harness.ask("a")
     [attempt] = of(actions, Attempt)
@@ -199,13 +199,13 @@
     return request_id, attempt.backend
 
 
-def test_a_lost_attempt_that_is_too_late_to_move_frees_its_place() -> None:
+def test_lost_attempt_too_late_to_retry_frees_its_slot() -> None:
     """With limits below one it would block its backend until the deadline of its client."""
     harness = GatewayHarness(backends=1)
     backend = harness.gateway.context.backends[1]
     harness.gateway.health.latency = harness.gateway.health.baseline = backend.latency = 30_000.0
     backend.latency_at = harness.now
-    request_id, _ = lost(harness, 1_500_000)  # past the aim of a second
+    request_id, _ = send_lost_attempt(harness, 1_500_000)  # past the aim of a second
     assert not backend.in_flight and 30_000 < backend.latency < 2_000_000
     harness.tick(1_100_000)  # past its ejection
     assert of(harness.ask("b")[1], Attempt)
@@ -218,7 +218,7 @@
     assert not harness.gateway.context.pending
 
 
-def test_one_lost_answer_of_a_backend_that_answers_others_is_tried_elsewhere() -> None:
+def test_lost_attempt_at_responding_backend_is_cancelled() -> None:
     harness = GatewayHarness(backends=2)
     harness.gateway.health.latency = harness.gateway.health.baseline = 30_000.0
     request_id, actions = harness.ask("a")
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -30,7 +30,7 @@
     return sum(bool(of(harness.ask(customer=customer, plan=plan)[1], Attempt)) for _ in range(most))
 
 
-def test_slack_of_unused_floors_is_lent_to_a_soft_plan_up_to_its_share() -> None:
+def test_unused_quota_is_lent_to_soft_plan_up_to_its_share() -> None:
     lent_requests = borrowed(lender(), most=400)
     assert 0 < lent_requests < 100
 
@@ -39,13 +39,13 @@
     assert borrowed(lender(), plan=0, customer="quiet0") == 0
 
 
-def test_nothing_is_lent_while_servers_slow() -> None:
+def test_nothing_is_lent_while_backends_are_slow() -> None:
     harness = lender()
     harness.gateway.health.latency, harness.gateway.health.baseline = 300_000.0, 100_000.0
     assert borrowed(harness) == 0
 
 
-def test_nothing_is_lent_in_a_window_whose_count_was_emptied() -> None:
+def test_nothing_is_lent_in_window_whose_count_was_lost() -> None:
     harness = lender()
     harness.now += 250_000
     harness.count(harness.send(Timer(0)))
@@ -53,14 +53,14 @@
     assert borrowed(harness) == 0
 
 
-def test_what_is_lent_stays_within_the_slack() -> None:
+def test_lent_units_stay_within_slack() -> None:
     harness = lender()
     lent_requests = borrowed(harness, most=400)
     floors = 50 * 2.0 + 10.0
     assert lent_requests <= 0.3 * floors * harness.gateway.lending.window / 1e6
 
 
-def test_a_soft_plan_of_no_price_has_no_weight_and_borrows_nothing() -> None:
+def test_soft_plan_with_zero_price_borrows_nothing() -> None:
     """Its share would be a division by a weight sum of zero."""
     harness = GatewayHarness(backends=200, plans=(SOFT, replace(SOFT, price=0.0)))
     harness.now += 3 * harness.gateway.lending.window + 1_234
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("seed", range(len(DIGESTS)))
-def test_the_same_events_bring_the_same_actions(seed: int) -> None:
+def test_same_events_give_same_actions(seed: int) -> None:
     assert digest_of(seed) == DIGESTS[seed]
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -17,7 +17,7 @@
     return [passes(list(harness.ask(**kw)[1])) for _ in range(count)]  # type: ignore[arg-type]
 
 
-def test_each_request_asks_the_counter_before_it_is_sent() -> None:
+def test_request_calls_counter_before_it_is_sent() -> None:
     harness = GatewayHarness()
     _, actions = harness.request(units=2)
     [call] = of(actions, Charge)
@@ -25,7 +25,7 @@
     assert passes(list(harness.count(actions)))
 
 
-def test_floor_passes_and_the_next_is_refused_with_advice() -> None:
+def test_request_beyond_quota_is_refused_with_retry_after() -> None:
     harness = GatewayHarness()
     assert spend(harness, 8) == [True] * 8
     _, actions = harness.ask()
@@ -33,7 +33,7 @@
     assert 0 < refused.retry_after <= 1_000_000
 
 
-def test_the_floor_slides_across_a_window_boundary() -> None:
+def test_quota_slides_across_window_boundary() -> None:
     """A second burst, just after the boundary, finds only what was refilled since the first."""
     harness = GatewayHarness()
     span = int(HARD.burst / HARD.rate * 1_000_000)
@@ -45,7 +45,7 @@
     assert spend(harness, 4) == [True, True, False, False]
 
 
-def test_what_others_add_is_taken_out_of_the_room() -> None:
+def test_use_by_other_gateways_reduces_balance() -> None:
     harness = GatewayHarness()
     spend(harness, 1)
     [name] = harness.numbers
@@ -53,7 +53,7 @@
     assert spend(harness, 3) == [True, False, False]
 
 
-def test_units_of_a_refused_request_are_handed_back() -> None:
+def test_units_of_refused_request_are_returned() -> None:
     harness = GatewayHarness()
     spend(harness, 1)
     [name] = harness.numbers
@@ -61,24 +61,24 @@
     harness.ask()
     harness.now += 1_000_000
     harness.ask(units=1)
-    swelled = exp(1_000_000 / harness.gateway.context.customers["a"].window)  # a later unit adds more
-    assert isclose(harness.numbers[name], 1 + 7 + swelled)  # the refused units were returned with the next call
+    scale = exp(1_000_000 / harness.gateway.context.customers["a"].window)  # a later unit adds more
+    assert isclose(harness.numbers[name], 1 + 7 + scale)  # the refused units were returned with the next call
 
 
-def test_an_emptied_counter_does_not_widen_the_room() -> None:
+def test_counter_reset_does_not_raise_quota() -> None:
     harness = GatewayHarness()
     assert all(spend(harness, 8, units=1))
     harness.numbers.clear()
     assert not any(spend(harness, 4))
 
 
-def test_unanswered_calls_pass_within_the_part_of_this_gateway() -> None:
+def test_unanswered_calls_pass_within_local_allowance() -> None:
     harness = GatewayHarness()
     passed = sum(spend(harness, 40, ending=Ending.TIMEOUT))
     assert 3 <= passed <= 5  # 8 units over two gateways
 
 
-def test_unanswered_use_is_told_when_the_counter_answers_again() -> None:
+def test_uncounted_use_is_reported_when_counter_recovers() -> None:
     harness = GatewayHarness()
     passed = 0
     for _ in range(3):
@@ -89,7 +89,7 @@
     assert passed and total == passed + 1
 
 
-def test_a_silent_counter_is_asked_far_less_and_again_when_it_answers() -> None:
+def test_unresponsive_counter_gets_few_calls_until_it_recovers() -> None:
     harness = GatewayHarness()
     calls = 0
     for k in range(400):
@@ -104,7 +104,7 @@
     assert harness.gateway.counter.share == 1.0
 
 
-def test_no_counter_at_all() -> None:
+def test_without_counter_local_allowance_applies() -> None:
     harness = GatewayHarness(may_count=False)
     passed = 0
     for _ in range(20):
@@ -135,7 +135,7 @@
     assert not harness.gateway.context.customers and not harness.gateway.context.pending
 
 
-def test_nothing_usable_still_ends_in_time() -> None:
+def test_refused_at_once_without_backend_or_time() -> None:
     harness = GatewayHarness(backends=0)
     _, actions = harness.ask()
     assert of(actions, Refuse)
@@ -143,12 +143,12 @@
     assert of(late, Refuse)  # no time for a call: decided at once
 
 
-def open_drive() -> GatewayHarness:
+def open_limit_harness() -> GatewayHarness:
     return GatewayHarness(plans=(replace(HARD, rate=0.0, burst=0.0, open=2),))
 
 
-def test_attempts_out_are_limited_across_gateways() -> None:
-    harness = open_drive()
+def test_attempts_in_flight_are_limited_across_gateways() -> None:
+    harness = open_limit_harness()
     assert spend(harness, 3) == [True, True, False]
     harness.count(harness.end("r1", harness.gateway.context.pending["r1"].in_flight[0][0].entry.backend))
     [name] = harness.numbers
@@ -157,9 +157,9 @@
     assert spend(harness, 1) == [False]
 
 
-def test_a_count_lost_on_the_way_does_not_leak() -> None:
+def test_rejected_decrement_does_not_leak() -> None:
     """A decrement that the counter rejected goes with the next call; a new period starts from what is in flight."""
-    harness = open_drive()
+    harness = open_limit_harness()
     assert spend(harness, 2) == [True, True]
     for request_id in ("r1", "r2"):
         harness.count(
@@ -175,12 +175,12 @@
     assert harness.numbers[max(harness.numbers)] <= 3
 
 
-def test_open_limit_without_an_answer_is_split() -> None:
-    harness = open_drive()
+def test_open_limit_is_divided_without_counter_answer() -> None:
+    harness = open_limit_harness()
     assert spend(harness, 3, ending=Ending.TIMEOUT) == [True, False, False]
 
 
-def test_a_client_that_leaves_while_the_counter_is_asked_keeps_its_units() -> None:
+def test_client_leaving_during_counter_call_is_not_charged() -> None:
     harness = GatewayHarness()
     request_id, actions = harness.request(units=4)
     assert harness.send(Withdrawn(request_id)) == []
@@ -189,7 +189,7 @@
     assert not harness.gateway.counter.calls
 
 
-def test_use_told_late_is_not_taken_from_a_room_that_was_full_meanwhile() -> None:
+def test_use_reported_late_consumes_overflow_first() -> None:
     """After an outage other gateways report seconds of use at once; it must first use up the overflow."""
     harness = GatewayHarness()
     spend(harness, 1)
@@ -208,7 +208,7 @@
     assert harness.gateway.context.customers["a"].balance == 7  # 8, less this request alone
 
 
-def test_use_told_across_the_end_of_a_count_does_not_swell() -> None:
+def test_use_reported_after_epoch_end_is_rescaled() -> None:
     """Units late in an epoch have a large scale; reported unscaled in the next epoch they would use up every quota."""
     harness = GatewayHarness()
     harness.now += 29_900_000
@@ -225,7 +225,7 @@
     assert harness.gateway.context.customers["a"].balance > 0
 
 
-def test_a_count_fades_so_that_a_gateway_that_never_read_it_finds_who_is_near_the_floor() -> None:
+def test_count_decays_so_new_gateway_sees_current_use() -> None:
     """A customer is new at each gateway that it reaches; counts that restart would pass its burst at each of them."""
     one, other = GatewayHarness(), GatewayHarness()
     for _ in range(200):
@@ -237,7 +237,7 @@
     assert sum(spend(other, 6)) <= 2
 
 
-def test_asks_get_fewer_for_those_with_room_when_the_counter_is_short() -> None:
+def test_reduced_calls_prefer_customers_near_quota() -> None:
     harness = GatewayHarness(fleet=10)
     calls = {"calm": 0, "near": 0}
     harness.ask(customer="calm")
@@ -246,21 +246,21 @@
         for name in calls:
             harness.now += 260_000
             harness.gateway.counter.share = 0.3
-            cust = harness.gateway.context.customers[name]
-            cust.balance, cust.refilled_at, cust.read_at, cust.others_rate = (
+            customer = harness.gateway.context.customers[name]
+            customer.balance, customer.refilled_at, customer.read_at, customer.others_rate = (
                 4.0,
                 harness.now,
                 harness.now - 300_000,
                 0.0,
             )
-            cust.allowance = 4.0 if name == "calm" else 0.0
+            customer.allowance = 4.0 if name == "calm" else 0.0
             request_id, actions = harness.request(customer=name, spread=10)
             calls[name] += len(of(actions, Charge))
             harness.count(actions)
     assert calls["near"] > 1.5 * calls["calm"]
 
 
-def test_a_customer_the_others_keep_full_is_looked_up_before_it_is_counted() -> None:
+def test_customer_used_up_elsewhere_is_read_before_counted() -> None:
     """A gateway that sees the customer rarely would count units, refuse them and return them only much later."""
     harness = GatewayHarness(fleet=90)
     harness.ask(customer="busy", spread=90)
@@ -271,22 +271,22 @@
     assert call.amount == 0
 
 
-def test_refused_units_are_handed_back_at_once_while_the_counter_takes_every_call() -> None:
-    for asking, calls in ((1.0, 1), (0.9, 0)):
+def test_refused_units_return_at_once_at_full_call_share() -> None:
+    for call_share, calls in ((1.0, 1), (0.9, 0)):
         harness = GatewayHarness()
         spend(harness, 1)
         [name] = harness.numbers
         harness.numbers[name] += 7
-        harness.gateway.counter.share = harness.gateway.counter.target_share = asking
+        harness.gateway.counter.share = harness.gateway.counter.target_share = call_share
         harness.gateway.counter.called_at = 0  # so that the next request makes a call in any case
         _, actions = harness.request()
-        [asked] = of(actions, Charge)
-        harness.numbers[name] += asked.amount
+        [counter_call] = of(actions, Charge)
+        harness.numbers[name] += counter_call.amount
         after = of(harness.send(Counted(name, Ending.SERVED, harness.numbers[name], 2_000)), Charge)
         assert [c.amount < 0 for c in after] == [True] * calls
 
 
-def test_a_plan_with_hardly_a_window_is_no_overflow() -> None:
+def test_very_short_window_does_not_overflow() -> None:
     """The scale is e^(t/window): a very short window would overflow."""
     harness = GatewayHarness(plans=(replace(HARD, rate=8000.0, burst=8.0),))
     harness.now += 29_000_000
@@ -294,7 +294,7 @@
 
 
 @pytest.mark.parametrize("window", [0.5, 1.1, 1.5, 1.8, 2.0, 5.0])
-def test_amounts_stay_within_what_a_counter_takes_and_tells(window: float) -> None:
+def test_amounts_stay_within_counter_range(window: float) -> None:
     """The counter rejects amounts over 1e9 and rounds levels to three decimals."""
     harness = GatewayHarness(plans=(replace(HARD, rate=20.0, burst=20.0 * window),), largest=8)
     _, early = harness.request("early", units=1)
@@ -304,7 +304,7 @@
     assert [c.amount for c in of(late, Charge)][0] < 1e9 / 10  # a first call may stand for up to ten requests
 
 
-def test_the_first_add_is_known_from_a_total_of_three_decimals() -> None:
+def test_first_add_is_recognised_from_rounded_total() -> None:
     harness = GatewayHarness()
     harness.now += 1_700_000
     _, actions = harness.request()
@@ -314,21 +314,21 @@
     assert harness.gateway.lending.added["floors"] > 0
 
 
-def test_a_spoilt_answer_of_the_counter_was_added_and_slows_no_asking() -> None:
+def test_malformed_counter_answer_keeps_amount_and_call_share() -> None:
     """A malformed answer says nothing about the load of the counter, and its amount may have been added."""
     harness = GatewayHarness()
     harness.ask("a")
-    cust = harness.gateway.context.customers["a"]
-    level = cust.level
+    customer = harness.gateway.context.customers["a"]
+    level = customer.level
     for _ in range(10):
         harness.now += 300_000
         _, actions = harness.request("a")
         for charge in of(actions, Charge):
             harness.send(Counted(charge.name, Ending.ERROR, 0.0, 2_000))
-    assert harness.gateway.counter.share == 1.0 and cust.level > level + 1
+    assert harness.gateway.counter.share == 1.0 and customer.level > level + 1
 
 
-def test_asking_comes_back_slowly_enough_for_a_counter_that_takes_less_than_a_call_each() -> None:
+def test_call_share_recovers_gradually() -> None:
     """If the share of calls rose faster, many calls would be late again."""
     harness = GatewayHarness()
     harness.ask("a")
--- a/tests/test_request_accounting.py
+++ b/tests/test_request_accounting.py
@@ -12,45 +12,47 @@
 
     def __init__(self) -> None:
         super().__init__(script=False)
-        self.sides: list[StubConnection] = []
+        self.counter_connections: list[StubConnection] = []
         self.backends: list[StubConnection] = []
         self.totals: Counter[str] = Counter()
 
     def step(self, turns: int = 4) -> None:
         for _ in range(turns):
             self.turns(2)
-            while (side := self.counter.take()) is not None:
-                self.sides.append(self._kept(side))
-            for side in self.sides:
-                lines, side.received = side.read().split(b"\r\n"), b""
+            while (connection := self.counter.take()) is not None:
+                self.counter_connections.append(self._kept(connection))
+            for connection in self.counter_connections:
+                lines, connection.received = connection.read().split(b"\r\n"), b""
                 for line in lines[:-1]:
                     _, name, amount, _ = line.decode().split()
                     self.totals[name] += float(amount)  # type: ignore[assignment]
-                    side.send(b"ok %.6f\r\n" % self.totals[name])
+                    connection.send(b"ok %.6f\r\n" % self.totals[name])
             self.compare()
 
     def compare(self) -> None:
         host, policy = self.host, self.host.gateway
-        in_hand = list(host.requests._by_id.values())
-        out = Counter(a.backend for r in in_hand for a in r.out.values())
-        assert out == Counter(
+        requests = list(host.requests._by_id.values())
+        in_flight = Counter(a.backend for r in requests for a in r.out.values())
+        assert in_flight == Counter(
             {number: len(backend.in_flight) for number, backend in policy.context.backends.items() if backend.in_flight}
         )
-        assert sum(out.values()) == host.backend_connections - host.idle.count
-        assert sum(c.in_flight for c in policy.context.customers.values()) == sum(out.values())
+        assert sum(in_flight.values()) == host.backend_connections - host.idle.count
+        assert sum(c.in_flight for c in policy.context.customers.values()) == sum(in_flight.values())
         assert host.counter is not None
-        owed = {name: len(calls) for name, calls in host.counter._by_name.items()}
-        assert owed == {name: len(calls) for name, calls in policy.counter.calls.items()}
-        written = [c for connection in host.counter.connections for c in held(connection) if c.ending is None]
-        assert len(written) == sum(owed.values())
-        assert {r.id for r in in_hand if not r.over} == {
+        outstanding_calls = {name: len(calls) for name, calls in host.counter._by_name.items()}
+        assert outstanding_calls == {name: len(calls) for name, calls in policy.counter.calls.items()}
+        written = [
+            c for connection in host.counter.connections for c in unanswered_calls(connection) if c.ending is None
+        ]
+        assert len(written) == sum(outstanding_calls.values())
+        assert {r.id for r in requests if not r.over} == {
             request_id for request_id, pending in policy.context.pending.items() if not pending.finished
         }
-        asked = {c.request for c in host.clients.all if isinstance(c, ClientConnection)}
-        waiting = {request.id for request in asked if request is not None}
-        assert waiting == {r.id for r in in_hand if not r.over}
+        client_requests = {c.request for c in host.clients.all if isinstance(c, ClientConnection)}
+        waiting = {request.id for request in client_requests if request is not None}
+        assert waiting == {r.id for r in requests if not r.over}
 
-    def sent(self, request_id: str) -> tuple[StubConnection, StubConnection]:
+    def send_request(self, request_id: str) -> tuple[StubConnection, StubConnection]:
         client = self.client()
         self.ask(client, request_id, X_Call_Terms="units=1,spread=1,first=0")
         self.step()
@@ -58,20 +60,20 @@
 
     def backend_with(self, request_id: bytes) -> StubConnection | None:
         """The connection, new or reused, on which an attempt arrived."""
-        while (side := self.backend.take()) is not None:
-            self.backends.append(self._kept(side))
-        for side in self.backends:
-            if request_id in side.read():
-                side.received = b""
-                return side
+        while (connection := self.backend.take()) is not None:
+            self.backends.append(self._kept(connection))
+        for connection in self.backends:
+            if request_id in connection.read():
+                connection.received = b""
+                return connection
         return None
 
 
-def held(connection: CounterConnection) -> list[Call]:
+def unanswered_calls(connection: CounterConnection) -> list[Call]:
     return [*connection.owed, *([connection._partial] if connection._partial else []), *connection._unsent]
 
 
-def test_every_ending_leaves_the_same_picture_in_module_and_host() -> None:
+def test_policy_and_host_agree_after_every_ending() -> None:
     node = CheckedNode()
     endings = [
         answer(),
@@ -83,23 +85,23 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
     ]
     for n, reply in enumerate(endings):
-        client, backend = node.sent(f"a{n}")
+        client, backend = node.send_request(f"a{n}")
         node.compare()
         backend.send(reply)
         node.step()
         while not client.read():  # retried, and then served
-            again = node.until(lambda: node.backend_with(f"a{n}".encode()))  # noqa: B023
-            again.send(answer())
+            retry = node.until(lambda: node.backend_with(f"a{n}".encode()))  # noqa: B023
+            retry.send(answer())
             node.step()
         assert client.received.startswith(b"HTTP/1.1 ")
         node.clock.now += 2_500 * MS  # past the ejection of the backend
         node.step()
-    client, backend = node.sent("b1")
+    client, backend = node.send_request("b1")
     client.close(reset=True)
     node.step()
     node.until_ended(backend)  # cancelled, in policy and host
     assert not any(b.in_flight for b in node.host.gateway.context.backends.values()) and not node.host.requests._by_id
-    client, backend = node.sent("b2")
+    client, backend = node.send_request("b2")
     node.host.discovery.take({"index": 50, "snapshot": True, "endpoints": [row("s-9", node.backend.text)]})
     node.step()
     assert set(node.host.gateway.context.backends) == {1, 2}  # its attempt has not ended yet
@@ -113,15 +115,15 @@
     node.close()
 
 
-def test_calls_lost_with_their_connection_are_lost_in_both() -> None:
+def test_lost_counter_calls_are_dropped_by_policy_and_host() -> None:
     node = CheckedNode()
     client = node.client()
     node.ask(client, "a1", X_Call_Terms="units=1,spread=1,first=0")
     node.until(lambda: node.host.gateway.counter.calls)
-    side = node.accept_from(node.counter)
-    node.reads(side, b"\r\n")
+    connection = node.accept_from(node.counter)
+    node.reads(connection, b"\r\n")
     node.compare()
-    side.send(b"what\r\n")
+    connection.send(b"what\r\n")
     node.until(lambda: node.host.counter is not None and not node.host.counter.connections)
     node.compare()
     node.close()
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -13,20 +13,20 @@
 from tests.helpers import GatewayHarness, of
 
 MS, SECOND = 1_000, 1_000_000
-TERMS = RetryLimits(10 * SECOND, 0.2, 62)
+LIMITS = RetryLimits(10 * SECOND, 0.2, 62)
 LATER = 100 * SECOND
 
 
-def shared(gateways: int = 1, slack: float = 0.0, born: int = 0, draw: float = 0.5) -> FleetRetryBudget:
-    return FleetRetryBudget(RetryLimits(10 * SECOND, 0.2, slack), lambda: gateways, lambda: draw, born)
+def shared(gateways: int = 1, slack: float = 0.0, started_at: int = 0, draw: float = 0.5) -> FleetRetryBudget:
+    return FleetRetryBudget(RetryLimits(10 * SECOND, 0.2, slack), lambda: gateways, lambda: draw, started_at)
 
 
-def further(budget: FleetRetryBudget, now: int, ending: Ending = Ending.ERROR) -> bool:
+def spend_retry(budget: FleetRetryBudget, now: int, ending: Ending = Ending.ERROR) -> bool:
     """Spends on a retry of a request whose first attempt has arrived."""
     return budget.try_spend(RetryCost(arrived=True), ending, now)
 
 
-def test_a_gateway_by_itself_earns_by_answers() -> None:
+def test_local_budget_is_earned_by_answers() -> None:
     budget = LocalRetryBudget()
     assert all(budget.try_spend(RetryCost(), Ending.RESET, 0) for _ in range(int(MAX_SAVED_ATTEMPTS)))
     assert not budget.try_spend(RetryCost(), Ending.RESET, 0) and not budget.can_retry(0)
@@ -37,30 +37,30 @@
     assert budget.try_spend(RetryCost(), Ending.TIMEOUT, 0) and not budget.try_spend(RetryCost(), Ending.TIMEOUT, 0)
 
 
-def test_a_part_starts_empty_and_earns_by_requests() -> None:
-    budget = shared(slack=62, born=LATER)
-    assert not further(budget, LATER)
+def test_fleet_share_starts_empty_and_grows_with_requests() -> None:
+    budget = shared(slack=62, started_at=LATER)
+    assert not spend_retry(budget, LATER)
     for _ in range(42):
         budget.record_request(LATER)
-    assert further(budget, LATER) and budget.can_retry(LATER)  # 2.1, at 0.05 per request
-    assert further(budget, LATER) and not budget.can_retry(LATER)
+    assert spend_retry(budget, LATER) and budget.can_retry(LATER)  # 2.1, at 0.05 per request
+    assert spend_retry(budget, LATER) and not budget.can_retry(LATER)
     later = LATER + 12 * SECOND
     for _ in range(14):
         budget.record_request(later)
-    assert [further(budget, later) for _ in range(34)].count(True) >= 33  # 2.1 and the share of the slack
+    assert [spend_retry(budget, later) for _ in range(34)].count(True) >= 33  # 2.1 and the share of the slack
 
 
-def test_its_share_of_the_slack_comes_a_window_after_its_start() -> None:
+def test_slack_share_starts_one_window_after_start() -> None:
     """The process before a restart may have spent it."""
     budget = shared(gateways=10, slack=62)
-    assert not further(budget, 10 * SECOND)
-    taken = [further(budget, LATER) for _ in range(9)]
-    assert taken[:3] == [True, True, True] and not any(taken[4:])
-    assert not further(budget, LATER + 9 * SECOND)
-    assert further(budget, LATER + 11 * SECOND)
+    assert not spend_retry(budget, 10 * SECOND)
+    spent_retries = [spend_retry(budget, LATER) for _ in range(9)]
+    assert spent_retries[:3] == [True, True, True] and not any(spent_retries[4:])
+    assert not spend_retry(budget, LATER + 9 * SECOND)
+    assert spend_retry(budget, LATER + 11 * SECOND)
 
 
-def test_turned_away_is_an_arrival_too() -> None:
+def test_rejected_attempt_counts_as_arrival() -> None:
     budget, spent = shared(slack=62), RetryCost()
     for _ in range(31):
         budget.record_attempt_end(spent, Ending.FULL, True, LATER)
@@ -69,7 +69,7 @@
     assert not budget.try_spend(spent, Ending.FULL, LATER)
 
 
-def test_what_never_came_costs_nothing() -> None:
+def test_attempt_that_never_arrived_costs_nothing() -> None:
     budget, spent = shared(slack=2), RetryCost()
     for _ in range(9):  # refused connections: the next one would be the first to arrive
         assert budget.try_spend(spent, Ending.NO_CONNECTION, LATER)
@@ -84,44 +84,45 @@
     assert not budget.try_spend(spent, Ending.CANCELLED, LATER)
 
 
-def test_less_than_one_is_drawn_for_and_spent_by_the_draw() -> None:
+def test_fraction_of_retry_is_drawn_and_spent() -> None:
     for draw, passes in ((0.2, True), (0.5, False)):
         budget = shared(gateways=85, slack=62, draw=draw)  # 0.36 each
-        assert further(budget, LATER) is passes
-        assert not further(budget, LATER)
+        assert spend_retry(budget, LATER) is passes
+        assert not spend_retry(budget, LATER)
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 85])
 @pytest.mark.parametrize("load", [2, 40, 600])
-def test_every_window_of_a_fleet_holds(gateways: int, load: int) -> None:
+def test_fleet_bound_holds_in_every_window(gateways: int, load: int) -> None:
     """Outages after calm periods; every request is retried as often as the budget allows."""
     rng = random.Random(gateways * load)
-    fleet = [FleetRetryBudget(TERMS, lambda: gateways, rng.random, 0) for _ in range(gateways)]
-    now, asked, added = 0, list[int](), list[int]()
+    fleet = [FleetRetryBudget(LIMITS, lambda: gateways, rng.random, 0) for _ in range(gateways)]
+    now, request_times, retry_times = 0, list[int](), list[int]()
     while now < 90 * SECOND:
         now += 1 + int(rng.expovariate(load) * SECOND)
-        asked.append(now)
+        request_times.append(now)
         budget, spent = rng.choice(fleet), RetryCost()
         budget.record_request(now)
         if now // (7 * SECOND) % 3:
             budget.record_attempt_end(spent, Ending.FULL, True, now)
             while budget.try_spend(spent, Ending.FULL, now) and rng.random() < 0.8:
-                added.append(now)
+                retry_times.append(now)
                 budget.record_attempt_end(spent, Ending.FULL, True, now)
         if rng.random() < 0.0005:
-            fleet[rng.randrange(gateways)] = FleetRetryBudget(TERMS, lambda: gateways, rng.random, now)
-    assert added
-    for first, at in enumerate(added):
-        end = at + TERMS.window
-        within = bisect_right(added, end) - first
+            fleet[rng.randrange(gateways)] = FleetRetryBudget(LIMITS, lambda: gateways, rng.random, now)
+    assert retry_times
+    for first, at in enumerate(retry_times):
+        end = at + LIMITS.window
+        within = bisect_right(retry_times, end) - first
         requests = max(
-            bisect_left(asked, end - k * TERMS.window // 2) - bisect_left(asked, at - k * TERMS.window // 2)
+            bisect_left(request_times, end - k * LIMITS.window // 2)
+            - bisect_left(request_times, at - k * LIMITS.window // 2)
             for k in range(3)
         )
-        assert within <= TERMS.ratio * requests + TERMS.slack
+        assert within <= LIMITS.ratio * requests + LIMITS.slack
 
 
-def test_a_gateway_uses_the_budget_that_it_is_handed() -> None:
+def test_gateway_uses_given_budget() -> None:
     """Each retry that arrives costs one, also if it is rejected."""
     harness = GatewayHarness(classes=(RequestClass(effect=Effect.SAFE, tries=9),))
     budget = shared(slack=4)  # two
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -55,7 +55,7 @@
     assert hop < 4 and request_id not in harness.gateway.context.pending
 
 
-def test_nothing_follows_the_end_of_a_request() -> None:
+def test_no_action_after_request_has_ended() -> None:
     harness = GatewayHarness()
     request_id, backend = first_attempt(harness)
     token = max(harness.gateway.attempts.timers)
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    "effect, may_cancel, begun, called_off",
+    "effect, may_cancel, head_received, cancelled",
     [
         (Effect.SAFE, True, False, True),
         (Effect.UNSAFE, True, False, False),
@@ -75,16 +75,16 @@
         (Effect.SAFE, True, True, False),
     ],
 )
-def test_what_may_be_repeated_is_called_off_when_its_client_leaves(
-    effect: Effect, may_cancel: bool, begun: bool, called_off: bool
+def test_safe_attempt_is_cancelled_when_client_leaves(
+    effect: Effect, may_cancel: bool, head_received: bool, cancelled: bool
 ) -> None:
     """Backends must not go on working for clients that have left."""
     harness = one_class(effect=effect)
     harness.gateway.update_settings(replace(harness.gateway.context.settings, may_cancel=may_cancel))
     request_id, backend = first_attempt(harness)
-    if begun:
+    if head_received:
         harness.send(Head(request_id, backend, 0))
-    assert harness.send(Withdrawn(request_id)) == ([Cancel(request_id, 0)] if called_off else [])
+    assert harness.send(Withdrawn(request_id)) == ([Cancel(request_id, 0)] if cancelled else [])
     assert harness.send(Withdrawn(request_id)) == []  # cancelled only once
     assert (
         not of(harness.end(request_id, backend, ending=Ending.CANCELLED, over=True), Attempt)
@@ -92,7 +92,7 @@
     )
 
 
-def test_a_stream_that_has_begun_is_left_alone() -> None:
+def test_started_stream_is_not_cancelled() -> None:
     harness = one_class(stream=True)
     request_id, backend = first_attempt(harness)
     harness.send(Head(request_id, backend, 0))
@@ -114,14 +114,14 @@
     assert not of(actions, Attempt) and not of(actions, Refuse)
 
 
-def test_an_unsafe_request_that_never_ran_goes_elsewhere() -> None:
+def test_unsafe_request_that_never_ran_is_retried() -> None:
     harness = one_class(effect=Effect.UNSAFE)
     request_id, backend = first_attempt(harness)
     [again] = of(harness.end(request_id, backend, ending=Ending.NO_CONNECTION), Attempt)
     assert again.backend != backend
 
 
-def test_a_keyed_request_stays_in_its_group_and_memory() -> None:
+def test_keyed_request_is_retried_within_group_and_memory() -> None:
     harness = one_class(effect=Effect.KEYED, group="cell", memory=300_000)
     harness.send(Backends(ListForm.FULL, tuple(Entry(k + 1, zone=0, cell=k % 3) for k in range(12))))
     request_id, backend = first_attempt(harness)
@@ -135,7 +135,7 @@
 # -- drains
 
 
-def test_nothing_new_goes_to_a_draining_or_gone_backend() -> None:
+def test_draining_or_gone_backend_gets_no_attempt() -> None:
     harness = GatewayHarness(backends=3)
     harness.send(Backends(ListForm.DELTA, (Entry(1, state=State.DRAINING), Entry(2, state=State.GONE))))
     for k in range(20):
@@ -147,7 +147,7 @@
         assert all(a.backend == 1 for a in of(actions, Attempt))
 
 
-def test_where_the_list_must_be_asked_for_it_is_subscribed_to() -> None:
+def test_backend_list_is_watched_on_request() -> None:
     harness = GatewayHarness(on_request=True)
     assert harness.send(Backends(ListForm.FAILED)) and harness.gateway.context.backends
     fresh = GatewayHarness(on_request=True, backends=0)
@@ -158,33 +158,33 @@
 # -- cold backends
 
 
-def test_a_fresh_backend_is_sent_little_at_first() -> None:
+def test_restarted_backend_warms_up() -> None:
     harness = GatewayHarness(backends=4)
-    to: dict[int, int] = {}
+    attempts_by_backend: dict[int, int] = {}
 
     def play(seconds: int) -> None:
-        to.clear()
+        attempts_by_backend.clear()
         for k in range(seconds * 50):
             harness.now += 20_000
             if k % 12 == 0:
                 harness.send(Timer(0))
             request_id, actions = harness.ask(customer=f"c{k % 100}")
             for a in of(actions, Attempt):
-                to[a.backend] = to.get(a.backend, 0) + 1
+                attempts_by_backend[a.backend] = attempts_by_backend.get(a.backend, 0) + 1
                 harness.end(request_id, a.backend, latency=20_000)
 
     play(20)
-    assert min(to.get(k, 0) for k in (1, 2, 3, 4)) > 0
+    assert min(attempts_by_backend.get(k, 0) for k in (1, 2, 3, 4)) > 0
     harness.send(Backends(ListForm.DELTA, (Entry(4, started=harness.now),)))
     play(1)
-    total = sum(to.values())
-    assert to.get(4, 0) <= 0.2 * total / 4 * 3  # three times its cold share of an even part
+    total = sum(attempts_by_backend.values())
+    assert attempts_by_backend.get(4, 0) <= 0.2 * total / 4 * 3  # three times its cold share of an even part
 
 
 # -- ceilings
 
 
-def test_a_ceiling_is_kept_by_each_gateway_alone() -> None:
+def test_ceiling_is_enforced_per_gateway() -> None:
     plan = Plan(rate=10, burst=20, over_worth=1.0, ceiling_rate=2.0, ceiling_burst=8.0)
     harness = GatewayHarness(plans=(HARD, plan))
     sent = 0
@@ -215,7 +215,7 @@
     assert 5 <= sent <= 10
 
 
-def test_a_guess_is_put_right_when_the_answer_tells_the_units() -> None:
+def test_estimate_is_corrected_by_reported_units() -> None:
     harness = GatewayHarness(post_paid=True)
     request_id, actions = harness.ask(units=1)
     [a] = of(actions, Attempt)
