--- a/bench/versions.py
+++ b/bench/versions.py
@@ -24,9 +24,9 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from oakvale.demo.backend import Backend
-from oakvale.demo.control_client import Caller, once
+from oakvale.demo.control_client import ControlClient, send_request
 from oakvale.demo.machines import ROOT, Machines
-from oakvale.demo.show import CONFIGURATION, HOST, KEY, PROMISES
+from oakvale.demo.show import CONFIGURATION, HOST, KEY, RETRYABLE_STATUSES
 
 SERVICES = ("calendar", "book")
 CLIENTS = 6
@@ -92,14 +92,14 @@
         headers = {"Host": HOST, "Attempt-Id": name, "Time-Left": "2000", "Authorization": f"Bearer {KEY}"}
         method, body = ("POST", b"order") if unsafe else ("GET", None)
         try:
-            given, _ = once(gateway, method, f"/{service}/x", body, headers, timeout=3)
+            given, _ = send_request(gateway, method, f"/{service}/x", body, headers, timeout=3)
         except ConnectionRefusedError:
             return "no connection"
         except (OSError, http.client.HTTPException):
             if unsafe:
                 self.unclear.add(name)
             return "broken off"
-        return "refused" if given.status in PROMISES else str(given.status)
+        return "refused" if given.status in RETRYABLE_STATUSES else str(given.status)
 
 
 def steps(machines: Machines, old: Path) -> Iterator[tuple[str, Path]]:
@@ -133,7 +133,7 @@
         machines.start(told.old)
         for backend in backends:
             backend.start()
-        Caller(machines.ctl, ends).call("POST", "/oakvale/Config.Replace", configuration(), LONGEST_START)
+        ControlClient(machines.ctl, ends).call("POST", "/oakvale/Config.Replace", configuration(), LONGEST_START)
         due = time.monotonic() + LONGEST_START
         while not machines.ready() and time.monotonic() < due:
             time.sleep(0.1)
--- a/oakvale/adapter/host.py
+++ b/oakvale/adapter/host.py
@@ -30,7 +30,7 @@
             slot[1] -= 1
             if slot[1] <= 0:
                 del self.waiting[f[1]]
-            return wire.counted(f, slot[0])
+            return wire.decode_counter_result(f, slot[0])
         decoder = wire.DECODERS.get(kind)
         return decoder(f) if decoder else None
 
@@ -56,7 +56,7 @@
     def _event(self, now: int, event: list[Any], out: list[list[Any]]) -> None:
         kind, f = event[0], event[1:]
         if kind == "directory":
-            self.sheets[f[0]] = wire.entries(f[1] or [])
+            self.sheets[f[0]] = wire.decode_entries(f[1] or [])
             return
         if not f or not isinstance(f[0], str):
             return
--- a/oakvale/adapter/wire.py
+++ b/oakvale/adapter/wire.py
@@ -26,7 +26,7 @@
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 1
 
 
-def entries(rows: list[Any]) -> tuple[i.Entry, ...]:
+def decode_entries(rows: list[Any]) -> tuple[i.Entry, ...]:
     return tuple(
         i.Entry(
             int(r[0]),
@@ -81,7 +81,7 @@
 }
 
 
-def counted(f: list[Any], name: str) -> i.Counted:
+def decode_counter_result(f: list[Any], name: str) -> i.Counted:
     return i.Counted(name, ENDINGS[f[2]], float(_get(f, 3) or 0), int(_get(f, 4) or 0))
 
 
--- a/oakvale/base/address.py
+++ b/oakvale/base/address.py
@@ -15,5 +15,5 @@
     return (host, int(port)) if host and PORT.fullmatch(port) and 0 < int(port) < 65536 else None
 
 
-def spelled(address: Address) -> str:
+def format_address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
--- a/oakvale/base/configuration.py
+++ b/oakvale/base/configuration.py
@@ -15,7 +15,7 @@
 from oakvale.base.limits import MB, Limits
 
 
-class BadConfiguration(Exception):
+class ConfigurationError(Exception):
     """One line that says what is wrong."""
 
 
@@ -32,39 +32,39 @@
     limits: Limits
     environment: Mapping[str, str]
 
-    def again(self) -> Configuration:
+    def reload(self) -> Configuration:
         """As the file is now, whose addresses go before the environment's: those are of the start. Raises
         BadConfiguration."""
         fresh = load({k: v for k, v in self.environment.items() if k != "LB_DISCOVERY"})
         return replace(fresh, environment=self.environment)
 
 
-def address(text: Any, what: str) -> Address:
+def require_address(text: Any, what: str) -> Address:
     parsed = parse_address(text)
     if parsed is None:
-        raise BadConfiguration(f"{what} is not host:port: {text!r}")
+        raise ConfigurationError(f"{what} is not host:port: {text!r}")
     return parsed
 
 
 def load(environment: Mapping[str, str]) -> Configuration:
     path = environment.get("LB_CONFIG")
     if not path:
-        raise BadConfiguration("LB_CONFIG is not set")
+        raise ConfigurationError("LB_CONFIG is not set")
     try:
         data = orjson.loads(Path(path).read_bytes())
     except OSError as error:
-        raise BadConfiguration(f"cannot read {path}: {error.strerror}") from error
+        raise ConfigurationError(f"cannot read {path}: {error.strerror}") from error
     except orjson.JSONDecodeError as error:
-        raise BadConfiguration(f"{path} is not JSON: {error}") from error
+        raise ConfigurationError(f"{path} is not JSON: {error}") from error
     if not isinstance(data, dict):
-        raise BadConfiguration(f"{path} holds no object")
+        raise ConfigurationError(f"{path} holds no object")
     return decode(data, environment)
 
 
 def decode(data: dict[str, Any], environment: Mapping[str, str]) -> Configuration:
     raw = data.get("settings")
     if not isinstance(raw, dict):
-        raise BadConfiguration("settings are missing")
+        raise ConfigurationError("settings are missing")
     try:
         decoded, names = site.decode(raw), site.decode_names(raw)
         limits, extra = site.section(raw, "limits"), site.section(raw, "specifics")
@@ -78,20 +78,20 @@
         )
         seed = int(str(data.get("seed") or "0"), 16)
     except (TypeError, ValueError, KeyError, AttributeError) as error:
-        raise BadConfiguration(f"bad settings: {error!r}") from error
+        raise ConfigurationError(f"bad settings: {error!r}") from error
     if not decoded.classes or not decoded.plans:
-        raise BadConfiguration("settings name no classes or no plans")
+        raise ConfigurationError("settings name no classes or no plans")
     known = data.get("known") or {}
     if not isinstance(known, dict):
-        raise BadConfiguration("known is not an object")
+        raise ConfigurationError("known is not an object")
     counter = data.get("counter")
     if not counter and decoded.may_count:
-        raise BadConfiguration("counter is missing, though the settings allow calls")
+        raise ConfigurationError("counter is missing, though the settings allow calls")
     return Configuration(
         name=environment.get("LB_NAME") or str(data.get("name") or "oakvale"),
-        listen=address(environment.get("LB_LISTEN") or data.get("listen"), "listen"),
-        discovery=address(environment.get("LB_DISCOVERY") or data.get("discovery"), "discovery"),
-        counter=address(counter, "counter") if counter else None,
+        listen=require_address(environment.get("LB_LISTEN") or data.get("listen"), "listen"),
+        discovery=require_address(environment.get("LB_DISCOVERY") or data.get("discovery"), "discovery"),
+        counter=require_address(counter, "counter") if counter else None,
         seed=seed,
         known=known,
         settings=decoded,
--- a/oakvale/base/loop.py
+++ b/oakvale/base/loop.py
@@ -34,7 +34,7 @@
 log = logging.getLogger(__name__)
 
 
-class Rank(IntEnum):
+class Priority(IntEnum):
     """The order in which one turn gives the module what has come."""
 
     DISCOVERY = 0
@@ -43,7 +43,7 @@
     CLIENT = 3
 
 
-def by_rank(ready: tuple[Task, int]) -> int:
+def by_priority(ready: tuple[Task, int]) -> int:
     return ready[0].rank
 
 
@@ -63,7 +63,7 @@
 
     __slots__ = ("coroutine", "fd", "rank", "mask", "due", "armed", "woken", "alive", "running")
 
-    def __init__(self, coroutine: Coroutine, fd: int, rank: Rank) -> None:
+    def __init__(self, coroutine: Coroutine, fd: int, rank: Priority) -> None:
         self.coroutine, self.fd, self.rank = coroutine, fd, rank
         self.mask = -1  # not registered
         self.due = self.armed = 0  # when the wait ends; the time of the timer that stands for it
@@ -104,7 +104,7 @@
                 log.exception("timer failed")
 
 
-def call_off(timer: Timer) -> None:
+def cancel_timer(timer: Timer) -> None:
     """It stays in its heap until it comes to the head, and costs no turn."""
     timer[2] = timer[3] = None
 
@@ -113,8 +113,8 @@
     yield 0, 0
 
 
-NOBODY = Task(_nobody(), -1, Rank.CLIENT)
-NOBODY.alive = False
+ENDED_TASK = Task(_nobody(), -1, Priority.CLIENT)
+ENDED_TASK.alive = False
 
 
 class Loop:
@@ -124,7 +124,7 @@
         self.now = clock()
         self._late = limits.late
         self.turns = 0
-        self.unread_for = 0  # microseconds that what is read in this turn may have lain, where the process stood still
+        self.stalled_us = 0  # microseconds that what is read in this turn may have lain, where the process stood still
         self._poller = self.net.poller()
         self._tasks: dict[int, Task] = {}
         self._woken: deque[Task] = deque()
@@ -133,7 +133,7 @@
 
     # ---- coroutines
 
-    def start(self, coroutine: Coroutine, fd: int, rank: Rank) -> Task:
+    def start(self, coroutine: Coroutine, fd: int, rank: Priority) -> Task:
         """Runs a coroutine up to its first wait."""
         task = Task(coroutine, fd, rank)
         self._tasks[fd] = task
@@ -162,7 +162,7 @@
         task = self._tasks.get(fd)
         if task is None:  # left open by what ended: it would be told of each turn
             self._poller.unregister(fd)
-            return NOBODY
+            return ENDED_TASK
         return task
 
     def _resume(self, task: Task, signal: int | None) -> None:
@@ -237,10 +237,10 @@
         before = self.now
         events = self._poller.poll(wait)
         self.now = self.clock()
-        self.unread_for = 0
+        self.stalled_us = 0
         if self.now > latest:  # it stood still: what came meanwhile is handled before the timers that passed
             events = self._poller.poll(0)
-            self.unread_for = self.now - before
+            self.stalled_us = self.now - before
         self.turns += 1
         if len(events) == 1:
             fd, flags = events[0]
@@ -249,7 +249,7 @@
             # tasks are looked up before any runs: an event for a descriptor that is closed and opened anew
             # in this turn then finds its old, ended task and is passed over
             ready = [(self._task(fd), flags) for fd, flags in events]
-            ready.sort(key=by_rank)
+            ready.sort(key=by_priority)
             for task, flags in ready:
                 self._resume(task, flags)
         self._run_woken()
--- a/oakvale/base/net.py
+++ b/oakvale/base/net.py
@@ -16,7 +16,7 @@
 from typing import Any, Protocol
 
 from oakvale.base.address import Address
-from oakvale.base.sockets import listening
+from oakvale.base.sockets import open_listener
 
 
 class Sock(Protocol):
@@ -62,7 +62,7 @@
 
     def listen(self, address: Address, backlog: int) -> Sock:
         """Raises OSError where the address can't be had."""
-        return listening(address, backlog)
+        return open_listener(address, backlog)
 
     def token(self, size: int) -> str:
         """A name of so many bytes that nobody else draws, in hex."""
@@ -72,7 +72,7 @@
         """Nanoseconds; the time of day, which may step."""
         return time.time_ns()
 
-    def used(self) -> tuple[float, int]:
+    def resource_usage(self) -> tuple[float, int]:
         """Seconds of processor time so far, and the most megabytes of memory."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         return usage.ru_utime + usage.ru_stime, usage.ru_maxrss // 1024
--- a/oakvale/base/sockets.py
+++ b/oakvale/base/sockets.py
@@ -7,7 +7,7 @@
 from oakvale.base.address import Address
 
 
-def listening(address: Address, backlog: int) -> socket.socket:
+def open_listener(address: Address, backlog: int) -> socket.socket:
     """Bound at once after a kill, though connections of the life before may linger. Raises OSError."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     try:
--- a/oakvale/cli.py
+++ b/oakvale/cli.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, NoReturn
 
 from oakvale import __version__
-from oakvale.base.address import spelled
+from oakvale.base.address import format_address
 
 if TYPE_CHECKING:
     from oakvale.base.configuration import Configuration
@@ -32,7 +32,7 @@
 
     try:
         return configuration.load(os.environ)
-    except configuration.BadConfiguration as error:
+    except configuration.ConfigurationError as error:
         fail(error)
 
 
@@ -45,9 +45,9 @@
     signals.watch()
     config = load()
     try:
-        listener = serving.listening(config.listen, config.limits.backlog)
+        listener = serving.open_listener(config.listen, config.limits.backlog)
     except OSError as error:
-        fail(f"cannot listen on {spelled(config.listen)}: {error.strerror}", 1)
+        fail(f"cannot listen on {format_address(config.listen)}: {error.strerror}", 1)
     logs.configure(args.log_level, config.limits.log_same)
     sys.exit(serving.serve(config, listener, signals))
 
@@ -55,7 +55,7 @@
 def check_config(args: argparse.Namespace) -> None:
     """Read the configuration as serve would and say what it holds."""
     config = load()
-    print(f"{config.name} would listen on {spelled(config.listen)}")
+    print(f"{config.name} would listen on {format_address(config.listen)}")
     print(f"classes: {', '.join(config.names.classes)}")
     print(f"plans: {', '.join(config.names.plans)}")
     print(f"backends known: {len(config.known.get('endpoints') or [])}")
@@ -70,11 +70,11 @@
     from oakvale.base import configuration
 
     try:
-        host, port = configuration.address(args.address, "address")
+        host, port = configuration.require_address(args.address, "address")
         connection = http.client.HTTPConnection(host, port, timeout=args.timeout)
         connection.request("GET", args.path)
         status, text = (reply := connection.getresponse()).status, reply.read().decode().strip()
-    except (configuration.BadConfiguration, OSError, http.client.HTTPException) as error:
+    except (configuration.ConfigurationError, OSError, http.client.HTTPException) as error:
         fail(f"{args.address}: {error}", 1)
     print(text)
     sys.exit(0 if status == 200 else 1)
@@ -97,10 +97,10 @@
     from oakvale.transport import status_service
 
     try:
-        told = status_service.query_status(configuration.address(args.address, "address"), args.timeout)
-    except (configuration.BadConfiguration, status_service.NoResponse) as error:
+        told = status_service.query_status(configuration.require_address(args.address, "address"), args.timeout)
+    except (configuration.ConfigurationError, status_service.NoResponse) as error:
         fail(f"{args.address}: {error}", 1)
-    print("\n".join(logs.pairs({name: value}) for name, value in told.items()))
+    print("\n".join(logs.format_pairs({name: value}) for name, value in told.items()))
 
 
 def drain(args: argparse.Namespace) -> None:
@@ -120,9 +120,9 @@
         body = {"by": args.by, "why": args.why}
     verb = "Drains." + {"account": "Show"}.get(args.what, args.what.capitalize())
     try:
-        addresses = [configuration.address(text, "--ctl") for text in args.ctl.split(",")]
+        addresses = [configuration.require_address(text, "--ctl") for text in args.ctl.split(",")]
         told = client.call(addresses, verb, getattr(args, "name", None) or "", body, args.timeout)
-    except configuration.BadConfiguration as error:
+    except configuration.ConfigurationError as error:
         fail(error)
     except client.Refused as error:
         if isinstance(error.body, dict) and "plan" in error.body:
@@ -150,17 +150,17 @@
 
     try:
         if args.at:
-            address = configuration.address(args.at, "--at")
+            address = configuration.require_address(args.at, "--at")
         else:
             own = settings.load(os.environ)
             address = own.ip, own.ports[0] + (0 if "ctl" in own.bind else 1)
         held = status_service.query_status(address, args.timeout, "chains")["held"]
-    except (configuration.BadConfiguration, toml_table.BadFile) as error:
+    except (configuration.ConfigurationError, toml_table.BadFile) as error:
         fail(error)
     except status_service.NoResponse as error:
-        fail(f"{spelled(address)}: {error}", 1)
+        fail(f"{format_address(address)}: {error}", 1)
     if held is None:
-        fail(f"{spelled(address)}: holds no chains: no headworks has --chains, or this one is only a witness", 1)
+        fail(f"{format_address(address)}: holds no chains: no headworks has --chains, or this one is only a witness", 1)
     chains = unpack(held)
     try:
         if args.what == "check":
@@ -183,7 +183,7 @@
     signal.signal(signal.SIGTERM, signal.default_int_handler)  # what was started ends with it
     try:
         show.show(lambda line: print(line, flush=True), args.stay)
-    except show.Failed as error:
+    except show.DemoFailed as error:
         fail(error, 1)
     except KeyboardInterrupt:
         fail("interrupted; everything has ended", 130)
@@ -200,7 +200,7 @@
     """A process of the whole system, as the settings file that OAKVALE_SETTINGS names says."""
     from importlib import import_module
 
-    from oakvale.base.sockets import listening
+    from oakvale.base.sockets import open_listener
     from oakvale.config import settings, toml_table
     from oakvale.lifecycle.signals import Signals
 
@@ -209,7 +209,7 @@
     try:
         told = settings.load(os.environ)
         # before the rest is imported: who comes meanwhile waits a moment instead of being turned away
-        listeners = {name: listening(address, BACKLOG) for name, address in told.bind.items()}
+        listeners = {name: open_listener(address, BACKLOG) for name, address in told.bind.items()}
         from oakvale.lifecycle import eventlog
 
         eventlog.configure(args.log_level, 20)
--- a/oakvale/config/check.py
+++ b/oakvale/config/check.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from oakvale.base.address import spelled
+from oakvale.base.address import format_address
 from oakvale.config import deploy, settings
 from oakvale.config.toml_table import BadFile
 
@@ -30,9 +30,9 @@
     lines = [
         f"{told.node} at {told.ip}, zone {told.zone or '-'}, region {told.region or '-'}; {counted} among those that "
         f"may be lost; fits: {', '.join(fits) or 'no role'}",
-        *(f"{name}: {spelled(address)}" for name, address in told.bind.items()),
+        *(f"{name}: {format_address(address)}" for name, address in told.bind.items()),
         f"between gateways: ports {told.ports[0]} to {told.ports[1]}",
-        f"seeds: {', '.join(map(spelled, told.seeds)) or 'none'}; first start of the system: {told.bootstrap}",
+        f"seeds: {', '.join(map(format_address, told.seeds)) or 'none'}; first start of the system: {told.bootstrap}",
         f"limits: {told.cpu:g} cores, {told.memory_mb} MB, {told.nofile} descriptors, "
         f"disk {told.disk_mb} MB at {told.datadir or '-'}",
         f"to be borne at once: {told.tolerate} machines, or {told.tolerate_zones} zones, or "
--- a/oakvale/controlplane/core.py
+++ b/oakvale/controlplane/core.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from oakvale.base.address import Address, parse_address, spelled
+from oakvale.base.address import Address, format_address, parse_address
 from oakvale.base.loop import Loop
 from oakvale.config.settings import Settings
 from oakvale.controlplane import replication
@@ -65,9 +65,9 @@
         seeds = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]
         copies = 1 + max(1, settings.tolerate, settings.tolerate_zones, settings.tolerate_regions)
         domains = FailureDomains(settings.zones, settings.tolerate_zones > 0, settings.tolerate_regions > 0)
-        bootstraps = settings.bootstrap and storage.never_used and spelled(transport.self_address) in seeds
+        bootstraps = settings.bootstrap and storage.never_used and format_address(transport.self_address) in seeds
         start = replication.load_start_state(
-            spelled(transport.self_address),
+            format_address(transport.self_address),
             storage.fact("self"),
             storage.fact("state"),
             bootstrap_view(seeds, copies) if bootstraps else None,
--- a/oakvale/controlplane/process.py
+++ b/oakvale/controlplane/process.py
@@ -11,7 +11,7 @@
 from importlib import import_module
 from typing import TYPE_CHECKING
 
-from oakvale.base.loop import Clock, Loop, Rank
+from oakvale.base.loop import Clock, Loop, Priority
 from oakvale.base.net import Sock
 from oakvale.config.bounds import bounds
 from oakvale.config.settings import Settings
@@ -135,7 +135,7 @@
 
     process.load_contracts(settings)
     process.storage.on_broken = loop.stop
-    loop.start(signals.run(process.stop, reload), signals.fileno(), Rank.DISCOVERY)
+    loop.start(signals.run(process.stop, reload), signals.fileno(), Priority.DISCOVERY)
     gc.collect()
     gc.freeze()
     try:
--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from oakvale.base.address import parse_address, spelled
+from oakvale.base.address import format_address, parse_address
 from oakvale.base.loop import Loop
 from oakvale.config.durations import micros
 from oakvale.config.settings import Settings
@@ -214,7 +214,7 @@
 
     def __init__(self, core: Core, loop: Loop, settings: Settings) -> None:
         self._core, self._loop, self._heartbeat_interval = core, loop, settings.beat
-        self._url = spelled(settings.bind["ctl"]) if "ctl" in settings.bind else ""
+        self._url = format_address(settings.bind["ctl"]) if "ctl" in settings.bind else ""
         self._last_seen: dict[str, int] = {}
         self._last_call: dict[str, int] = {}  # the number of the latest heartbeat of each
         # returns the entries to write along with a backend's departure
--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from oakvale.base.address import Address, parse_address, spelled
+from oakvale.base.address import Address, format_address, parse_address
 from oakvale.base.loop import Loop
 from oakvale.base.net import Sock
 from oakvale.config.bounds import bounds
@@ -75,7 +75,7 @@
         self.life = loop.net.token(6)
         # two roles of a machine share its ports: the headworks takes the first
         self.transport = Transport(self.loop, (settings.ip, settings.ports[0] + 1))
-        self.own = spelled(self.transport.self_address)
+        self.own = format_address(self.transport.self_address)
         self.table = Table()
         self.shared = SharedResources(self.loop, limits)
         self._core = [f"{ip}:{settings.ports[0]}" for ip, _ in settings.seeds]  # the primary first, if known
@@ -193,7 +193,7 @@
                 return
             if answer.get("joined"):
                 self._joined = True
-            elif answer.get("primary") and answer["primary"] != spelled(address):
+            elif answer.get("primary") and answer["primary"] != format_address(address):
                 self._know(str(answer["primary"]))
                 self._ask_in()
 
--- a/oakvale/dataplane/process.py
+++ b/oakvale/dataplane/process.py
@@ -6,7 +6,7 @@
 import os
 from collections.abc import Mapping
 
-from oakvale.base.loop import Clock, Loop, Rank
+from oakvale.base.loop import Clock, Loop, Priority
 from oakvale.base.net import Sock
 from oakvale.config.bounds import bounds
 from oakvale.config.settings import Settings
@@ -48,7 +48,7 @@
     loop = Loop(Clock(), bounds(settings))
     process = Process(settings, listeners, loop)
     watch = SettingsWatch(loop, os.environ, settings, lambda fresh: process.know(fresh.seeds))
-    loop.start(signals.run(process.stop, watch.again), signals.fileno(), Rank.DISCOVERY)
+    loop.start(signals.run(process.stop, watch.again), signals.fileno(), Priority.DISCOVERY)
     gc.collect()
     gc.freeze()
     try:
--- a/oakvale/dataplane/status.py
+++ b/oakvale/dataplane/status.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from oakvale.base.address import spelled
+from oakvale.base.address import format_address
 from oakvale.dataplane.gateway import EdgeGateway
 from oakvale.transport.status_service import US_PER_MS, count_by_service
 
@@ -20,7 +20,7 @@
             "listed": own is not None and own.incarnation == sluice.life,
             "gen": picture.gen,
             "gateways": ",".join(sorted(picture.members)),
-            "source": spelled(source) if source else "",
+            "source": format_address(source) if source else "",
             "pulse": "/".join(map(str, feed.heartbeat)),
             "news": "/".join(map(str, sluice.table.highest_version)),
             "news_age_ms": (now - feed.last_fresh_at) // US_PER_MS if feed.last_fresh_at else -1,
--- a/oakvale/demo/backend.py
+++ b/oakvale/demo/backend.py
@@ -7,7 +7,7 @@
 import threading
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-from oakvale.demo.control_client import Caller, NoAnswer
+from oakvale.demo.control_client import ControlClient, NoResponse
 
 BEAT = 0.5  # seconds
 
@@ -18,7 +18,7 @@
         self.id, self.service = f"i-{secrets.token_hex(4)}", service
         self.ran: list[str] = []  # ids of the attempts that it ran
         self._ends = threading.Event()
-        self._caller = Caller(ctl, self._ends)
+        self._caller = ControlClient(ctl, self._ends)
         self._server = ThreadingHTTPServer(address, self._handler())
         self._server.daemon_threads = True
         self._report = {
@@ -53,7 +53,7 @@
             calls += 1
             try:
                 self._caller.call("POST", f"/oakvale/Backends.Heartbeat/{self.id}", self._report | {"calls": calls}, 3)
-            except NoAnswer:
+            except NoResponse:
                 pass  # the next beat says the same
             self._ends.wait(BEAT)
 
--- a/oakvale/demo/control_client.py
+++ b/oakvale/demo/control_client.py
@@ -17,39 +17,39 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Given:
+class Response:
     status: int
     body: bytes
 
 
-class NoAnswer(Exception):
+class NoResponse(Exception):
     """None that counts until the time was over."""
 
 
-def once(
+def send_request(
     address: str,
     method: str,
     path: str,
     body: bytes | None = None,
     headers: dict[str, str] | None = None,
     timeout: float = SILENCE,
-) -> tuple[Given, str | None]:
+) -> tuple[Response, str | None]:
     """One exchange; the answer and the place it points to. Raises OSError, HTTPException."""
     connection = http.client.HTTPConnection(address, timeout=timeout)
     try:
         connection.request(method, path, body, headers or {})
         reply = connection.getresponse()
-        return Given(reply.status, reply.read()), reply.getheader("Location")
+        return Response(reply.status, reply.read()), reply.getheader("Location")
     finally:
         connection.close()
 
 
-class Caller:
+class ControlClient:
     def __init__(self, addresses: list[str], ends: threading.Event) -> None:
         self._addresses, self._ends, self._turn = addresses, ends, 0
         self.last = ""  # the machine that gave the last answer
 
-    def call(self, method: str, path: str, body: Any = None, within: float = 10.0) -> Given:
+    def call(self, method: str, path: str, body: Any = None, within: float = 10.0) -> Response:
         data = None if body is None else json.dumps(body).encode()
         due, pause = time.monotonic() + within, 0.05
         while time.monotonic() < due and not self._ends.is_set():
@@ -59,13 +59,13 @@
             self._turn += 1
             self._ends.wait(min(pause, 0.5))
             pause *= 1.5
-        raise NoAnswer(f"{method} {path}: no answer that counts in {within:g} s")
+        raise NoResponse(f"{method} {path}: no answer that counts in {within:g} s")
 
-    def _try(self, method: str, path: str, data: bytes | None) -> Given | None:
+    def _try(self, method: str, path: str, data: bytes | None) -> Response | None:
         address = self._addresses[self._turn % len(self._addresses)]
         try:
             for _ in range(3):
-                given, location = once(address, method, path, data, {"Content-Type": "application/json"})
+                given, location = send_request(address, method, path, data, {"Content-Type": "application/json"})
                 if given.status != 307 or not location:
                     self.last = address
                     return given
--- a/oakvale/demo/machines.py
+++ b/oakvale/demo/machines.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import oakvale
-from oakvale.demo.control_client import once
+from oakvale.demo.control_client import send_request
 
 ZONES = ("a", "b", "c")
 ROOT = Path(oakvale.__file__).parent.parent
@@ -73,7 +73,7 @@
     def ready(self) -> bool:
         """Whether every sluice says so."""
         try:
-            return all(once(address, "GET", "/oakvale/readyz")[0].status == 200 for address in self.readyz)
+            return all(send_request(address, "GET", "/oakvale/readyz")[0].status == 200 for address in self.readyz)
         except OSError:
             return False
 
--- a/oakvale/demo/show.py
+++ b/oakvale/demo/show.py
@@ -10,13 +10,13 @@
 from typing import Any
 
 from oakvale.demo.backend import Backend
-from oakvale.demo.control_client import Caller, NoAnswer, once
+from oakvale.demo.control_client import ControlClient, NoResponse, send_request
 from oakvale.demo.machines import Machines
 
 LONGEST = 20.0  # seconds until the answer has come or the demo gives up
 LOOK = 0.05  # between two looks
 AGAIN = 0.3  # before a refused request is sent again
-PROMISES = (408, 421, 429, 503)
+RETRYABLE_STATUSES = (408, 421, 429, 503)
 HOST, KEY = "desk.example", "demo-key"
 CONFIGURATION: dict[str, Any] = {
     "gen": 1,
@@ -33,24 +33,24 @@
 }
 
 
-class Failed(Exception):
+class DemoFailed(Exception):
     """One line."""
 
 
-def until(
+def wait_until(
     met: Callable[[], bool], what: str, due: float, machines: Machines, ends: threading.Event, pause: float = LOOK
 ) -> None:
     while not met():
         if ended := machines.ended():
-            raise Failed(f"{ended[0]} ended by itself: {machines.log(ended[0])[-500:]}")
+            raise DemoFailed(f"{ended[0]} ended by itself: {machines.log(ended[0])[-500:]}")
         if time.monotonic() > due:
-            raise Failed(f"{what}: not in {LONGEST:g} s")
+            raise DemoFailed(f"{what}: not in {LONGEST:g} s")
         ends.wait(pause)
 
 
 def request(address: str) -> tuple[int, bytes]:
     """One through the gateway at an address. Raises OSError, HTTPException."""
-    given, _ = once(
+    given, _ = send_request(
         address,
         "GET",
         "/calendar/today?chair=2",
@@ -65,12 +65,12 @@
     return given.status, given.body
 
 
-def served(address: str, say: Callable[[str], None]) -> bool:
+def try_request(address: str, say: Callable[[str], None]) -> bool:
     """Whether it was; tells of the answer."""
     status, body = request(address)
     say(f"a request through the sluice at {address}: {status} {body.decode(errors='replace').strip()}")
-    if status not in PROMISES + (200,):
-        raise Failed("that is not what was asked for")
+    if status not in RETRYABLE_STATUSES + (200,):
+        raise DemoFailed("that is not what was asked for")
     return status == 200
 
 
@@ -80,24 +80,24 @@
     try:
         machines = Machines()
     except OSError as error:
-        raise Failed(f"no addresses on loopback: {error}") from error
+        raise DemoFailed(f"no addresses on loopback: {error}") from error
     try:
         backend = Backend(machines.backend_address, "calendar", "a", machines.ctl)
         machines.start()
         backend.start()
         try:
             say(f"started {', '.join(machines.nodes())} and backend {backend.id} on {machines.net}.x")
-            operator = Caller(machines.ctl, ends)
+            operator = ControlClient(machines.ctl, ends)
             given = operator.call("POST", "/oakvale/Config.Replace", CONFIGURATION, due - time.monotonic())
             say(f"the headworks at {operator.last} took configuration 1: {given.status}")
             if given.status != 200:
-                raise Failed(given.body.decode(errors="replace"))
-            until(machines.ready, "every sluice ready", due, machines, ends)
+                raise DemoFailed(given.body.decode(errors="replace"))
+            wait_until(machines.ready, "every sluice ready", due, machines, ends)
             say("both sluices are ready: configuration and backend reached them as news")
             # a refusal has not run and may be sent again; so it goes until the gateways have elected a counter
-            until(lambda: served(machines.http[0], say), "a served request", due, machines, ends, AGAIN)
+            wait_until(lambda: try_request(machines.http[0], say), "a served request", due, machines, ends, AGAIN)
             if len(backend.ran) != 1:
-                raise Failed(f"the backend ran {len(backend.ran)} requests")
+                raise DemoFailed(f"the backend ran {len(backend.ran)} requests")
             if stay:
                 say(f"operator and backends: {' '.join(machines.ctl)}")
                 say(f"clients: {' '.join(machines.http)} (Host: {HOST}, Authorization: Bearer {KEY}, Attempt-Id: any)")
@@ -106,7 +106,7 @@
                 ends.wait()
         finally:
             backend.stop()
-    except (OSError, NoAnswer, http.client.HTTPException) as error:
-        raise Failed(str(error)) from error
+    except (OSError, NoResponse, http.client.HTTPException) as error:
+        raise DemoFailed(str(error)) from error
     finally:
         say("stopped" if machines.stop() else "stopped, not in order")
--- a/oakvale/lab/models/backend.py
+++ b/oakvale/lab/models/backend.py
@@ -10,8 +10,8 @@
 
 import h11
 
-from oakvale.base.address import Address, parse_address, spelled
-from oakvale.base.loop import READ, TIMED_OUT, Coroutine, Loop, Rank, Step, Task
+from oakvale.base.address import Address, format_address, parse_address
+from oakvale.base.loop import READ, TIMED_OUT, Coroutine, Loop, Priority, Step, Task
 from oakvale.lab.models.walk import Walk, walk
 from oakvale.lab.models.ways import Ended, Late, Reply, read, reset, send, value
 from oakvale.lab.models.workshop import Do, Job, Outcome, Terms, Workshop
@@ -79,7 +79,7 @@
         self.shop = Workshop(self.terms, self.loop.now, self.rng)
         self._visits: set[Visit] = set()
         self._listener = self.loop.net.listen(self.address, BACKLOG)
-        self._accepting = self.loop.start(self._accept(), self._listener.fileno(), Rank.CLIENT)
+        self._accepting = self.loop.start(self._accept(), self._listener.fileno(), Priority.CLIENT)
         self._beat_url: Address | None = None
         self._drained = False
         self._ready: Walk | None = None  # the latest beat, under way or over
@@ -110,7 +110,7 @@
         return json.dumps(
             {
                 "svc": self.terms.service,
-                "addr": spelled(self.address),
+                "addr": format_address(self.address),
                 "az": self.zone,
                 "gen": self.gen,
                 "slots": self.terms.slots,
@@ -209,7 +209,7 @@
                         continue
                     visit = Visit(sock, self.ways.machine(peer[0]))
                     self._visits.add(visit)
-                    visit.task = self.loop.start(self._serve(visit), sock.fileno(), Rank.CLIENT)
+                    visit.task = self.loop.start(self._serve(visit), sock.fileno(), Priority.CLIENT)
         finally:
             self._listener.close()
 
--- a/oakvale/lab/models/senders.py
+++ b/oakvale/lab/models/senders.py
@@ -12,7 +12,7 @@
 
 import h11
 
-from oakvale.base.loop import READ, TIMED_OUT, Coroutine, Loop, Rank, Step, Task
+from oakvale.base.loop import READ, TIMED_OUT, Coroutine, Loop, Priority, Step, Task
 from oakvale.lab.models.asks import UP, Ask, End
 from oakvale.lab.models.platform import Edge
 from oakvale.lab.models.ways import Ended, Late, connect, read, reset, send, untaken, value
@@ -70,7 +70,7 @@
             self._over(ask, End.UNREACHED, number)
             return
         line = Line(sock, edge, ask.client, number, ask, keep)
-        line.task = self.loop.start(self._live(line), sock.fileno(), Rank.CLIENT)
+        line.task = self.loop.start(self._live(line), sock.fileno(), Priority.CLIENT)
 
     def _note(self, ask: Ask, edge: Edge, number: int) -> None:
         name = f"{self.rng.getrandbits(64):016x}"
--- a/oakvale/lab/models/ways.py
+++ b/oakvale/lab/models/ways.py
@@ -12,7 +12,7 @@
 import h11
 
 from oakvale.base.address import Address
-from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Loop, Rank, Step
+from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Loop, Priority, Step
 from oakvale.wire.tcp import reset_on_close
 
 PIECE = 64 * 1024
@@ -108,7 +108,7 @@
     except OSError:
         loop.at(loop.now, then)
         return
-    loop.start(_ask(loop, sock, address, method, target, body, loop.now + within, then), sock.fileno(), Rank.CLIENT)
+    loop.start(_ask(loop, sock, address, method, target, body, loop.now + within, then), sock.fileno(), Priority.CLIENT)
 
 
 def _ask(
--- a/oakvale/lab/simulation/sockets.py
+++ b/oakvale/lab/simulation/sockets.py
@@ -608,7 +608,7 @@
     def unix_time(self) -> int:
         return (self.wires.events.now + self.process.machine.offset) * 1_000
 
-    def used(self) -> tuple[float, int]:
+    def resource_usage(self) -> tuple[float, int]:
         return self.process.used / SECOND, 0
 
     # ---- descriptors
--- a/oakvale/lab/simulation/works.py
+++ b/oakvale/lab/simulation/works.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any, cast
 
-from oakvale.base.address import Address, spelled
+from oakvale.base.address import Address, format_address
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
 from oakvale.base.net import Sock
@@ -26,7 +26,7 @@
 from oakvale.lab.simulation.machines import FREE, Costs, Process
 from oakvale.lab.simulation.sockets import Stream
 from oakvale.lab.simulation.wires import Machine, Wires
-from oakvale.lifecycle.eventlog import BOOK
+from oakvale.lifecycle.eventlog import EVENT_LOG
 
 MS, SECOND = 1_000, 1_000_000
 HTTP, READYZ, CTL, PORTS = 8782, 8789, 8783, (7340, 7355)
@@ -102,7 +102,7 @@
                 "self": own,
                 "network": {
                     "port-range": list(PORTS),
-                    "seeds": [spelled(seed) for seed in self._seeds],
+                    "seeds": [format_address(seed) for seed in self._seeds],
                     "bind": bind,
                     "azs": {zone: "" for zone in works.layout.zones},
                 },
@@ -389,11 +389,11 @@
         was = root.handlers[:], root.level
         root.handlers[:] = [handler]
         root.setLevel(logging.WARNING)
-        BOOK.write = self._write  # type: ignore[method-assign]
+        EVENT_LOG.write = self._write  # type: ignore[method-assign]
         try:
             yield
         finally:
-            del BOOK.write
+            del EVENT_LOG.write
             root.handlers[:], level = was
             root.setLevel(level)
 
--- a/oakvale/lifecycle/acceptor.py
+++ b/oakvale/lifecycle/acceptor.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from oakvale.base import sockets
-from oakvale.base.loop import READ, Coroutine, Loop, Rank
+from oakvale.base.loop import READ, Coroutine, Loop, Priority
 from oakvale.base.net import Sock
 from oakvale.wire.clients import ClientConnection, Owner
 from oakvale.wire.tcp import stamp_arrivals
@@ -16,9 +16,9 @@
 log = logging.getLogger(__name__)
 
 
-def listening(address: tuple[str, int], backlog: int) -> socket.socket:
+def open_listener(address: tuple[str, int], backlog: int) -> socket.socket:
     """A listening socket whose connections have their arrivals stamped. Raises OSError."""
-    sock = sockets.listening(address, backlog)
+    sock = sockets.open_listener(address, backlog)
     stamp_arrivals(sock)
     return sock
 
@@ -28,7 +28,7 @@
         """Connections wait in the backlog until `ready`, but not longer than `limits.unready`."""
         self.owner, self.loop, self.listener, self._ready = owner, loop, listener, ready
         self._full = False
-        self.task = loop.start(self._accept(), listener.fileno(), Rank.CLIENT)
+        self.task = loop.start(self._accept(), listener.fileno(), Priority.CLIENT)
 
     def _accept(self) -> Coroutine:
         """Takes what has come, so many a turn. With no descriptor left the longest idle client makes room, or
--- a/oakvale/lifecycle/eventlog.py
+++ b/oakvale/lifecycle/eventlog.py
@@ -15,22 +15,22 @@
 
 import eliot
 
-from oakvale.lifecycle.logs import Bound, Pipe, extra, pairs, stamp
+from oakvale.lifecycle.logs import EventRateLimiter, NonBlockingPipe, extra_fields, format_pairs, format_timestamp
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 OWN = frozenset({"message_type", "timestamp", "task_uuid", "task_level", "level", "part"})  # said first, or not
 
 
-class Book:
+class EventLog:
     """What a process writes, and where."""
 
     def __init__(self) -> None:
-        self._least, self._bound = 0, Bound(20)
+        self._least, self._bound = 0, EventRateLimiter(20)
         self._destination: Line | None = None
 
     def open(self, level: str, same: int, fd: int = 2) -> None:
         self.close()
-        self._least, self._bound = LEVELS[level], Bound(same)
+        self._least, self._bound = LEVELS[level], EventRateLimiter(same)
         self._destination = Line(fd)
         eliot.add_destinations(self._destination)
         logging.basicConfig(level=level.upper(), handlers=[Taken()], force=True)
@@ -51,7 +51,7 @@
         eliot.log_message(message_type=event, part=part, level=level, **fields)
 
 
-BOOK = Book()
+EVENT_LOG = EventLog()
 
 
 class EventLogger:
@@ -61,39 +61,39 @@
         self._part = name.removeprefix("oakvale.")
 
     def __call__(self, event: str, level: str = "info", **fields: Any) -> None:
-        BOOK.write(self._part, event, level, fields)
+        EVENT_LOG.write(self._part, event, level, fields)
 
     def fault(self, event: str, **fields: Any) -> None:
         """A fault of this program, with the exception that is being handled."""
-        BOOK.write(self._part, event, "error", fields | {"traceback": traceback.format_exc().rstrip()})
+        EVENT_LOG.write(self._part, event, "error", fields | {"traceback": traceback.format_exc().rstrip()})
 
 
 class Line:
     """A destination of `eliot`: a line on a pipe, which is never waited for. Tasks have no meaning here."""
 
     def __init__(self, fd: int) -> None:
-        self._pipe = Pipe(fd)
+        self._pipe = NonBlockingPipe(fd)
 
     def __call__(self, message: dict[str, Any]) -> None:
         at = float(message.get("timestamp", 0.0))
         first = {
-            "at": stamp(at, int(at % 1 * 1000)),
+            "at": format_timestamp(at, int(at % 1 * 1000)),
             "level": message.get("level", "error"),
             "part": message.get("part", "eliot"),
             "event": message.get("message_type", ""),
         }
-        self._pipe.write(pairs(first | {k: v for k, v in message.items() if k not in OWN}))
+        self._pipe.write(format_pairs(first | {k: v for k, v in message.items() if k not in OWN}))
 
 
 class Taken(logging.Handler):
     """Records of the `logging` module, written into the daybook."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        fields = extra(record)
+        fields = extra_fields(record)
         if record.exc_info:
             fields["traceback"] = "".join(traceback.format_exception(*record.exc_info)).rstrip()
-        BOOK.write(record.name.removeprefix("oakvale."), record.getMessage(), record.levelname.lower(), fields)
+        EVENT_LOG.write(record.name.removeprefix("oakvale."), record.getMessage(), record.levelname.lower(), fields)
 
 
 def configure(level: str, same: int, fd: int = 2) -> None:
-    BOOK.open(level, same, fd)
+    EVENT_LOG.open(level, same, fd)
--- a/oakvale/lifecycle/logs.py
+++ b/oakvale/lifecycle/logs.py
@@ -17,26 +17,26 @@
 class KeyValueFormatter(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
         fields = {
-            "at": stamp(record.created, int(record.msecs)),
+            "at": format_timestamp(record.created, int(record.msecs)),
             "level": record.levelname.lower(),
             "part": record.name.removeprefix("oakvale."),
             "event": record.getMessage(),
         }
-        fields |= extra(record)
+        fields |= extra_fields(record)
         if record.exc_info:
             fields["traceback"] = self.formatException(record.exc_info)
-        return pairs(fields)
+        return format_pairs(fields)
 
 
-def stamp(at: float, ms: int) -> str:
+def format_timestamp(at: float, ms: int) -> str:
     return f"{time.strftime('%Y-%m-%dT%H:%M:%S', time.gmtime(at))}.{ms:03d}Z"
 
 
-def extra(record: logging.LogRecord) -> dict[str, Any]:
+def extra_fields(record: logging.LogRecord) -> dict[str, Any]:
     return {k: v for k, v in vars(record).items() if k not in STANDARD}
 
 
-def pairs(fields: Mapping[str, Any]) -> str:
+def format_pairs(fields: Mapping[str, Any]) -> str:
     return " ".join(f"{k}={quote(str(v))}" for k, v in fields.items())
 
 
@@ -47,7 +47,7 @@
     return '"' + "".join(c if c.isprintable() else f"\\x{ord(c):02x}" for c in escaped) + '"'
 
 
-class Bound:
+class EventRateLimiter:
     """So many lines a second of one event, at most: what bad peers cause by the hundred costs no more."""
 
     def __init__(self, most: int) -> None:
@@ -67,7 +67,7 @@
         return self._held.pop(event, 0)
 
 
-class Pipe:
+class NonBlockingPipe:
     """Writes lines to a descriptor only while that can't block; what does not fit is dropped and counted."""
 
     def __init__(self, fd: int) -> None:
@@ -89,12 +89,12 @@
             self.dropped += 1
 
 
-class Seldom(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """The next line of an event that passes says how many did not, in `held_back`."""
 
     def __init__(self, most: int) -> None:
         super().__init__()
-        self._bound = Bound(most)
+        self._bound = EventRateLimiter(most)
 
     def filter(self, record: logging.LogRecord) -> bool:
         held = self._bound.held_back((record.name, str(record.msg)[:64]), record.created)
@@ -106,7 +106,7 @@
 class PipeHandler(logging.Handler):
     def __init__(self, fd: int) -> None:
         super().__init__()
-        self._pipe = Pipe(fd)
+        self._pipe = NonBlockingPipe(fd)
 
     @property
     def dropped(self) -> int:
@@ -118,6 +118,6 @@
 
 def configure(level: str, same: int, fd: int = 2) -> None:
     handler = PipeHandler(fd)
-    handler.addFilter(Seldom(same))
+    handler.addFilter(RateLimitFilter(same))
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/oakvale/lifecycle/serving.py
+++ b/oakvale/lifecycle/serving.py
@@ -6,18 +6,18 @@
 import logging
 import os
 
-from oakvale.base.address import spelled
-from oakvale.base.configuration import BadConfiguration, Configuration
-from oakvale.base.loop import Clock, Loop, Rank
+from oakvale.base.address import format_address
+from oakvale.base.configuration import Configuration, ConfigurationError
+from oakvale.base.loop import Clock, Loop, Priority
 from oakvale.base.net import Sock
 from oakvale.host import Host
-from oakvale.lifecycle.acceptor import Acceptor, listening
+from oakvale.lifecycle.acceptor import Acceptor, open_listener
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
 from oakvale.lifecycle.status import Status
 from oakvale.wire.discovery import BadList
 
-__all__ = ["Server", "listening", "serve"]
+__all__ = ["Server", "open_listener", "serve"]
 
 log = logging.getLogger(__name__)
 
@@ -48,8 +48,8 @@
         takes a restart. A file that can't be used changes nothing."""
         was = self.configuration
         try:
-            fresh = was.again()
-        except BadConfiguration as error:
+            fresh = was.reload()
+        except ConfigurationError as error:
             log.error("reload refused", extra={"why": str(error)})
             return
         parts = [
@@ -60,8 +60,8 @@
         log.info(
             "reloaded",
             extra={
-                "discovery": spelled(fresh.discovery),
-                "counter": fresh.counter and spelled(fresh.counter),
+                "discovery": format_address(fresh.discovery),
+                "counter": fresh.counter and format_address(fresh.counter),
                 "needs_restart": ",".join(parts) or "nothing",
             },
         )
@@ -81,13 +81,14 @@
     loop = Loop(Clock(), configuration.limits)
     server = Server(configuration, listener, loop)
     shutdown = Shutdown(server)
-    loop.start(signals.run(shutdown.begin, server.reload), signals.fileno(), Rank.DISCOVERY)
+    loop.start(signals.run(shutdown.begin, server.reload), signals.fileno(), Priority.DISCOVERY)
     server.begin()
     Status(server.host.shared).begin()
     gc.collect()
     gc.freeze()  # what lives as long as the process is never looked at again
     log.info(
-        "serving", extra={"gateway": configuration.name, "pid": os.getpid(), "listen": spelled(configuration.listen)}
+        "serving",
+        extra={"gateway": configuration.name, "pid": os.getpid(), "listen": format_address(configuration.listen)},
     )
     try:
         loop.run()
--- a/oakvale/lifecycle/status.py
+++ b/oakvale/lifecycle/status.py
@@ -24,7 +24,7 @@
         host = self._host
         counts, told = host.tally.fields(), self._told
         since = {name: count - told.get(name, 0) for name, count in counts.items()}
-        cpu, memory = host.loop.net.used()
+        cpu, memory = host.loop.net.resource_usage()
         log.info(
             "status",
             extra={name: count for name, count in since.items() if count or name == "requests"}
--- a/oakvale/ratelimit/service.py
+++ b/oakvale/ratelimit/service.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Any
 
-from oakvale.base.address import Address, parse_address, spelled
+from oakvale.base.address import Address, format_address, parse_address
 from oakvale.base.loop import Loop
 from oakvale.dissemination.tree import Member, Members, next_on_ring, ring_position
 from oakvale.election.voting import (
@@ -313,7 +313,7 @@
             return self._self_address
         holder = self._holders.get(duty)
         fresh = self.loop.now - self._last_answer.get(duty, -ABSENT_US) < ABSENT_US
-        return spelled(holder) if holder and fresh else None
+        return format_address(holder) if holder and fresh else None
 
     # ---- as counter
 
@@ -516,7 +516,7 @@
                         str(where),
                         int(left),
                     ),
-                    spelled(voter),
+                    format_address(voter),
                     len(voters),
                 )
 
--- a/oakvale/storage/store.py
+++ b/oakvale/storage/store.py
@@ -22,7 +22,7 @@
 from queue import SimpleQueue
 from typing import Any
 
-from oakvale.base.loop import READ, Coroutine, Loop, Rank
+from oakvale.base.loop import READ, Coroutine, Loop, Priority
 from oakvale.lifecycle.eventlog import EventLogger
 
 Row = tuple[str, bytes]
@@ -88,7 +88,7 @@
         self._wake_reader, self._wake_writer = socket.socketpair()
         self._wake_reader.setblocking(False)
         self._wake_writer.setblocking(False)
-        loop.start(self._run_callbacks(), self._wake_reader.fileno(), Rank.COUNTER)
+        loop.start(self._run_callbacks(), self._wake_reader.fileno(), Priority.COUNTER)
         self._thread = threading.Thread(target=self._write_loop, name="cistern", daemon=True)
         self._thread.start()
 
--- a/oakvale/transport/links.py
+++ b/oakvale/transport/links.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from oakvale.base.address import Address
-from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Loop, Rank, Timer, call_off
+from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Loop, Priority, Timer, cancel_timer
 from oakvale.base.net import Sock
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.transport.frames import BadFrame, Frame, decode, encode
@@ -64,7 +64,7 @@
         self._part_timer: Timer | None = None  # set while the part counts towards MAX_PARTS_IN_FLIGHT
         self._received_parts = bytearray()  # of the long frame being received
         self.last_used = transport.loop.now
-        self._task = transport.loop.start(self._run(), sock.fileno(), Rank.COUNTER)
+        self._task = transport.loop.start(self._run(), sock.fileno(), Priority.COUNTER)
 
     def send(self, kind: str, number: int, body: Any, request_kind: str = "") -> None:
         """Sends a frame. For a response, `request_kind` is the kind of the request that it answers."""
@@ -153,7 +153,7 @@
 
     def _release_part_slot(self, _: Any) -> None:
         if self._part_timer is not None:
-            call_off(self._part_timer)
+            cancel_timer(self._part_timer)
             self._part_timer = None
             self.transport.parts_in_flight -= 1
             self.transport.send_parts()
@@ -261,7 +261,7 @@
         if not kind:
             pending = self.pending_requests.pop(number, None)
             if pending is not None:
-                call_off(pending[1])
+                cancel_timer(pending[1])
                 _deliver(pending[0], body)
             return
         handler = self.transport.handlers.get(kind)
@@ -306,7 +306,7 @@
     def listen(self) -> None:
         """Accepts connections; raises OSError if the address cannot be bound."""
         sock = self.loop.net.listen(self.self_address, 256)
-        self.loop.start(self._accept(sock), sock.fileno(), Rank.COUNTER)
+        self.loop.start(self._accept(sock), sock.fileno(), Priority.COUNTER)
 
     def _accept(self, listener: Sock) -> Coroutine:
         try:
@@ -350,7 +350,7 @@
                 self._refused_at[conn.address] = self.loop.now
         pending_requests, conn.pending_requests = conn.pending_requests, {}
         for on_response, timer in pending_requests.values():
-            call_off(timer)
+            cancel_timer(timer)
             _deliver(on_response, None)
         for call in conn.on_close:
             call(conn)
--- a/oakvale/transport/status_service.py
+++ b/oakvale/transport/status_service.py
@@ -34,7 +34,7 @@
     loop, started_at = transport.loop, transport.loop.now
 
     def status_fields() -> Fields:
-        (cpu_seconds, memory_mb), (outgoing, incoming) = loop.net.used(), transport.connection_counts()
+        (cpu_seconds, memory_mb), (outgoing, incoming) = loop.net.resource_usage(), transport.connection_counts()
         return (
             {"role": role, "node": node, "up_ms": (loop.now - started_at) // US_PER_MS}
             | own_fields()
--- a/oakvale/wire/backends.py
+++ b/oakvale/wire/backends.py
@@ -7,7 +7,7 @@
 import h11
 
 from oakvale.base.address import Address
-from oakvale.base.loop import READ, WOKEN, Coroutine, Rank, Step
+from oakvale.base.loop import READ, WOKEN, Coroutine, Priority, Step
 from oakvale.interface import Ending
 from oakvale.memory.buffers import Room, Share
 from oakvale.memory.idle_connections import IdleConnections
@@ -179,7 +179,7 @@
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=host.limits.header)
         attempt.connection = self
         host.backend_connections += 1
-        self._task = host.loop.start(self._run(attempt, address), self._sock.fileno(), Rank.BACKEND)
+        self._task = host.loop.start(self._run(attempt, address), self._sock.fileno(), Priority.BACKEND)
 
     def use(self, attempt: AttemptOut, host: Owner) -> None:
         """Gives an idle connection its next request; two lanes of a service share them."""
--- a/oakvale/wire/clients.py
+++ b/oakvale/wire/clients.py
@@ -13,7 +13,7 @@
 import h11
 
 from oakvale import interface as i
-from oakvale.base.loop import BROKEN, READ, TIMED_OUT, WOKEN, Coroutine, Rank, Step
+from oakvale.base.loop import BROKEN, READ, TIMED_OUT, WOKEN, Coroutine, Priority, Step
 from oakvale.base.net import Sock
 from oakvale.memory.buffers import Room, Share
 from oakvale.memory.counters import Tally
@@ -175,7 +175,7 @@
         self._came = 0  # when the latest bytes arrived, which may be before they were read
         self._http = self._fresh()
         host.clients.add(self)
-        self._task = host.loop.start(self._run(), sock.fileno(), Rank.CLIENT)
+        self._task = host.loop.start(self._run(), sock.fileno(), Priority.CLIENT)
         host.loop.wake(self._task)  # its request may have come with it
 
     def give(self, answer: Answer) -> None:
@@ -344,7 +344,7 @@
 
     def _answered(self, incoming: Incoming) -> Step[Answer]:
         host = self.host
-        if host.loop.unread_for >= READ_LATE_US and not self._waits and peek(self._sock) == b"":
+        if host.loop.stalled_us >= READ_LATE_US and not self._waits and peek(self._sock) == b"":
             yield from self._look_for_client()
         opened = host.open(self, incoming, self._came)
         if isinstance(opened, Answer):
--- a/oakvale/wire/counter.py
+++ b/oakvale/wire/counter.py
@@ -12,7 +12,7 @@
 
 from oakvale.base.address import Address
 from oakvale.base.limits import Limits
-from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Rank, Timer, call_off
+from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Priority, Timer, cancel_timer
 from oakvale.interface import Ending
 from oakvale.numbers import parse_decimal
 from oakvale.wire.owner import Process
@@ -93,7 +93,7 @@
             return
         call.ending, call.level = ending, level
         if call.timer is not None:
-            call_off(call.timer)
+            cancel_timer(call.timer)
         calls = self._by_name[call.name]
         while calls and calls[0].ending is not None:
             first = calls.popleft()
@@ -158,7 +158,7 @@
         self._buffer = b""
         self._sock = new_socket(self.host.loop.net)
         counter.connections.append(self)
-        self._task = self.host.loop.start(self._run(), self._sock.fileno(), Rank.COUNTER)
+        self._task = self.host.loop.start(self._run(), self._sock.fileno(), Priority.COUNTER)
 
     def usable(self, now: int) -> bool:
         full = len(self.owed) + len(self._unsent) >= self.host.limits.counter_owed
--- a/oakvale/wire/discovery.py
+++ b/oakvale/wire/discovery.py
@@ -8,8 +8,8 @@
 import orjson
 
 from oakvale import interface as i
-from oakvale.base.address import Address, spelled
-from oakvale.base.loop import Coroutine, Rank, Step, Task
+from oakvale.base.address import Address, format_address
+from oakvale.base.loop import Coroutine, Priority, Step, Task
 from oakvale.base.net import Sock
 from oakvale.memory.backend_names import BackendNames
 from oakvale.numbers import parse_integer
@@ -111,7 +111,7 @@
         except OSError as error:
             self.host.log.warning("no socket for discovery", extra={"why": str(error)})
             return self._ended(follow)
-        task = self.host.loop.start(self._run(sock, follow, self.era), sock.fileno(), Rank.DISCOVERY)
+        task = self.host.loop.start(self._run(sock, follow, self.era), sock.fileno(), Priority.DISCOVERY)
         if follow and task.alive:
             self._task = task
 
@@ -151,7 +151,7 @@
             raise OSError("cannot connect")
         http = h11.Connection(h11.CLIENT, max_incomplete_event_size=limits.header)
         target = PATH + (b"?follow=1&since=%d" % self.index if follow else b"")
-        authority = spelled(self.address).encode()
+        authority = format_address(self.address).encode()
         data = http.send(h11.Request(method=b"GET", target=target, headers=[(b"host", authority)])) or b""
         data += http.send(END) or b""
         yield from write_all(sock, data, loop.now + limits.discovery_silence)
--- a/tests/data_plane.py
+++ b/tests/data_plane.py
@@ -11,7 +11,7 @@
 from oakvale.base.loop import Loop
 from oakvale.dataplane.request_router import RequestRouter
 from oakvale.dataplane.routes import Backend, Picture, configured
-from oakvale.lifecycle.acceptor import Acceptor, listening
+from oakvale.lifecycle.acceptor import Acceptor, open_listener
 from oakvale.ratelimit.counter_state import Receipt
 from oakvale.retry_budget import RetryLimits
 from oakvale.shared import SharedResources
@@ -85,7 +85,7 @@
             "z",
             RetryLimits(10_000 * MS, 16.0, 60.0),
         )  # plenty: what it earns is tested apart
-        listener = listening(("127.0.0.1", 0), 64)
+        listener = open_listener(("127.0.0.1", 0), 64)
         self.address = listener.getsockname()
         self.acceptor = Acceptor(self.router, listener, self.loop)
         self.show()
--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -28,7 +28,7 @@
 MS, SECOND = 1_000, 1_000_000
 START = 1_800_000_000 * SECOND
 SETTINGS = SimpleNamespace(nofile=4100, memory_mb=300, bounds=SimpleNamespace(grace=6 * SECOND))
-PROMISES = (408, 421, 429, 503)
+RETRYABLE_STATUSES = (408, 421, 429, 503)
 LEFT = re.compile(rb"time-left: *(\d+)", re.IGNORECASE)
 ID = re.compile(rb"attempt-id: *(\w+)", re.IGNORECASE)
 PLACES = {"i-1": ("one", ("10.0.1.1", 80)), "i-2": ("one", ("10.0.1.2", 80)), "i-3": ("two", ("10.0.2.1", 80))}
@@ -575,7 +575,7 @@
                 assert whole_body, f"{asked.id} got {headers} {body!r}"
             elif asked.unsafe and any(a.good for a in asked.arrivals):
                 raise AssertionError(f"{asked.id} got {status} where its backend served")
-            elif asked.unsafe and status in PROMISES:
+            elif asked.unsafe and status in RETRYABLE_STATUSES:
                 ran = [a for a in asked.arrivals if not a.declined]
                 assert not ran, f"{asked.id} was promised with {status} not to have run"
             own = "attempt-id" not in headers
--- a/tests/memory_connections.py
+++ b/tests/memory_connections.py
@@ -256,5 +256,5 @@
     def unix_time(self) -> int:
         return 0
 
-    def used(self) -> tuple[float, int]:
+    def resource_usage(self) -> tuple[float, int]:
         return 0.0, 0
--- a/tests/node.py
+++ b/tests/node.py
@@ -15,7 +15,7 @@
 from oakvale import interface as i
 from oakvale.base.configuration import Configuration, decode
 from oakvale.base.loop import Loop
-from oakvale.lifecycle.serving import Server, listening
+from oakvale.lifecycle.serving import Server, open_listener
 
 START = 1_800_000_000_000_000  # Unix time in microseconds
 MS = 1_000
@@ -105,7 +105,7 @@
     """Listening socket of a stub server."""
 
     def __init__(self) -> None:
-        self.listener = listening(("127.0.0.1", 0), 16)
+        self.listener = open_listener(("127.0.0.1", 0), 16)
         self.address: tuple[str, int] = self.listener.getsockname()
 
     @property
@@ -142,7 +142,7 @@
     def __init__(self, script: bool = True, settings: dict[str, Any] | None = None, **limits: Any) -> None:
         self.clock = FakeClock()
         self.backend, self.counter, self.discovery = StubServer(), StubServer(), StubServer()
-        self.listener = listening(("127.0.0.1", 0), 64)
+        self.listener = open_listener(("127.0.0.1", 0), 64)
         self.address: tuple[str, int] = self.listener.getsockname()
         known = {"index": 41, "snapshot": True, "endpoints": [row("s-1", self.backend.text)]}
         data = {
--- a/tests/ratelimit_simulation.py
+++ b/tests/ratelimit_simulation.py
@@ -15,7 +15,7 @@
 
 import cbor2
 
-from oakvale.base.address import Address, spelled
+from oakvale.base.address import Address, format_address
 from oakvale.controlplane.voter import VoterService
 from oakvale.dissemination.tree import Member, Members
 from oakvale.ratelimit.quotas import Quota, QuotaTerms
@@ -163,7 +163,7 @@
             TERMS,
             self.name,
             life.name,
-            spelled(self.address),
+            format_address(self.address),
             lambda: self.members,
             lambda: self.fleet.voters if self.members else [],
             self.fleet.quota,
@@ -243,7 +243,7 @@
         self.core = [Machine(self, f"core{n}", True) for n in range(voters)]
         self.gates = [Machine(self, f"gate{n}", False) for n in range(gateways)]
         self.machines = {m.address: m for m in [*self.core, *self.gates]}
-        self.voters = [spelled(m.address) for m in self.core]
+        self.voters = [format_address(m.address) for m in self.core]
         self.listed: dict[str, Member] = {}
         self.tenants = self.draw()
         self.faults_until = self.last_kill = self.now  # end of the last fault; time of the last kill
@@ -311,7 +311,7 @@
             return
         if machine.paused or not self.core_up(machine):
             return self.later(150, 200, lambda: self.join(machine, life))
-        self.listed[machine.name] = Member(machine.name, spelled(machine.address), "", life.name)
+        self.listed[machine.name] = Member(machine.name, format_address(machine.address), "", life.name)
         self.news()
 
     def news(self) -> None:
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -10,7 +10,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from oakvale.demo.control_client import Caller
+from oakvale.demo.control_client import ControlClient
 from oakvale.demo.show import CONFIGURATION
 from tests.helpers import invoke
 
@@ -34,9 +34,9 @@
     """Two contents under each of 20 numbers, at once at two machines or one after the other; then both again to each
     machine. Under each number one must get 200 and the other 409, each time; gives the numbers for which that holds."""
     ends, good = threading.Event(), list[int]()
-    callers = [Caller(ctl[n:] + ctl[:n], ends) for n in range(len(ctl))]
+    callers = [ControlClient(ctl[n:] + ctl[:n], ends) for n in range(len(ctl))]
 
-    def send(caller: Caller, gen: int, idle: int) -> int:
+    def send(caller: ControlClient, gen: int, idle: int) -> int:
         limits = CONFIGURATION["limits"] | {"idle": f"{idle}s"}
         return caller.call("POST", "/oakvale/Config.Replace", CONFIGURATION | {"gen": gen, "limits": limits}).status
 
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -39,7 +39,7 @@
             return []
 
     yield since
-    eventlog.BOOK.close()
+    eventlog.EVENT_LOG.close()
     root.handlers[:] = handlers
     root.setLevel(level)
     os.close(read)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -11,7 +11,7 @@
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Clock, Loop
 from oakvale.dissemination.tree import Member, Members
-from oakvale.lifecycle.eventlog import BOOK
+from oakvale.lifecycle.eventlog import EVENT_LOG
 from oakvale.ratelimit.quotas import Quota, QuotaTerms
 from oakvale.ratelimit.service import RateLimiter
 from oakvale.transport.links import Connection, Transport
@@ -51,7 +51,7 @@
 @pytest.fixture
 def silence_logs(monkeypatch: pytest.MonkeyPatch) -> None:
     """Generated schedules contain unusable responses, which would be logged."""
-    monkeypatch.setattr(BOOK, "write", lambda *_: None)
+    monkeypatch.setattr(EVENT_LOG, "write", lambda *_: None)
     monkeypatch.setattr(logging.getLogger("oakvale"), "disabled", True)
 
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -11,7 +11,7 @@
 
 from oakvale import interface as i
 from oakvale.base.limits import Limits
-from oakvale.base.loop import READ, TIMED_OUT, WOKEN, Clock, Coroutine, Loop, Rank, call_off
+from oakvale.base.loop import READ, TIMED_OUT, WOKEN, Clock, Coroutine, Loop, Priority, cancel_timer
 from tests.node import MS, FakeClock, Node
 
 LIMITS = Limits(timer_slack=0, wake_slack=0)
@@ -58,7 +58,7 @@
             order.append(name)
             sock.recv(1)
 
-    for rank in (Rank.CLIENT, Rank.BACKEND, Rank.DISCOVERY, Rank.COUNTER):
+    for rank in (Priority.CLIENT, Priority.BACKEND, Priority.DISCOVERY, Priority.COUNTER):
         one, other = pair()
         others.append((one, other))
         loop.start(waits(rank.name, one), one.fileno(), rank)
@@ -82,7 +82,7 @@
         while fresh.fileno() != number:
             fresh = fresh.dup()
         kept.append(fresh)
-        loop.start(newcomer(), number, Rank.CLIENT)
+        loop.start(newcomer(), number, Priority.CLIENT)
         first.recv(1)
         yield READ, 0
 
@@ -98,9 +98,9 @@
             signals.append(("new", (yield 0, 0)))
 
     kept: list[socket.socket] = []
-    loop.start(ender(), first.fileno(), Rank.COUNTER)
+    loop.start(ender(), first.fileno(), Priority.COUNTER)
     number = second.fileno()
-    victim = loop.start(old(), number, Rank.CLIENT)
+    victim = loop.start(old(), number, Priority.CLIENT)
     first_other.send(b"x")
     second_other.send(b"x")
     loop.turn(0)
@@ -122,8 +122,8 @@
             yield READ, 0
             got.append(two.recv(1))
 
-    loop.start(fails(), one.fileno(), Rank.BACKEND)
-    loop.start(works(), two.fileno(), Rank.CLIENT)
+    loop.start(fails(), one.fileno(), Priority.BACKEND)
+    loop.start(works(), two.fileno(), Priority.CLIENT)
     one_other.send(b"x")
     two_other.send(b"x")
     loop.turn(0)
@@ -150,7 +150,7 @@
     def forgets_to_close() -> Coroutine:
         yield READ, 0
 
-    loop.start(forgets_to_close(), one.fileno(), Rank.CLIENT)
+    loop.start(forgets_to_close(), one.fileno(), Priority.CLIENT)
     other.send(b"x")
     loop.turn(0)  # it ends
     loop.turn(0)  # its descriptor is found to be nobody's
@@ -170,7 +170,7 @@
         finally:
             closed.append(True)
 
-    loop.start(waits(), file.fileno(), Rank.CLIENT)
+    loop.start(waits(), file.fileno(), Priority.CLIENT)
     assert closed == [True] and "coroutine failed" in caplog.text
     file.close()
     loop.close()
@@ -186,7 +186,7 @@
         one.recv(1)
         signals.append((yield READ, clock.now + 50 * MS))
 
-    loop.start(waits(), one.fileno(), Rank.CLIENT)
+    loop.start(waits(), one.fileno(), Priority.CLIENT)
     other.send(b"x")
     loop.turn(0)
     assert signals == [select.EPOLLIN]
@@ -210,7 +210,7 @@
             yield READ, clock.now + 60_000 * MS
             one.recv(1)
 
-    loop.start(waits(), one.fileno(), Rank.CLIENT)
+    loop.start(waits(), one.fileno(), Priority.CLIENT)
     for _ in range(100):
         clock.now += 1
         other.send(b"x")
@@ -230,7 +230,7 @@
         finally:
             closed.append(True)
 
-    task = loop.start(waits(), one.fileno(), Rank.CLIENT)
+    task = loop.start(waits(), one.fileno(), Priority.CLIENT)
     loop.wake(task)
     loop.wake(task)
     loop.turn(0)
@@ -277,7 +277,7 @@
             order.append("answer")
             one.recv(1)
 
-    loop.start(waits(), one.fileno(), Rank.COUNTER)
+    loop.start(waits(), one.fileno(), Priority.COUNTER)
     loop.at(clock.now + 80 * MS, lambda _: order.append("time-out"))
     loop.turn(0)
     assert order == ["answer", "time-out"]
@@ -289,7 +289,7 @@
     loop, fired = Loop(clock, LIMITS), list[int]()
     first = loop.at(clock.now + MS, fired.append, 1)
     loop.at(clock.now + 5 * MS, fired.append, 2)
-    call_off(first)
+    cancel_timer(first)
     assert loop.wait(1.0) == 0.005
     clock.now += 5 * MS
     loop.turn(0)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
 import pytest
 
 from oakvale import interface as i
-from oakvale.base.loop import Rank
+from oakvale.base.loop import Priority
 from oakvale.interface import Ending, ListForm
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
@@ -244,7 +244,7 @@
         came.append("reload")
         raise RuntimeError("odd")
 
-    moved.loop.start(signals.run(lambda: came.append("stop"), reload), signals.fileno(), Rank.DISCOVERY)
+    moved.loop.start(signals.run(lambda: came.append("stop"), reload), signals.fileno(), Priority.DISCOVERY)
     signals._write.send(bytes([signal.SIGHUP, signal.SIGHUP, signal.SIGTERM]))
     moved.turns()
     assert came == ["stop", "reload"] and "signal failed" in caplog.text
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -8,7 +8,7 @@
 
 from oakvale import interface as i
 from oakvale.base.limits import Limits
-from oakvale.lifecycle.serving import listening
+from oakvale.lifecycle.serving import open_listener
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.status import Status
 from tests.node import MS, Node, answer
@@ -16,13 +16,13 @@
 
 
 def test_the_same_address_is_bound_again_at_once() -> None:
-    listener = listening(("127.0.0.1", 0), 4)
+    listener = open_listener(("127.0.0.1", 0), 4)
     address = listener.getsockname()
     client = socket.create_connection(address)
     served, _ = listener.accept()
     served.close()  # this side closed first: its end lingers in the kernel
     listener.close()
-    again = listening(address, 4)
+    again = open_listener(address, 4)
     again.close()
     client.close()
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Rank
+from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Priority
 from oakvale.lab.days import Day, Trouble, decode
 from oakvale.lab.judge.verdict import judge
 from oakvale.lab.play import Variant, play
@@ -49,7 +49,7 @@
 
     def on(self, process: Process, coroutine: Coroutine, fd: int) -> None:
         assert process.loop is not None
-        process.loop.start(coroutine, fd, Rank.CLIENT)
+        process.loop.start(coroutine, fd, Priority.CLIENT)
 
     def now(self) -> int:
         return self.works.events.now - self.start
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,8 +14,8 @@
 import pytest
 
 from oakvale import __version__
-from oakvale.base.configuration import BadConfiguration, decode, load
-from oakvale.lifecycle.logs import KeyValueFormatter, PipeHandler, Seldom
+from oakvale.base.configuration import ConfigurationError, decode, load
+from oakvale.lifecycle.logs import KeyValueFormatter, PipeHandler, RateLimitFilter
 from oakvale.memory.buffers import BufferPool
 from tests.helpers import invoke
 from tests.node import SETTINGS, row
@@ -93,9 +93,9 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    with pytest.raises(BadConfiguration):
+    with pytest.raises(ConfigurationError):
         load({"LB_CONFIG": str(path)})
-    with pytest.raises(BadConfiguration, match="LB_CONFIG is not set"):
+    with pytest.raises(ConfigurationError, match="LB_CONFIG is not set"):
         load({})
 
 
@@ -160,7 +160,7 @@
 
 
 def test_lines_of_one_event_are_held_back_beyond_some_a_second_and_counted() -> None:
-    seldom = Seldom(3)
+    seldom = RateLimitFilter(3)
 
     def passes(second: float, event: str) -> logging.LogRecord | None:
         record = logging.makeLogRecord({"name": "oakvale.host", "msg": event, "created": second})
