--- a/oakvale/adapter/__init__.py
+++ b/oakvale/adapter/__init__.py
@@ -1,3 +1,5 @@
-"""Adapter: the same decisions on a simulator's wire, many instances in one process. It decodes, hosts and
-encodes, and must neither decide nor open a socket. Begin with `host`.
+"""Adapter: runs many gateway instances in one process and connects them to an external simulator's protocol.
+
+It decodes events, passes them to the instances and encodes their actions. It makes no decisions of its own and opens
+no sockets. Start reading at `host`.
 """
--- a/oakvale/adapter/__main__.py
+++ b/oakvale/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m oakvale.adapter`: the decision module on the simulator's wire."""
+"""`python -m oakvale.adapter`: serves the decision module to a simulator over standard input and output."""
 
 import sys
 
--- a/oakvale/adapter/host.py
+++ b/oakvale/adapter/host.py
@@ -1,4 +1,4 @@
-"""Hosts the instances of one process and plays batches to them."""
+"""Hosts several gateway instances in one process and feeds them batches of events."""
 
 from __future__ import annotations
 
@@ -15,78 +15,88 @@
 
 
 class Instance:
-    """One gateway, with the numbers of the counter names it waits on."""
+    """One gateway and the counters whose results it is waiting for."""
 
-    def __init__(self, who: str, gateway: Gateway) -> None:
-        self.who = who
+    def __init__(self, instance_id: str, gateway: Gateway) -> None:
+        self.instance_id = instance_id
         self.gateway = gateway
-        self.waiting: dict[int, list[Any]] = {}  # number -> [name, calls out]
+        self.pending_counters: dict[int, list[Any]] = {}  # counter number -> [name, outstanding calls]
 
-    def decode(self, f: list[Any], kind: str) -> i.Event | None:
+    def decode(self, fields: list[Any], kind: str) -> i.Event | None:
+        """Decodes an event of a given kind; returns None for an unknown kind or an unexpected counter result."""
         if kind == "countResult":
-            slot = self.waiting.get(f[1])
-            if slot is None:
+            pending = self.pending_counters.get(fields[1])
+            if pending is None:
                 return None
-            slot[1] -= 1
-            if slot[1] <= 0:
-                del self.waiting[f[1]]
-            return wire.decode_counter_result(f, slot[0])
+            pending[1] -= 1
+            if pending[1] <= 0:
+                del self.pending_counters[fields[1]]
+            return wire.decode_counter_result(fields, pending[0])
         decoder = wire.DECODERS.get(kind)
-        return decoder(f) if decoder else None
+        return decoder(fields) if decoder else None
 
     def encode(self, action: i.Action) -> list[Any]:
+        """Encodes an action; remembers the counter name of a charge, as the result carries only its number."""
         if isinstance(action, i.Charge):
-            self.waiting.setdefault(wire.counter_number(action.name), [action.name, 0])[1] += 1
-        return wire.encode(self.who, action)
+            self.pending_counters.setdefault(wire.counter_number(action.name), [action.name, 0])[1] += 1
+        return wire.encode(self.instance_id, action)
 
 
 class Host:
+    """All instances of the process and the backend lists that they refer to."""
+
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self.sheets: dict[int, tuple[i.Entry, ...]] = {}
-        self.current: str | None = None  # whom a failure is to be named for
+        self.backend_lists: dict[int, tuple[i.Entry, ...]] = {}
+        self.current_instance_id: str | None = None  # reported when handling its event fails
 
     def batch(self, message: dict[str, Any]) -> dict[str, Any]:
+        """Handles all events of a message and returns the reply with the resulting actions."""
         now = int(message["timeUs"])
-        out: list[list[Any]] = []
+        actions: list[list[Any]] = []
         for event in message.get("news") or []:
-            self._event(now, event, out)
-        return {"frame": message["frame"], "do": out}
+            self._handle_event(now, event, actions)
+        return {"frame": message["frame"], "do": actions}
 
-    def _event(self, now: int, event: list[Any], out: list[list[Any]]) -> None:
-        kind, f = event[0], event[1:]
+    def _handle_event(self, now: int, event: list[Any], actions: list[list[Any]]) -> None:
+        kind, fields = event[0], event[1:]
         if kind == "directory":
-            self.sheets[f[0]] = wire.decode_entries(f[1] or [])
+            self.backend_lists[fields[0]] = wire.decode_entries(fields[1] or [])
             return
-        if not f or not isinstance(f[0], str):
+        if not fields or not isinstance(fields[0], str):
             return
-        self.current = who = f[0]
+        self.current_instance_id = instance_id = fields[0]
         if kind == "init":
-            self.instances[who] = Instance(who, Gateway(settings.decode(f[2] or {}), int(f[1] or 0)))
+            self.instances[instance_id] = Instance(
+                instance_id, Gateway(settings.decode(fields[2] or {}), int(fields[1] or 0))
+            )
             return
         if kind == "teardown":
-            self.instances.pop(who, None)
+            self.instances.pop(instance_id, None)
             return
-        inst = self.instances.get(who)
-        if inst is None:
+        instance = self.instances.get(instance_id)
+        if instance is None:
             return
         if kind == "backendsChanged":
-            form = i.ListForm(f[1])
-            rows = () if form is i.ListForm.FAILED else self.sheets.get(f[3], ())
-            parsed: i.Event | None = i.Backends(form, rows)
+            form = i.ListForm(fields[1])
+            entries = () if form is i.ListForm.FAILED else self.backend_lists.get(fields[3], ())
+            parsed: i.Event | None = i.Backends(form, entries)
         else:
-            parsed = inst.decode(f, kind)
+            parsed = instance.decode(fields, kind)
         if parsed is not None:
-            out.extend(inst.encode(a) for a in inst.gateway.handle(now, parsed))
+            actions.extend(instance.encode(action) for action in instance.gateway.handle(now, parsed))
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Play batches until end of input. A failure ends with a message and, where possible, a `panic`."""
+    """Handles one batch per input line until the end of input, and returns the exit status.
+
+    On a failure it logs the error, sends a `panic` for the instance concerned if there is one, and stops.
+    """
     host = Host()
     for line in iter(source.readline, b""):
         if not line.strip():
             continue
-        host.current = None
+        host.current_instance_id = None
         frame: Any = None
         try:
             message = orjson.loads(line)
@@ -95,9 +105,9 @@
         except Exception as error:
             print(f"oakvale: cannot handle batch {frame}: {error!r}", file=sys.stderr)
             traceback.print_exc(file=sys.stderr)
-            if host.current is not None and frame is not None:
-                fault = {"frame": frame, "do": [["panic", host.current, repr(error)[:200]]]}
-                sink.write(orjson.dumps(fault) + b"\n")
+            if host.current_instance_id is not None and frame is not None:
+                panic = {"frame": frame, "do": [["panic", host.current_instance_id, repr(error)[:200]]]}
+                sink.write(orjson.dumps(panic) + b"\n")
                 sink.flush()
             return 1
         sink.write(orjson.dumps(reply) + b"\n")
--- a/oakvale/adapter/wire.py
+++ b/oakvale/adapter/wire.py
@@ -1,4 +1,4 @@
-"""Translates between the wire's arrays and `oakvale.interface`."""
+"""Converts between the simulator protocol's JSON arrays and the types of `oakvale.interface`."""
 
 from __future__ import annotations
 
@@ -22,86 +22,91 @@
 
 
 def counter_number(name: str) -> int:
-    """A stable 63-bit number for a counter's name: the same in every process and life."""
+    """Returns a stable 63-bit number for a counter name, the same in every process and after every restart."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big") >> 1
 
 
 def decode_entries(rows: list[Any]) -> tuple[i.Entry, ...]:
+    """Decodes the rows of a backend list."""
     return tuple(
         i.Entry(
-            int(r[0]),
-            int(r[1] or 0),
-            int(r[2] or 0),
-            int(r[3] or 0),
-            STATES.get(r[4], i.State.DRAINING),
-            float(r[5] if r[5] is not None else 1),
-            int((r[6] if len(r) > 6 else 0) or 0),
+            int(row[0]),
+            int(row[1] or 0),
+            int(row[2] or 0),
+            int(row[3] or 0),
+            STATES.get(row[4], i.State.DRAINING),
+            float(row[5] if row[5] is not None else 1),
+            int((row[6] if len(row) > 6 else 0) or 0),
         )
-        for r in rows
+        for row in rows
     )
 
 
-def _report(row: Any) -> tuple[float, ...]:
-    return tuple(float(v or 0) for v in row) if row else ()
+def _decode_load_report(values: Any) -> tuple[float, ...]:
+    return tuple(float(value or 0) for value in values) if values else ()
 
 
-def _get(f: list[Any], k: int) -> Any:
-    return f[k] if len(f) > k else None
+def _get_optional(fields: list[Any], index: int) -> Any:
+    return fields[index] if len(fields) > index else None
 
 
-# Each takes the fields after the event's name; field 0 is the instance.
+# By event name; each decoder takes the fields that follow the name, of which field 0 is the instance.
 DECODERS: dict[str, Callable[[list[Any]], i.Event]] = {
-    "request": lambda f: i.Request(
-        f[1],
-        f[2],
-        int(f[3] or 0),
-        int(f[7] or 0),
-        float(f[5] or 0),
-        int(f[4] or 0),
-        int(f[6] or 0),
-        int(f[9]),
-        int(f[8] or 0),
+    "request": lambda fields: i.Request(
+        fields[1],
+        fields[2],
+        int(fields[3] or 0),
+        int(fields[7] or 0),
+        float(fields[5] or 0),
+        int(fields[4] or 0),
+        int(fields[6] or 0),
+        int(fields[9]),
+        int(fields[8] or 0),
     ),
-    "ended": lambda f: i.Ended(
-        f[1],
-        int(f[2]),
-        int(f[6] or 0),
-        bool(f[3]),
-        ENDINGS[f[8]],
-        int(f[4] or 0),
-        int(f[5] or 0),
-        float(f[7] or 0),
-        _report(_get(f, 9)),
+    "ended": lambda fields: i.Ended(
+        fields[1],
+        int(fields[2]),
+        int(fields[6] or 0),
+        bool(fields[3]),
+        ENDINGS[fields[8]],
+        int(fields[4] or 0),
+        int(fields[5] or 0),
+        float(fields[7] or 0),
+        _decode_load_report(_get_optional(fields, 9)),
+    ),
+    "headReceived": lambda fields: i.Head(fields[1], int(fields[2]), int(fields[3] or 0)),
+    "withdrawn": lambda fields: i.Withdrawn(fields[1]),
+    "deadlineHit": lambda fields: i.Timer(int(fields[1])),
+    "peer": lambda fields: i.PeerMessage(int(fields[1]), bytes.fromhex(fields[2] or "")),
+    "probeResult": lambda fields: i.Probed(
+        int(fields[1]), ENDINGS[fields[3]], int(fields[2] or 0), _decode_load_report(_get_optional(fields, 4))
     ),
-    "headReceived": lambda f: i.Head(f[1], int(f[2]), int(f[3] or 0)),
-    "withdrawn": lambda f: i.Withdrawn(f[1]),
-    "deadlineHit": lambda f: i.Timer(int(f[1])),
-    "peer": lambda f: i.PeerMessage(int(f[1]), bytes.fromhex(f[2] or "")),
-    "probeResult": lambda f: i.Probed(int(f[1]), ENDINGS[f[3]], int(f[2] or 0), _report(_get(f, 4))),
 }
 
 
-def decode_counter_result(f: list[Any], name: str) -> i.Counted:
-    return i.Counted(name, ENDINGS[f[2]], float(_get(f, 3) or 0), int(_get(f, 4) or 0))
+def decode_counter_result(fields: list[Any], name: str) -> i.Counted:
+    """Decodes the result of a charge to the named counter."""
+    return i.Counted(name, ENDINGS[fields[2]], float(_get_optional(fields, 3) or 0), int(_get_optional(fields, 4) or 0))
 
 
-def encode(who: str, a: i.Action) -> list[Any]:
-    match a:
-        case i.Attempt(rid, backend, timeout):
-            return ["attempt", who, rid, backend, timeout]
-        case i.Cancel(rid, hop):
-            return ["withdraw", who, rid, hop]
-        case i.Refuse(rid, retry_after):
-            return ["overloadReply", who, rid, retry_after]
-        case i.Fail(rid):
-            return ["reportFailure", who, rid]
+def encode(instance_id: str, action: i.Action) -> list[Any]:
+    """Encodes an action of an instance as an array that starts with the action's name."""
+    match action:
+        case i.Attempt(request_id, backend, timeout):
+            return ["attempt", instance_id, request_id, backend, timeout]
+        case i.Cancel(request_id, hop):
+            return ["withdraw", instance_id, request_id, hop]
+        case i.Refuse(request_id, retry_after):
+            return ["overloadReply", instance_id, request_id, retry_after]
+        case i.Fail(request_id):
+            return ["reportFailure", instance_id, request_id]
         case i.Wake(token, delay):
-            return ["wakeMe", who, token, delay]
+            return ["wakeMe", instance_id, token, delay]
         case i.Charge(name, amount, ttl):
-            return ["chargeCounter", who, counter_number(name), amount, ttl]
-        case i.Watch(on):
-            return ["observe", who, on]
+            return ["chargeCounter", instance_id, counter_number(name), amount, ttl]
+        case i.Watch(enabled):
+            return ["observe", instance_id, enabled]
         case i.Fetch():
-            return ["resolve", who]
+            return ["resolve", instance_id]
         case i.Log(text):
-            return ["record", who, text]
+            return ["record", instance_id, text]
--- a/oakvale/base/__init__.py
+++ b/oakvale/base/__init__.py
@@ -1,4 +1,5 @@
-"""Base: the loop and its timers, limits, addresses and the configuration file of the gateway in service,
-which all that touches sockets stands on. It must decide nothing and know neither the wire nor what is kept.
-Begin with `loop`.
+"""Base: the event loop and its timers, limits, addresses and the configuration file of the standalone gateway.
+
+All code that uses sockets builds on it. It makes no routing decisions and knows neither the wire protocols nor the
+state that is kept. Start reading at `loop`.
 """
--- a/oakvale/base/address.py
+++ b/oakvale/base/address.py
@@ -1,4 +1,4 @@
-"""Where something listens, as it is written and as sockets take it."""
+"""Addresses: parsing and formatting of `host:port`."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 from typing import Any
 
 Address = tuple[str, int]
-PORT = re.compile(r"[0-9]{1,5}")
+PORT_PATTERN = re.compile(r"[0-9]{1,5}")
 
 
 def parse_address(text: Any) -> Address | None:
-    """`host:port`, or None for what is not."""
+    """Parses `host:port`; returns None if the text is anything else."""
     host, _, port = str(text or "").rpartition(":")
-    return (host, int(port)) if host and PORT.fullmatch(port) and 0 < int(port) < 65536 else None
+    return (host, int(port)) if host and PORT_PATTERN.fullmatch(port) and 0 < int(port) < 65536 else None
 
 
 def format_address(address: Address) -> str:
+    """Formats an address as `host:port`."""
     return f"{address[0]}:{address[1]}"
--- a/oakvale/base/configuration.py
+++ b/oakvale/base/configuration.py
@@ -1,4 +1,4 @@
-"""What a gateway is told at its start: the environment and the file that `LB_CONFIG` names."""
+"""Configuration of the standalone gateway: the file that `LB_CONFIG` names, and LB_ environment variables."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
 
 
 class ConfigurationError(Exception):
-    """One line that says what is wrong."""
+    """The configuration is unusable; the message is a single line for the operator."""
 
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
+    """The validated configuration; `known` is the last known backend list, served until discovery responds."""
+
     name: str
     listen: Address
     discovery: Address
@@ -33,13 +35,14 @@
     environment: Mapping[str, str]
 
     def reload(self) -> Configuration:
-        """As the file is now, whose addresses go before the environment's: those are of the start. Raises
-        BadConfiguration."""
-        fresh = load({k: v for k, v in self.environment.items() if k != "LB_DISCOVERY"})
+        """Reads the file again. Its discovery address now takes precedence over LB_DISCOVERY, which applies only
+        at startup. Raises ConfigurationError."""
+        fresh = load({name: value for name, value in self.environment.items() if name != "LB_DISCOVERY"})
         return replace(fresh, environment=self.environment)
 
 
 def require_address(text: Any, what: str) -> Address:
+    """Parses `host:port`; raises ConfigurationError that names the setting `what`."""
     parsed = parse_address(text)
     if parsed is None:
         raise ConfigurationError(f"{what} is not host:port: {text!r}")
@@ -47,6 +50,7 @@
 
 
 def load(environment: Mapping[str, str]) -> Configuration:
+    """Reads the configuration file named by LB_CONFIG. Raises ConfigurationError."""
     path = environment.get("LB_CONFIG")
     if not path:
         raise ConfigurationError("LB_CONFIG is not set")
@@ -57,36 +61,37 @@
     except orjson.JSONDecodeError as error:
         raise ConfigurationError(f"{path} is not JSON: {error}") from error
     if not isinstance(data, dict):
-        raise ConfigurationError(f"{path} holds no object")
+        raise ConfigurationError(f"{path} does not contain a JSON object")
     return decode(data, environment)
 
 
 def decode(data: dict[str, Any], environment: Mapping[str, str]) -> Configuration:
+    """Validates the content of a configuration file. Raises ConfigurationError."""
     raw = data.get("settings")
     if not isinstance(raw, dict):
-        raise ConfigurationError("settings are missing")
+        raise ConfigurationError("settings are missing or not an object")
     try:
         decoded, names = site.decode(raw), site.decode_names(raw)
-        limits, extra = site.section(raw, "limits"), site.section(raw, "specifics")
-        bounds = Limits.fill(
+        raw_limits, specifics = site.section(raw, "limits"), site.section(raw, "specifics")
+        limits = Limits.fill(
             sockets=int(site.section(data, "limits").get("sockets") or 1024),
             memory=int(site.section(data, "limits").get("memory_mb") or 192) * MB,
-            connect=int(limits.get("connectTimeoutUs") or Limits.connect),
-            backend_idle=int(limits.get("connIdleUs") or Limits.backend_idle),
-            counter_timeout=int(extra.get("counterTimeoutUs") or Limits.counter_timeout),
-            requests=int(limits.get("maxOpen") or Limits.requests),
+            connect=int(raw_limits.get("connectTimeoutUs") or Limits.connect),
+            backend_idle=int(raw_limits.get("connIdleUs") or Limits.backend_idle),
+            counter_timeout=int(specifics.get("counterTimeoutUs") or Limits.counter_timeout),
+            requests=int(raw_limits.get("maxOpen") or Limits.requests),
         )
         seed = int(str(data.get("seed") or "0"), 16)
     except (TypeError, ValueError, KeyError, AttributeError) as error:
-        raise ConfigurationError(f"bad settings: {error!r}") from error
+        raise ConfigurationError(f"invalid settings: {error!r}") from error
     if not decoded.classes or not decoded.plans:
-        raise ConfigurationError("settings name no classes or no plans")
+        raise ConfigurationError("settings define no classes or no plans")
     known = data.get("known") or {}
     if not isinstance(known, dict):
         raise ConfigurationError("known is not an object")
     counter = data.get("counter")
     if not counter and decoded.may_count:
-        raise ConfigurationError("counter is missing, though the settings allow calls")
+        raise ConfigurationError("counter is missing, but the settings allow calls to it")
     return Configuration(
         name=environment.get("LB_NAME") or str(data.get("name") or "oakvale"),
         listen=require_address(environment.get("LB_LISTEN") or data.get("listen"), "listen"),
@@ -96,6 +101,6 @@
         known=known,
         settings=decoded,
         names=names,
-        limits=bounds,
+        limits=limits,
         environment=environment,
     )
--- a/oakvale/base/sockets.py
+++ b/oakvale/base/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets, with nothing else: they are opened before the rest of a program is even read."""
+"""Opens listening sockets. Imports little, as a process opens them before it imports its other modules."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def open_listener(address: Address, backlog: int) -> socket.socket:
-    """Bound at once after a kill, though connections of the life before may linger. Raises OSError."""
+    """Opens a non-blocking listening socket. Raises OSError.
+
+    SO_REUSEADDR lets a restarted process bind while connections of the previous one are still in TIME_WAIT.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
