--- a/oakvale/base/net.py
+++ b/oakvale/base/net.py
@@ -1,7 +1,7 @@
-"""What a process touches of the machine under its loop: sockets, the poller that waits on them, chance, what it has
-used. A loop is handed one, and all that runs on it asks there: another world hands in another.
+"""The operating system interface of a loop: sockets, the poller, randomness, the time of day and resource usage.
 
-`Net` is the machine itself, and adds no cost to a turn: what it gives are the kernel's own objects.
+Everything that runs on a loop uses the interface of that loop, so that a simulation can substitute its own.
+`Net` returns the kernel's own objects and adds no overhead to them.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Sock(Protocol):
-    """The part of `socket.socket` that is used: never waits, raises OSError as the kernel would."""
+    """The subset of `socket.socket` that is used. Implementations never block and raise OSError as the kernel does."""
 
     def fileno(self) -> int: ...
     def connect_ex(self, address: Address, /) -> int: ...
@@ -40,7 +40,7 @@
 
 
 class Poller(Protocol):
-    """The part of `select.epoll` that is used; level-triggered."""
+    """The subset of `select.epoll` that is used, level-triggered."""
 
     def register(self, fd: int, mask: int, /) -> None: ...
     def modify(self, fd: int, mask: int, /) -> None: ...
@@ -50,29 +50,32 @@
 
 
 class Net:
+    """The real operating system."""
+
     def __init__(self) -> None:
-        self.rng = random.Random()  # all draws of a process, so that who seeds this one replays it
+        self.rng = random.Random()  # the only random generator of the process: seeding it makes a run reproducible
 
     def poller(self) -> Poller:
+        """Returns a new poller."""
         return select.epoll()
 
     def stream(self) -> Sock:
-        """For a connection out. Raises OSError where there is no descriptor left."""
+        """Returns a non-blocking TCP socket for an outgoing connection. Raises OSError without a free descriptor."""
         return socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
 
     def listen(self, address: Address, backlog: int) -> Sock:
-        """Raises OSError where the address can't be had."""
+        """Opens a listening socket. Raises OSError if the address is unavailable."""
         return open_listener(address, backlog)
 
     def token(self, size: int) -> str:
-        """A name of so many bytes that nobody else draws, in hex."""
+        """Returns a unique random token of `size` bytes, in hexadecimal."""
         return os.urandom(size).hex()
 
     def unix_time(self) -> int:
-        """Nanoseconds; the time of day, which may step."""
+        """Returns the time of day in nanoseconds; unlike the loop's clock, it may step."""
         return time.time_ns()
 
     def resource_usage(self) -> tuple[float, int]:
-        """Seconds of processor time so far, and the most megabytes of memory."""
+        """Returns the CPU seconds used so far and the peak memory in megabytes."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         return usage.ru_utime + usage.ru_stime, usage.ru_maxrss // 1024
