--- a/oakvale/demo/__init__.py
+++ b/oakvale/demo/__init__.py
@@ -1,3 +1,4 @@
-"""Demo: a whole small system on loopback, each machine an address of its own, with a stand-in backend. It
-shows the system at work and must serve no traffic. Begin with `show`.
+"""Demo: a small complete system on loopback, with one address per machine and a demo backend.
+
+It demonstrates the system and is not meant to serve real traffic. Start reading at `show`.
 """
--- a/oakvale/demo/backend.py
+++ b/oakvale/demo/backend.py
@@ -1,4 +1,4 @@
-"""A stand-in backend, written from PROTOCOL: it beats, runs what is meant for it, and says with `Not-Run` what not."""
+"""A demo backend that follows PROTOCOL: it sends heartbeats, runs its requests and marks all others `Not-Run`."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 
 from oakvale.demo.control_client import ControlClient, NoResponse
 
-BEAT = 0.5  # seconds
+HEARTBEAT_INTERVAL_S = 0.5
 
 
 class Backend:
-    def __init__(self, address: tuple[str, int], service: str, zone: str, ctl: list[str]) -> None:
-        """Raises OSError where it can't listen."""
+    """An HTTP server and a thread that sends heartbeats to the control plane."""
+
+    def __init__(self, address: tuple[str, int], service: str, zone: str, ctl_addresses: list[str]) -> None:
+        """Raises OSError if it can't listen on the address."""
         self.id, self.service = f"i-{secrets.token_hex(4)}", service
-        self.ran: list[str] = []  # ids of the attempts that it ran
-        self._ends = threading.Event()
-        self._caller = ControlClient(ctl, self._ends)
-        self._server = ThreadingHTTPServer(address, self._handler())
+        self.ran: list[str] = []  # ids of the attempts it has run
+        self._stop_event = threading.Event()
+        self._client = ControlClient(ctl_addresses, self._stop_event)
+        self._server = ThreadingHTTPServer(address, self._handler_class())
         self._server.daemon_threads = True
         self._report = {
             "svc": service,
@@ -33,31 +35,33 @@
         }
         self._threads = [
             threading.Thread(target=self._server.serve_forever, args=(0.05,), daemon=True),
-            threading.Thread(target=self._beat, daemon=True),
+            threading.Thread(target=self._send_heartbeats, daemon=True),
         ]
 
     def start(self) -> None:
+        """Starts serving and sending heartbeats."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        self._ends.set()
+        """Stops both threads and closes the listener."""
+        self._stop_event.set()
         self._server.shutdown()
         self._server.server_close()
         for thread in self._threads:
             thread.join(3)
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         calls = 0
-        while not self._ends.is_set():
+        while not self._stop_event.is_set():
             calls += 1
             try:
-                self._caller.call("POST", f"/oakvale/Backends.Heartbeat/{self.id}", self._report | {"calls": calls}, 3)
+                self._client.call("POST", f"/oakvale/Backends.Heartbeat/{self.id}", self._report | {"calls": calls}, 3)
             except NoResponse:
-                pass  # the next beat says the same
-            self._ends.wait(BEAT)
+                pass  # the next heartbeat carries the same report
+            self._stop_event.wait(HEARTBEAT_INTERVAL_S)
 
-    def _handler(self) -> type[BaseHTTPRequestHandler]:
+    def _handler_class(self) -> type[BaseHTTPRequestHandler]:
         backend = self
 
         class Handler(BaseHTTPRequestHandler):
@@ -65,24 +69,24 @@
 
             def do_GET(self) -> None:
                 if self.path == "/healthz":
-                    return self._answer(200, b"", {"Served-By": backend.id})
-                own = self.headers.get("Attempt-Id")
-                if own is None:
-                    return self._answer(400, b"no id\n", {"Not-Run": "1"})
+                    return self._respond(200, b"", {"Served-By": backend.id})
+                attempt_id = self.headers.get("Attempt-Id")
+                if attempt_id is None:
+                    return self._respond(400, b"no id\n", {"Not-Run": "1"})
                 if self.headers.get("Backend", backend.id) != backend.id:
-                    return self._answer(421, b"another's\n", {"Not-Run": "1", "Attempt-Id": own})
-                taken = self.rfile.read(int(self.headers.get("Content-Length") or 0))
-                backend.ran.append(own)
+                    return self._respond(421, b"another's\n", {"Not-Run": "1", "Attempt-Id": attempt_id})
+                request_body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
+                backend.ran.append(attempt_id)
                 body = (
-                    f"{self.command} {self.path} with {len(taken)} bytes, run by {backend.id} "
+                    f"{self.command} {self.path} with {len(request_body)} bytes, run by {backend.id} "
                     f"for {self.headers.get('Tenant', 'nobody')}\n"
                 ).encode()
-                seal = hashlib.blake2b(own.encode() + body, digest_size=8).hexdigest()
-                self._answer(200, body, {"Attempt-Id": own, "Seal": seal})
+                seal = hashlib.blake2b(attempt_id.encode() + body, digest_size=8).hexdigest()
+                self._respond(200, body, {"Attempt-Id": attempt_id, "Seal": seal})
 
             do_POST = do_GET
 
-            def _answer(self, status: int, body: bytes, headers: dict[str, str]) -> None:
+            def _respond(self, status: int, body: bytes, headers: dict[str, str]) -> None:
                 self.send_response(status)
                 for name, value in headers.items():
                     self.send_header(name, value)
--- a/oakvale/demo/control_client.py
+++ b/oakvale/demo/control_client.py
@@ -1,5 +1,7 @@
-"""Who calls `ctl`, as PROTOCOL says of backends and the operator: one machine of the core after the other, 307
-followed twice, another machine after a failure, a 5xx, a 408 or 429, or a second of silence.
+"""A client of the control API `ctl` that follows the rules of PROTOCOL for backends and operators.
+
+It tries the core machines in turn, follows up to two 307 redirects, and moves on to the next machine after a
+connection failure, a 5xx, 408 or 429 status, or a second without a response.
 """
 
 from __future__ import annotations
@@ -12,18 +14,20 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-SILENCE = 1.0  # seconds
-FINAL = (400, 409, 412, 413, 422)
+RESPONSE_TIMEOUT_S = 1.0
+FINAL_STATUSES = (400, 409, 412, 413, 422)  # errors that another attempt would not change
 
 
 @dataclass(slots=True, frozen=True)
 class Response:
+    """Status and body of an HTTP response."""
+
     status: int
     body: bytes
 
 
 class NoResponse(Exception):
-    """None that counts until the time was over."""
+    """No machine gave a final response in time."""
 
 
 def send_request(
@@ -32,45 +36,48 @@
     path: str,
     body: bytes | None = None,
     headers: dict[str, str] | None = None,
-    timeout: float = SILENCE,
+    timeout: float = RESPONSE_TIMEOUT_S,
 ) -> tuple[Response, str | None]:
-    """One exchange; the answer and the place it points to. Raises OSError, HTTPException."""
+    """Sends one request; returns the response and its Location header. Raises OSError, HTTPException."""
     connection = http.client.HTTPConnection(address, timeout=timeout)
     try:
         connection.request(method, path, body, headers or {})
-        reply = connection.getresponse()
-        return Response(reply.status, reply.read()), reply.getheader("Location")
+        response = connection.getresponse()
+        return Response(response.status, response.read()), response.getheader("Location")
     finally:
         connection.close()
 
 
 class ControlClient:
-    def __init__(self, addresses: list[str], ends: threading.Event) -> None:
-        self._addresses, self._ends, self._turn = addresses, ends, 0
-        self.last = ""  # the machine that gave the last answer
+    """Calls the control API through any of several core machines."""
+
+    def __init__(self, addresses: list[str], stop_event: threading.Event) -> None:
+        self._addresses, self._stop_event, self._next = addresses, stop_event, 0
+        self.last = ""  # the address that gave the last response
 
     def call(self, method: str, path: str, body: Any = None, within: float = 10.0) -> Response:
+        """Repeats a request until a final response comes; raises NoResponse after `within` seconds or when stopped."""
         data = None if body is None else json.dumps(body).encode()
-        due, pause = time.monotonic() + within, 0.05
-        while time.monotonic() < due and not self._ends.is_set():
-            given = self._try(method, path, data)
-            if given is not None and (given.status < 400 or given.status in FINAL):
-                return given
-            self._turn += 1
-            self._ends.wait(min(pause, 0.5))
-            pause *= 1.5
-        raise NoResponse(f"{method} {path}: no answer that counts in {within:g} s")
+        deadline, pause_s = time.monotonic() + within, 0.05
+        while time.monotonic() < deadline and not self._stop_event.is_set():
+            response = self._try(method, path, data)
+            if response is not None and (response.status < 400 or response.status in FINAL_STATUSES):
+                return response
+            self._next += 1
+            self._stop_event.wait(min(pause_s, 0.5))
+            pause_s *= 1.5
+        raise NoResponse(f"{method} {path}: no final response within {within:g} s")
 
     def _try(self, method: str, path: str, data: bytes | None) -> Response | None:
-        address = self._addresses[self._turn % len(self._addresses)]
+        address = self._addresses[self._next % len(self._addresses)]
         try:
             for _ in range(3):
-                given, location = send_request(address, method, path, data, {"Content-Type": "application/json"})
-                if given.status != 307 or not location:
+                response, location = send_request(address, method, path, data, {"Content-Type": "application/json"})
+                if response.status != 307 or not location:
                     self.last = address
-                    return given
-                place = urlsplit(location)
-                address, path = place.netloc, place.path
+                    return response
+                target = urlsplit(location)
+                address, path = target.netloc, target.path
         except (OSError, http.client.HTTPException):
             pass
         return None
