--- a/oakvale/lifecycle/__init__.py
+++ b/oakvale/lifecycle/__init__.py
@@ -1,3 +1,4 @@
-"""Life cycle: the start, the stop and what goes on beside the requests: accepting, signals, reload, shutdown,
-log and status lines. It must not look into a request or an attempt. Begin with `serving`.
+"""Process lifecycle: startup, accepting connections, signals, reload, shutdown, logging and status lines.
+
+It does not inspect requests or attempts. Start reading at `serving`.
 """
--- a/oakvale/lifecycle/eventlog.py
+++ b/oakvale/lifecycle/eventlog.py
@@ -1,8 +1,8 @@
-"""Daybook: the log of the whole system's processes, one line of key=value pairs for each event, through `eliot`.
+"""Event log of the processes of the complete system: one line of key=value pairs per event, written with `eliot`.
 
-Each package writes with a `Writer` of its own. What is beneath the level or one too many of its event ends
-before `eliot` sees it. Records of the `logging` module, from the code that is shared with the gateway in service,
-are taken in as well, so that a process has one log.
+Each module logs through its own `EventLogger`. Events below the log level or above the rate limit are dropped before
+they reach `eliot`. Records of the `logging` module, which code shared with the standalone gateway uses, are written to
+the same log.
 """
 
 from __future__ import annotations
@@ -18,36 +18,40 @@
 from oakvale.lifecycle.logs import EventRateLimiter, NonBlockingPipe, extra_fields, format_pairs, format_timestamp
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
-OWN = frozenset({"message_type", "timestamp", "task_uuid", "task_level", "level", "part"})  # said first, or not
+# fields of eliot that the line starts with or omits
+RESERVED_FIELDS = frozenset({"message_type", "timestamp", "task_uuid", "task_level", "level", "part"})
 
 
 class EventLog:
-    """What a process writes, and where."""
+    """The event log of a process: its level, its rate limit and where it is written."""
 
     def __init__(self) -> None:
-        self._least, self._bound = 0, EventRateLimiter(20)
-        self._destination: Line | None = None
+        self._min_level, self._rate_limiter = 0, EventRateLimiter(20)
+        self._destination: PipeDestination | None = None
 
-    def open(self, level: str, same: int, fd: int = 2) -> None:
+    def open(self, level: str, lines_per_second: int, fd: int = 2) -> None:
+        """Starts writing to a descriptor, at most `lines_per_second` lines of each event."""
         self.close()
-        self._least, self._bound = LEVELS[level], EventRateLimiter(same)
-        self._destination = Line(fd)
+        self._min_level, self._rate_limiter = LEVELS[level], EventRateLimiter(lines_per_second)
+        self._destination = PipeDestination(fd)
         eliot.add_destinations(self._destination)
-        logging.basicConfig(level=level.upper(), handlers=[Taken()], force=True)
+        logging.basicConfig(level=level.upper(), handlers=[LoggingBridge()], force=True)
 
     def close(self) -> None:
+        """Stops writing."""
         if self._destination is not None:
             eliot.remove_destination(self._destination)
             self._destination = None
 
     def write(self, part: str, event: str, level: str, fields: Mapping[str, Any]) -> None:
-        if LEVELS.get(level, 20) < self._least:
+        """Writes an event unless it is below the level or above the rate limit."""
+        if LEVELS.get(level, 20) < self._min_level:
             return
-        held = self._bound.held_back((part, event[:64]), time.time())
-        if held is None:
+        suppressed = self._rate_limiter.admit((part, event[:64]), time.time())
+        if suppressed is None:
             return
-        if held:
-            fields = {**fields, "held_back": held}
+        if suppressed:
+            fields = {**fields, "held_back": suppressed}
         eliot.log_message(message_type=event, part=part, level=level, **fields)
 
 
@@ -55,7 +59,7 @@
 
 
 class EventLogger:
-    """What one module notes: `note("view", primary=...)`."""
+    """Writes the events of one module: `log_event("view", primary=...)`."""
 
     def __init__(self, name: str) -> None:
         self._part = name.removeprefix("oakvale.")
@@ -64,29 +68,31 @@
         EVENT_LOG.write(self._part, event, level, fields)
 
     def fault(self, event: str, **fields: Any) -> None:
-        """A fault of this program, with the exception that is being handled."""
+        """Logs an error with the traceback of the exception that is being handled."""
         EVENT_LOG.write(self._part, event, "error", fields | {"traceback": traceback.format_exc().rstrip()})
 
 
-class Line:
-    """A destination of `eliot`: a line on a pipe, which is never waited for. Tasks have no meaning here."""
+class PipeDestination:
+    """An `eliot` destination that writes lines to a pipe without blocking, and omits the tasks of `eliot`."""
 
     def __init__(self, fd: int) -> None:
         self._pipe = NonBlockingPipe(fd)
 
     def __call__(self, message: dict[str, Any]) -> None:
-        at = float(message.get("timestamp", 0.0))
-        first = {
-            "at": format_timestamp(at, int(at % 1 * 1000)),
+        timestamp = float(message.get("timestamp", 0.0))
+        leading = {
+            "at": format_timestamp(timestamp, int(timestamp % 1 * 1000)),
             "level": message.get("level", "error"),
             "part": message.get("part", "eliot"),
             "event": message.get("message_type", ""),
         }
-        self._pipe.write(format_pairs(first | {k: v for k, v in message.items() if k not in OWN}))
+        self._pipe.write(
+            format_pairs(leading | {name: value for name, value in message.items() if name not in RESERVED_FIELDS})
+        )
 
 
-class Taken(logging.Handler):
-    """Records of the `logging` module, written into the daybook."""
+class LoggingBridge(logging.Handler):
+    """Writes records of the `logging` module to the event log."""
 
     def emit(self, record: logging.LogRecord) -> None:
         fields = extra_fields(record)
@@ -95,5 +101,6 @@
         EVENT_LOG.write(record.name.removeprefix("oakvale."), record.getMessage(), record.levelname.lower(), fields)
 
 
-def configure(level: str, same: int, fd: int = 2) -> None:
-    EVENT_LOG.open(level, same, fd)
+def configure(level: str, lines_per_second: int, fd: int = 2) -> None:
+    """Opens the event log of this process."""
+    EVENT_LOG.open(level, lines_per_second, fd)
--- a/oakvale/lifecycle/serving.py
+++ b/oakvale/lifecycle/serving.py
@@ -1,4 +1,4 @@
-"""Serving: the listening socket, its coroutine, and the start of everything else."""
+"""The server of the standalone gateway: its startup, its reload and its main function."""
 
 from __future__ import annotations
 
@@ -23,6 +23,8 @@
 
 
 class Server:
+    """Host, acceptor and configuration of one gateway process."""
+
     def __init__(self, configuration: Configuration, listener: Sock, loop: Loop) -> None:
         self.loop, self.listener = loop, listener
         self.host = Host(configuration, loop)
@@ -33,36 +35,38 @@
         loop.at(loop.now + self.limits.sweep, self._sweep)
 
     def begin(self) -> None:
-        """The list as this gateway last had it, maybe old, then the watch."""
-        nothing = {"index": 0, "snapshot": True, "endpoints": []}
+        """Starts with the last known backend list, which may be outdated, and subscribes to discovery updates."""
+        empty_list = {"index": 0, "snapshot": True, "endpoints": []}
         try:
-            self.host.discovery.take(self.known or nothing, cached=True)
+            self.host.discovery.take(self.known or empty_list, cached=True)
         except BadList as error:
             log.warning("known list is not understood", extra={"why": str(error)})
-            self.host.discovery.take(nothing, cached=True)
+            self.host.discovery.take(empty_list, cached=True)
         if not self.host.settings.on_request:
             self.host.discovery.watch(True)
 
     def reload(self) -> None:
-        """Reads the file anew and moves to the discovery and the counter that it names. Everything else
-        takes a restart. A file that can't be used changes nothing."""
-        was = self.configuration
+        """Reads the configuration file again and switches to the discovery and counter addresses it names.
+
+        All other settings need a restart. An invalid file changes nothing.
+        """
+        current = self.configuration
         try:
-            fresh = was.reload()
+            fresh = current.reload()
         except ConfigurationError as error:
             log.error("reload refused", extra={"why": str(error)})
             return
-        parts = [
-            part
-            for part in ("name", "listen", "settings", "names", "limits")
-            if getattr(fresh, part) != getattr(was, part)
+        changed = [
+            name
+            for name in ("name", "listen", "settings", "names", "limits")
+            if getattr(fresh, name) != getattr(current, name)
         ]
         log.info(
             "reloaded",
             extra={
                 "discovery": format_address(fresh.discovery),
                 "counter": fresh.counter and format_address(fresh.counter),
-                "needs_restart": ",".join(parts) or "nothing",
+                "needs_restart": ",".join(changed) or "nothing",
             },
         )
         self.host.discovery.move(fresh.discovery)
@@ -70,6 +74,7 @@
             self.host.counter.move(fresh.counter)
 
     def accept_one(self) -> bool:
+        """Accepts one connection; see `Acceptor.accept_one`."""
         return self.acceptor.accept_one()
 
     def _sweep(self, _: None) -> None:
@@ -78,6 +83,7 @@
 
 
 def serve(configuration: Configuration, listener: Sock, signals: Signals) -> int:
+    """Runs the standalone gateway until a signal stops it; returns the exit status."""
     loop = Loop(Clock(), configuration.limits)
     server = Server(configuration, listener, loop)
     shutdown = Shutdown(server)
@@ -85,7 +91,7 @@
     server.begin()
     Status(server.host.shared).begin()
     gc.collect()
-    gc.freeze()  # what lives as long as the process is never looked at again
+    gc.freeze()  # excludes objects that live as long as the process from garbage collection
     log.info(
         "serving",
         extra={"gateway": configuration.name, "pid": os.getpid(), "listen": format_address(configuration.listen)},
--- a/oakvale/lifecycle/shutdown.py
+++ b/oakvale/lifecycle/shutdown.py
@@ -1,4 +1,4 @@
-"""Shutdown: on SIGTERM take and answer all that still comes, stop listening, end what is in hand, go."""
+"""Graceful shutdown after SIGTERM: keep serving briefly, stop listening, finish pending requests, stop the loop."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Stoppable(Protocol):
-    """What is shut down: its connections' owner, its loop, the coroutine that accepts."""
+    """A server that can be shut down: the owner of its connections, its loop and its accepting coroutine."""
 
     @property
     def host(self) -> Any: ...
@@ -21,56 +21,62 @@
     def accepting(self) -> Task: ...
 
     def accept_one(self) -> bool:
-        """False when nobody waits; raises OSError when there is no room."""
+        """Accepts one connection; returns False if none is waiting. Raises OSError if there is no room."""
 
 
 class Shutdown:
+    """Performs the shutdown of one server in timed steps."""
+
     def __init__(self, server: Stoppable) -> None:
         self.server, self.host, self.loop = server, server.host, server.loop
-        self._began, self._begun = 0, False
+        self._started_at, self._started = 0, False
 
     def begin(self) -> None:
-        if self._begun:
+        """Starts the shutdown; further calls have no effect."""
+        if self._started:
             return
-        self._begun = True
+        self._started = True
         limits, now = self.host.limits, self.loop.now
-        self.host.stopping = True  # answers say from now on that the connection ends
-        self._began = now
+        self.host.stopping = True  # responses carry `Connection: close` from now on
+        self._started_at = now
         log.info("stopping", extra={"requests": len(self.host.requests)})
         if not limits.patient:
-            # now, while new ones are taken: a request that crosses the close of its connection is sent once more
+            # while new connections are accepted: a client whose request crosses the close retries it
             self.host.clients.end_idle()
         self.loop.at(now + limits.stop_accepting, self._stop_accepting)
-        self.loop.at(now + limits.stop_taking, self._stop_taking)
+        self.loop.at(now + limits.stop_taking, self._stop_admission)
 
     def _stop_accepting(self, _: None) -> None:
-        """A listener that closes resets what is in its backlog: all of it is taken first, if need be over
-        some time, while those that have their answers make room."""
+        """Accepts all connections in the backlog, which closing the listener would reset, then closes the listener.
+
+        Without room it tries again until `limits.stop_taking`, as clients that got their responses leave.
+        """
         limits, now = self.host.limits, self.loop.now
         try:
             while self.server.accept_one():
                 pass
         except OSError as error:
-            if now - self._began < limits.stop_taking:
+            if now - self._started_at < limits.stop_taking:
                 self.loop.at(now + limits.accept_pause, self._stop_accepting)
                 return
             log.warning("clients left in the backlog", extra={"why": str(error)})
         self.loop.end(self.server.accepting)
         self.host.clients.end_idle()
 
-    def _stop_taking(self, _: None) -> None:
+    def _stop_admission(self, _: None) -> None:
         self.host.admission_closed = True
         self._end_when_done(None)
 
     def _end_when_done(self, _: None) -> None:
         limits, now = self.host.limits, self.loop.now
         self.host.clients.end_idle()
-        if not self.host.clients.all or now - self._began > limits.stop_longest:
+        if not self.host.clients.all or now - self._started_at > limits.stop_longest:
             self.host.ended = True
             self.loop.stop()
         else:
             self.loop.at(now + limits.accept_pause, self._end_when_done)
 
     def close(self) -> None:
+        """Ends everything on the loop at once."""
         self.host.ended = True
         self.loop.close()
--- a/oakvale/lifecycle/signals.py
+++ b/oakvale/lifecycle/signals.py
@@ -1,4 +1,4 @@
-"""Signals: each is a byte on a socket pair, handled in a turn of the loop like anything else that comes."""
+"""Signals, received as bytes on a socket pair and handled by the event loop like any other input."""
 
 from __future__ import annotations
 
@@ -16,6 +16,8 @@
 
 
 class Signals:
+    """The socket pair that the signal wake-up descriptor writes to."""
+
     def __init__(self) -> None:
         self._read, self._write = socket.socketpair()
         self._read.setblocking(False)
@@ -25,24 +27,29 @@
         return self._read.fileno()
 
     def watch(self) -> None:
-        """Before anything else at the start, as by default SIGHUP ends a process. What comes before the loop
-        runs waits on the socket pair."""
+        """Installs the handlers. Must run first at startup, as SIGHUP terminates a process by default.
+
+        Signals that arrive before the loop runs are queued on the socket pair.
+        """
         signal.set_wakeup_fd(self._write.fileno(), warn_on_full_buffer=False)
         for number in (*STOP, RELOAD):
-            signal.signal(number, lambda *_: None)  # the wake-up descriptor tells
+            signal.signal(number, lambda *_: None)  # the wake-up descriptor delivers the signal
 
     def run(self, stop: Callable[[], None], reload: Callable[[], None]) -> Coroutine:
-        """Several of a kind that came together are one. A stop goes first, and a reload is harmless in it.
-        What fails in either is logged and the next signal is still heard."""
+        """Calls `stop` and `reload` for the signals received.
+
+        Signals of one kind that arrive together count as one. A stop is handled before a reload. Exceptions are
+        logged, and later signals are still handled.
+        """
         while True:
             yield READ, 0
             try:
-                came = set(self._read.recv(4096))
+                received = set(self._read.recv(4096))
             except BlockingIOError:
                 continue
-            for call in [stop] * bool(came.intersection(STOP)) + [reload] * (RELOAD in came):
+            for callback in [stop] * bool(received.intersection(STOP)) + [reload] * (RELOAD in received):
                 try:
-                    call()
+                    callback()
                 except Exception:
                     log.exception("signal failed")
 
--- a/oakvale/lifecycle/status.py
+++ b/oakvale/lifecycle/status.py
@@ -1,4 +1,4 @@
-"""What the gateway has done, told in one log line at intervals."""
+"""Logs what the gateway has done, in one status line at regular intervals."""
 
 from __future__ import annotations
 
@@ -11,23 +11,26 @@
 
 
 class Status:
+    """Logs the change of all counters since the last status line."""
+
     def __init__(self, host: SharedResources) -> None:
         self._host = host
-        self._cpu = 0.0
+        self._cpu_seconds = 0.0
         self._turns = 0
-        self._told: dict[str, Any] = {}
+        self._last_counts: dict[str, Any] = {}
 
     def begin(self) -> None:
-        self._host.loop.at(self._host.loop.now + self._host.limits.status, self._tell)
+        """Schedules the next status line."""
+        self._host.loop.at(self._host.loop.now + self._host.limits.status, self._log_status)
 
-    def _tell(self, _: None) -> None:
+    def _log_status(self, _: None) -> None:
         host = self._host
-        counts, told = host.tally.fields(), self._told
-        since = {name: count - told.get(name, 0) for name, count in counts.items()}
-        cpu, memory = host.loop.net.resource_usage()
+        counts, last_counts = host.tally.fields(), self._last_counts
+        increments = {name: count - last_counts.get(name, 0) for name, count in counts.items()}
+        cpu_seconds, memory_mb = host.loop.net.resource_usage()
         log.info(
             "status",
-            extra={name: count for name, count in since.items() if count or name == "requests"}
+            extra={name: count for name, count in increments.items() if count or name == "requests"}
             | {
                 "in_hand": len(host.requests),
                 "clients": len(host.clients.all),
@@ -35,9 +38,9 @@
                 "idle_connections": host.idle.count,
                 "buffers_taken": host.buffers.taken,
                 "turns": host.loop.turns - self._turns,
-                "cpu_ms": round((cpu - self._cpu) * 1000),
-                "memory_mb": memory,
+                "cpu_ms": round((cpu_seconds - self._cpu_seconds) * 1000),
+                "memory_mb": memory_mb,
             },
         )
-        self._cpu, self._turns, self._told = cpu, host.loop.turns, counts
+        self._cpu_seconds, self._turns, self._last_counts = cpu_seconds, host.loop.turns, counts
         self.begin()
