--- a/oakvale/__main__.py
+++ b/oakvale/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m oakvale`."""
+"""Entry point of `python -m oakvale`: the command line."""
 
 from oakvale.cli import main
 
--- a/oakvale/cli.py
+++ b/oakvale/cli.py
@@ -1,6 +1,6 @@
-"""The command line: one program; what it does is the first word.
+"""The command line: one program with a subcommand for each task.
 
-Each command imports what it needs by itself: the time that a process takes to start is time without it.
+Each command imports its own dependencies, so that processes start quickly.
 """
 
 from __future__ import annotations
@@ -17,17 +17,19 @@
 if TYPE_CHECKING:
     from oakvale.base.configuration import Configuration
 
-BACKLOG = 1024  # connections that wait to be accepted
+BACKLOG = 1024  # pending connections per listening socket
 LEVELS = ("debug", "info", "warning", "error")
 ROLE_MODULES = {"headworks": "oakvale.controlplane.process", "sluice": "oakvale.dataplane.process"}
 
 
-def fail(why: object, status: int = 2) -> NoReturn:
-    print(f"oakvale: {why}", file=sys.stderr)
+def fail(reason: object, status: int = 2) -> NoReturn:
+    """Prints one line to standard error and exits."""
+    print(f"oakvale: {reason}", file=sys.stderr)
     sys.exit(status)
 
 
 def load() -> Configuration:
+    """Loads the configuration of the standalone gateway, or exits with an error."""
     from oakvale.base import configuration
 
     try:
@@ -37,7 +39,7 @@
 
 
 def serve(args: argparse.Namespace) -> None:
-    """The gateway in service: until SIGTERM, as LB_CONFIG and the other LB_ variables say."""
+    """Runs the standalone gateway until SIGTERM, configured by LB_CONFIG and the other LB_ variables."""
     from oakvale.lifecycle import logs, serving
     from oakvale.lifecycle.signals import Signals
 
@@ -53,18 +55,18 @@
 
 
 def check_config(args: argparse.Namespace) -> None:
-    """Read the configuration as serve would and say what it holds."""
+    """Reads the configuration as `serve` does and prints a summary."""
     config = load()
     print(f"{config.name} would listen on {format_address(config.listen)}")
     print(f"classes: {', '.join(config.names.classes)}")
     print(f"plans: {', '.join(config.names.plans)}")
-    print(f"backends known: {len(config.known.get('endpoints') or [])}")
+    print(f"known backends: {len(config.known.get('endpoints') or [])}")
     limits = config.limits
-    print(f"connections at most: {limits.clients} of clients, {limits.backends} to backends")
+    print(f"maximum connections: {limits.clients} from clients, {limits.backends} to backends")
 
 
 def health(args: argparse.Namespace) -> None:
-    """Ask the gateway at ADDRESS (host:port) whether it can serve; exit 0 if so."""
+    """Queries the health of the gateway at an address; exits with 0 if it can serve."""
     import http.client
 
     from oakvale.base import configuration
@@ -73,7 +75,7 @@
         host, port = configuration.require_address(args.address, "address")
         connection = http.client.HTTPConnection(host, port, timeout=args.timeout)
         connection.request("GET", args.path)
-        status, text = (reply := connection.getresponse()).status, reply.read().decode().strip()
+        status, text = (response := connection.getresponse()).status, response.read().decode().strip()
     except (configuration.ConfigurationError, OSError, http.client.HTTPException) as error:
         fail(f"{args.address}: {error}", 1)
     print(text)
@@ -81,7 +83,7 @@
 
 
 def check(args: argparse.Namespace) -> None:
-    """Check a file of the whole system and say what it holds."""
+    """Checks a file of the complete system and prints a summary."""
     from oakvale.config import check
 
     try:
@@ -91,20 +93,20 @@
 
 
 def status(args: argparse.Namespace) -> None:
-    """Ask a process of the whole system, at its mains address, how it stands; exit 0 if it answers."""
+    """Prints the status of a process of the complete system; exits with 0 if it responds."""
     from oakvale.base import configuration
     from oakvale.lifecycle import logs
     from oakvale.transport import status_service
 
     try:
-        told = status_service.query_status(configuration.require_address(args.address, "address"), args.timeout)
+        fields = status_service.query_status(configuration.require_address(args.address, "address"), args.timeout)
     except (configuration.ConfigurationError, status_service.NoResponse) as error:
         fail(f"{args.address}: {error}", 1)
-    print("\n".join(logs.format_pairs({name: value}) for name, value in told.items()))
+    print("\n".join(logs.format_pairs({name: value}) for name, value in fields.items()))
 
 
 def drain(args: argparse.Namespace) -> None:
-    """Plan, order, show or cancel a drain, or print the account of all, by any headworks."""
+    """Plans, orders, shows or cancels a drain, or prints the account of all drains, through any headworks."""
     import json
 
     from oakvale.base import configuration
@@ -113,7 +115,7 @@
     body = None
     if args.what in ("plan", "order"):
         kind, target = next(
-            (kind, named) for kind in ("gateway", "backend", "zone") if (named := getattr(args, kind)) is not None
+            (kind, value) for kind in ("gateway", "backend", "zone") if (value := getattr(args, kind)) is not None
         )
         body = {"kind": kind, "target": target, "by": args.by, "why": args.why, "due": args.due}
     elif args.what == "cancel":
@@ -121,7 +123,7 @@
     verb = "Drains." + {"account": "Show"}.get(args.what, args.what.capitalize())
     try:
         addresses = [configuration.require_address(text, "--ctl") for text in args.ctl.split(",")]
-        told = client.call(addresses, verb, getattr(args, "name", None) or "", body, args.timeout)
+        response = client.call(addresses, verb, getattr(args, "name", None) or "", body, args.timeout)
     except configuration.ConfigurationError as error:
         fail(error)
     except client.Refused as error:
@@ -131,17 +133,17 @@
     if args.what == "account" and args.format == "csv":
         from oakvale.drains import report
 
-        print(report.as_csv(told), end="")
+        print(report.as_csv(response), end="")
     elif args.what == "account" or args.json:
-        print(json.dumps(told, indent=2))
+        print(json.dumps(response, indent=2))
     else:
-        print("\n".join(client.lines(told)) or "kept")
-    if args.what == "plan" and told["obstacles"]:
+        print("\n".join(client.lines(response)) or "kept")
+    if args.what == "plan" and response["obstacles"]:
         sys.exit(1)
 
 
 def chain(args: argparse.Namespace) -> None:
-    """The chains that a process of the whole system holds: what they are, what they can't hold, what one says."""
+    """Shows, checks or explains the failover chains that a process of the complete system holds."""
     from oakvale.base import configuration
     from oakvale.config import settings, toml_table
     from oakvale.failover import report
@@ -152,20 +154,23 @@
         if args.at:
             address = configuration.require_address(args.at, "--at")
         else:
-            own = settings.load(os.environ)
-            address = own.ip, own.ports[0] + (0 if "ctl" in own.bind else 1)
-        held = status_service.query_status(address, args.timeout, "chains")["held"]
+            node_settings = settings.load(os.environ)
+            address = node_settings.ip, node_settings.ports[0] + (0 if "ctl" in node_settings.bind else 1)
+        packed_chains = status_service.query_status(address, args.timeout, "chains")["held"]
     except (configuration.ConfigurationError, toml_table.BadFile) as error:
         fail(error)
     except status_service.NoResponse as error:
         fail(f"{format_address(address)}: {error}", 1)
-    if held is None:
-        fail(f"{format_address(address)}: holds no chains: no headworks has --chains, or this one is only a witness", 1)
-    chains = unpack(held)
+    if packed_chains is None:
+        fail(
+            f"{format_address(address)}: holds no chains: no headworks runs with --chains, or this one is only a witness",
+            1,
+        )
+    chains = unpack(packed_chains)
     try:
         if args.what == "check":
             lines = report.check(chains)
-            print("\n".join(lines) or "every failure of one place or two can be held")
+            print("\n".join(lines) or "the remaining capacity covers every failure of one or two places")
             sys.exit(3 if lines else 0)
         print(
             "\n".join(report.show(chains) if args.what == "show" else report.explain(chains, args.place, args.service))
@@ -175,29 +180,31 @@
 
 
 def demo(args: argparse.Namespace) -> None:
-    """A small system on loopback: one request through it, or until it is interrupted."""
+    """Runs a small system on loopback: sends one request through it, or keeps it running until interrupted."""
     import signal
 
     from oakvale.demo import show
 
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # what was started ends with it
+    signal.signal(
+        signal.SIGTERM, signal.default_int_handler
+    )  # SIGTERM raises KeyboardInterrupt, so that the demo stops its processes
     try:
         show.show(lambda line: print(line, flush=True), args.stay)
     except show.DemoFailed as error:
         fail(error, 1)
     except KeyboardInterrupt:
-        fail("interrupted; everything has ended", 130)
+        fail("interrupted; all processes have been stopped", 130)
 
 
 def version(args: argparse.Namespace) -> None:
-    """Print the version."""
+    """Prints the versions of oakvale and of its main dependencies."""
     from importlib import metadata  # slow to import, and serve needs none of it
 
     print(f"oakvale {__version__} (h11 {metadata.version('h11')}, cbor2 {metadata.version('cbor2')})")
 
 
 def role(args: argparse.Namespace) -> None:
-    """A process of the whole system, as the settings file that OAKVALE_SETTINGS names says."""
+    """Runs a process of the complete system, configured by the file that OAKVALE_SETTINGS names."""
     from importlib import import_module
 
     from oakvale.base.sockets import open_listener
@@ -207,14 +214,14 @@
     signals = Signals()
     signals.watch()
     try:
-        told = settings.load(os.environ)
-        # before the rest is imported: who comes meanwhile waits a moment instead of being turned away
-        listeners = {name: open_listener(address, BACKLOG) for name, address in told.bind.items()}
+        node_settings = settings.load(os.environ)
+        # opened before the slower imports, so that early clients wait in the backlog instead of being refused
+        listeners = {name: open_listener(address, BACKLOG) for name, address in node_settings.bind.items()}
         from oakvale.lifecycle import eventlog
 
         eventlog.configure(args.log_level, 20)
-        more = {"chains": args.chains} if args.command == "headworks" else {}
-        sys.exit(import_module(ROLE_MODULES[args.command]).serve(told, signals, listeners, **more))
+        options = {"chains": args.chains} if args.command == "headworks" else {}
+        sys.exit(import_module(ROLE_MODULES[args.command]).serve(node_settings, signals, listeners, **options))
     except toml_table.BadFile as error:
         fail(error)
     except OSError as error:
@@ -222,17 +229,18 @@
 
 
 def lab(args: argparse.Namespace) -> None:
-    """The laboratory, whose words are its own: `main` hands them over unread."""
+    """Runs the laboratory without arguments; `main` passes its arguments on unparsed."""
     laboratory([])
 
 
-def laboratory(words: Sequence[str]) -> None:
+def laboratory(arguments: Sequence[str]) -> None:
+    """Runs a command of the laboratory, which parses its own arguments."""
     try:
         from oakvale.lab import commands
     except ModuleNotFoundError as error:
         fail(f"lab needs {error.name}: pip install -r requirements-lab.txt")
     try:
-        sys.exit(commands.main(words))
+        sys.exit(commands.main(arguments))
     except commands.Wrong as error:
         fail(error)
     except commands.Failed as error:
@@ -240,109 +248,125 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    whole = argparse.ArgumentParser(
+    """Builds the parser of all commands but those of the laboratory."""
+    root = argparse.ArgumentParser(
         prog="oakvale", description="A gateway that holds customers to their quotas before a shared back end."
     )
-    commands = whole.add_subparsers(dest="command", required=True, metavar="COMMAND")
+    commands = root.add_subparsers(dest="command", required=True, metavar="COMMAND")
 
-    def add(name: str, call: object, text: str) -> argparse.ArgumentParser:
+    def add(name: str, handler: object, text: str) -> argparse.ArgumentParser:
         command = commands.add_parser(name, help=text, description=text)
-        command.set_defaults(call=call)
+        command.set_defaults(handler=handler)
         return command
 
-    for name, call, text in (
-        ("serve", serve, "the gateway in service, on its own"),
-        ("headworks", role, "core role of the whole system: control state, backends, operator"),
-        ("sluice", role, "edge role of the whole system: carries clients' requests"),
+    for name, handler, text in (
+        ("serve", serve, "run the standalone gateway"),
+        ("headworks", role, "run the core role of the complete system: control state, backends, operator API"),
+        ("sluice", role, "run the edge role of the complete system: proxies client requests"),
     ):
-        command = add(name, call, text)
+        command = add(name, handler, text)
         command.add_argument(
-            "--log-level", default="info", choices=LEVELS, help="the least that is logged (default: %(default)s)"
+            "--log-level", default="info", choices=LEVELS, help="lowest level that is logged (default: %(default)s)"
         )
         if name == "headworks":
             command.add_argument(
                 "--chains",
                 metavar="FILE",
-                help="work out failover chains, as this file says "
-                "(docs/failover-chains.md); left out, nothing is moved",
+                help="compute failover chains as configured in this file "
+                "(docs/failover-chains.md); without it, no load is moved",
             )
-    add("check-config", check_config, "read the configuration as serve would and say what it holds")
-    held = add("check", check, "check a file of the whole system and say what it holds, or what is wrong and where")
-    held.add_argument(
+    add("check-config", check_config, "read the configuration as serve does and print a summary")
+    command = add("check", check, "check a file of the complete system; print a summary, or what is wrong and where")
+    command.add_argument(
         "kind",
         choices=("settings", "deploy", "config", "contracts"),
-        help="a process's settings, the deploy file, an operator's configuration (JSON), or contracts",
+        help="the settings of a process, the deploy file, an operator's configuration (JSON), or contracts",
+    )
+    command.add_argument("file")
+    command = add("health", health, "query the health of a running gateway; exit 0 if it can serve")
+    command.add_argument("address", help="host:port")
+    command.add_argument(
+        "--path", default="/_health", help="path to request; use /oakvale/readyz for a gateway of the complete system"
+    )
+    command.add_argument("--timeout", type=float, default=2.0, help="seconds to wait for the response")
+    command = add(
+        "status", status, "print the status of a running process of the complete system; exit 0 if it responds"
     )
-    held.add_argument("file")
-    asked = add("health", health, "ask a running gateway whether it can serve; exit 0 if so")
-    asked.add_argument("address", help="host:port")
-    asked.add_argument("--path", default="/_health", help="/oakvale/readyz for a gateway of the whole system")
-    asked.add_argument("--timeout", type=float, default=2.0, help="seconds to wait for the answer")
-    asked = add("status", status, "ask a running process of the whole system how it stands; exit 0 if it answers")
-    asked.add_argument(
-        "address", help="host:port between gateways: the first of port-range for a headworks, the second for a sluice"
+    command.add_argument(
+        "address",
+        help="host:port for internal traffic: the first of port-range for a headworks, the second for a sluice",
     )
-    asked.add_argument("--timeout", type=float, default=2.0, help="seconds to wait for the answer")
-    drains(add("drain", drain, "move tenants off a gateway, a backend or a zone, in the hours of their contracts"))
-    told = add("chain", chain, "the failover chains that a running process holds").add_subparsers(
+    command.add_argument("--timeout", type=float, default=2.0, help="seconds to wait for the response")
+    add_drain_commands(
+        add("drain", drain, "move tenants off a gateway, a backend or a zone, within the hours of their contracts")
+    )
+    chain_commands = add("chain", chain, "inspect the failover chains of a running process").add_subparsers(
         dest="what", required=True, metavar="WHAT"
     )
     for what, text in (
-        ("show", "places, what each takes, and where its load goes"),
-        ("check", "the failures of one place or two that can't be held, and by how much; exit 3 if any"),
+        ("show", "places, the load each can take, and where its own load goes"),
+        ("check", "failures of one or two places that exceed the remaining capacity, and by how much; exit 3 if any"),
         ("explain", "what happens to a service when a place fails"),
     ):
-        one = told.add_parser(what, help=text, description=text)
+        command = chain_commands.add_parser(what, help=text, description=text)
         if what == "explain":
-            one.add_argument("place", help="a zone, a region or a name above them")
-            one.add_argument("service")
-        one.add_argument(
+            command.add_argument("place", help="a zone, a region or a larger location")
+            command.add_argument("service")
+        command.add_argument(
             "--at",
             metavar="HOST:PORT",
-            help="between gateways, as for status; left out, the process whose settings OAKVALE_SETTINGS names",
+            help="internal address, as for status; default: the process whose settings OAKVALE_SETTINGS names",
         )
-        one.add_argument("--timeout", type=float, default=2.0, help="seconds to wait for the answer")
-    add("demo", demo, "a small system on loopback: three headworks, two sluices, a backend, one request").add_argument(
-        "--stay", action="store_true", help="keep it until interrupted, for requests of your own and oakvale status"
+        command.add_argument("--timeout", type=float, default=2.0, help="seconds to wait for the response")
+    add(
+        "demo", demo, "run a small system on loopback: three headworks, two sluices, a backend, one request"
+    ).add_argument(
+        "--stay",
+        action="store_true",
+        help="keep it running until interrupted, for your own requests and oakvale status",
     )
-    add("lab", lab, "the laboratory: days in a simulated world, experiments, hunts, load; oakvale lab -h says more")
+    add("lab", lab, "the laboratory: simulated days, experiments, fault searches, load; see oakvale lab -h")
     add("version", version, "print the version")
-    return whole
+    return root
 
 
-def drains(whole: argparse.ArgumentParser) -> None:
-    verbs = whole.add_subparsers(dest="what", required=True, metavar="WHAT")
+def add_drain_commands(parent: argparse.ArgumentParser) -> None:
+    """Adds the subcommands of `drain`."""
+    verbs = parent.add_subparsers(dest="what", required=True, metavar="WHAT")
     for name, text in (
-        ("plan", "what an order would do and when; nothing moves"),
-        ("order", "give an order, unless its plan has an obstacle"),
-        ("show", "orders and moves"),
-        ("cancel", "no further move; what has moved comes back, each tenant in its hours"),
-        ("account", "what moved when, what was in flight, how each ended"),
+        ("plan", "show what an order would do and when, without moving anything"),
+        ("order", "place an order, unless its plan has an obstacle"),
+        ("show", "show orders and their moves"),
+        ("cancel", "stop further moves and move tenants back, each within its hours"),
+        ("account", "report what moved when, what was in flight and how each move ended"),
     ):
         verb = verbs.add_parser(name, help=text, description=text)
-        verb.add_argument("--ctl", required=True, help="host:port of a headworks' ctl, or some with commas between")
-        verb.add_argument("--timeout", type=float, default=10.0, help="seconds until the answer has to be clear")
+        verb.add_argument(
+            "--ctl", required=True, help="host:port of the ctl address of a headworks; several separated by commas"
+        )
+        verb.add_argument("--timeout", type=float, default=10.0, help="seconds to wait for a final response")
         if name in ("order", "cancel"):
-            verb.add_argument("name", help="of the order, given once: letters, digits, dot, dash")
+            verb.add_argument("name", help="unique name of the order: letters, digits, dot, dash")
         elif name in ("show", "account"):
-            verb.add_argument("name", nargs="?", help="of one order; without it, of all")
+            verb.add_argument("name", nargs="?", help="name of one order; without it, all orders")
         if name in ("plan", "order"):
-            node = verb.add_mutually_exclusive_group(required=True)
-            for kind, meant in (("gateway", "its node name"), ("backend", "its id"), ("zone", "all nodes in it")):
-                node.add_argument(f"--{kind}", help=meant)
-            verb.add_argument("--due", required=True, help="by when, with its zone: 2026-12-03T05:00:00-05:00")
+            target = verb.add_mutually_exclusive_group(required=True)
+            for kind, text in (("gateway", "its node name"), ("backend", "its id"), ("zone", "all nodes in it")):
+                target.add_argument(f"--{kind}", help=text)
+            verb.add_argument("--due", required=True, help="deadline with UTC offset: 2026-12-03T05:00:00-05:00")
         if name in ("plan", "order", "cancel"):
-            verb.add_argument("--by", required=name != "plan", default="plan", help="who orders it")
-            verb.add_argument("--why", required=name != "plan", default="plan", help="one line")
+            verb.add_argument("--by", required=name != "plan", default="plan", help="who places the order")
+            verb.add_argument("--why", required=name != "plan", default="plan", help="reason, in one line")
         if name == "account":
             verb.add_argument("--format", choices=("csv", "json"), default="csv")
         else:
-            verb.add_argument("--json", action="store_true", help="the answer as it came")
+            verb.add_argument("--json", action="store_true", help="print the response as JSON")
 
 
-def main(words: Sequence[str] | None = None) -> None:
-    words = sys.argv[1:] if words is None else words
-    if words and words[0] == "lab":  # before the parser is built: no other command knows its words or pays for them
-        laboratory(words[1:])
-    args = parser().parse_args(words)
-    args.call(args)
+def main(arguments: Sequence[str] | None = None) -> None:
+    """Runs the command named by the arguments, by default those of the process."""
+    arguments = sys.argv[1:] if arguments is None else arguments
+    if arguments and arguments[0] == "lab":  # the laboratory has its own parser, which other commands need not build
+        laboratory(arguments[1:])
+    args = parser().parse_args(arguments)
+    args.handler(args)
