--- a/oakvale/__init__.py
+++ b/oakvale/__init__.py
@@ -1,3 +1,3 @@
-"""oakvale: a gateway that holds customers to their quotas before a shared back end."""
+"""oakvale: an API gateway that enforces customers' quotas in front of shared backends."""
 
 __version__ = "0.2.0"
--- a/oakvale/cli.py
+++ b/oakvale/cli.py
@@ -137,7 +137,7 @@
     elif args.what == "account" or args.json:
         print(json.dumps(response, indent=2))
     else:
-        print("\n".join(client.lines(response)) or "kept")
+        print("\n".join(client.lines(response)) or "stored")
     if args.what == "plan" and response["obstacles"]:
         sys.exit(1)
 
@@ -163,7 +163,7 @@
         fail(f"{format_address(address)}: {error}", 1)
     if packed_chains is None:
         fail(
-            f"{format_address(address)}: holds no chains: no headworks runs with --chains, or this one is only a witness",
+            f"{format_address(address)}: holds no chains: no headworks has --chains, or this one is only a witness",
             1,
         )
     chains = unpack(packed_chains)
@@ -250,7 +250,7 @@
 def parser() -> argparse.ArgumentParser:
     """Builds the parser of all commands but those of the laboratory."""
     root = argparse.ArgumentParser(
-        prog="oakvale", description="A gateway that holds customers to their quotas before a shared back end."
+        prog="oakvale", description="An API gateway that enforces customers' quotas in front of shared backends."
     )
     commands = root.add_subparsers(dest="command", required=True, metavar="COMMAND")
 
