--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""The laboratory's models on loopback sockets: one loop for all hosts, each with an address of its own."""
+"""Runs the laboratory's models on loopback sockets: one event loop for all hosts, each with its own address."""
 
 from __future__ import annotations
 
@@ -17,7 +17,9 @@
 
 
 @dataclass
-class Place:
+class LoopbackHost:
+    """A host of the models, at one loopback address."""
+
     loop: Loop
     ip: str
 
@@ -26,7 +28,7 @@
 
 
 class Loopback:
-    """Addresses hold the process' number, so that suites that run at once don't meet."""
+    """The environment of the models. Addresses contain the process id, so that parallel test runs do not collide."""
 
     def __init__(self) -> None:
         self.loop = Loop(Clock(), Limits(timer_slack=0))
@@ -40,8 +42,8 @@
         pid = os.getpid()
         return f"127.{1 + (pid >> 8) % 200}.{pid % 256}.{next(self._numbers)}"
 
-    def host(self, name: str, zone: str) -> Place:
-        return Place(self.loop, self.ip())
+    def host(self, name: str, zone: str) -> LoopbackHost:
+        return LoopbackHost(self.loop, self.ip())
 
     def ctl(self) -> list[Address]:
         return self._ctl
@@ -53,8 +55,8 @@
         self.struck_by.append(machine)
 
     def until(self, done: Callable[[], bool], seconds: float = 20) -> None:
-        """Turns the loop; the time is a guard, and not waited for."""
-        end = self.loop.clock() + round(seconds * SECOND)
+        """Runs the loop until a condition holds; fails after `seconds`."""
+        deadline = self.loop.clock() + round(seconds * SECOND)
         while not done():
-            assert self.loop.clock() < end, "not done in time"
+            assert self.loop.clock() < deadline, "condition not met in time"
             self.loop.turn(0.05)
--- a/tests/test_eventlog.py
+++ b/tests/test_eventlog.py
@@ -1,4 +1,4 @@
-"""The daybook: lines of the whole system's processes, through eliot."""
+"""The event log that processes of the complete system write through eliot."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 Lines = Callable[[], list[str]]
 
 
-def _nowhere(_: dict[str, Any]) -> None:
+def _discard(_: dict[str, Any]) -> None:
     pass
 
 
 @pytest.fixture
 def lines() -> Iterator[Lines]:
-    """A daybook open on a pipe; each call gives what was written since, without its time."""
+    """An event log that writes to a pipe; each call returns the lines since the last call, without timestamps."""
     root = logging.getLogger()
     level, handlers = root.level, root.handlers[:]
     read, write = os.pipe()
     os.set_blocking(read, False)
-    eliot.add_destinations(_nowhere)  # eliot keeps what was noted before the first destination, for that one
-    eliot.remove_destination(_nowhere)
+    eliot.add_destinations(_discard)  # eliot buffers messages for the first destination that is added
+    eliot.remove_destination(_discard)
     eventlog.configure("info", 3, write)
 
-    def since() -> list[str]:
+    def new_lines() -> list[str]:
         try:
             return [line.partition(" ")[2] for line in os.read(read, 65536).decode().splitlines()]
         except BlockingIOError:
             return []
 
-    yield since
+    yield new_lines
     eventlog.EVENT_LOG.close()
     root.handlers[:] = handlers
     root.setLevel(level)
@@ -46,7 +46,7 @@
     os.close(write)
 
 
-def test_a_note_is_one_line_of_pairs_with_its_own_fields(lines: Lines) -> None:
+def test_an_event_is_one_line_of_key_value_pairs(lines: Lines) -> None:
     log_event = eventlog.EventLogger("oakvale.transport.links")
     log_event("view", view=3, primary="10.0.0.1:7340")
     log_event("bad frame", "warning", why='two "words"\n')
@@ -57,20 +57,22 @@
     ]
 
 
-def test_a_fault_and_records_of_logging_come_with_their_traceback_on_the_same_log(lines: Lines) -> None:
+def test_faults_and_logging_records_are_written_to_the_same_log_with_tracebacks(lines: Lines) -> None:
     try:
         raise ValueError("odd")
     except ValueError:
         eventlog.EventLogger("oakvale.transport.links").fault("message failed", kind="news")
         logging.getLogger("oakvale.base.loop").exception("timer failed", extra={"party": "client"})
     logging.getLogger("oakvale.host").debug("unheard")
-    own, taken = lines()
-    assert own.startswith('level=error part=transport.links event="message failed" kind=news traceback="Traceback')
-    assert taken.startswith('level=error part=base.loop event="timer failed" party=client traceback="Trace')
-    assert "ValueError: odd" in own and "ValueError: odd" in taken
+    fault, record = lines()
+    assert fault.startswith('level=error part=transport.links event="message failed" kind=news traceback="Traceback')
+    assert record.startswith('level=error part=base.loop event="timer failed" party=client traceback="Trace')
+    assert "ValueError: odd" in fault and "ValueError: odd" in record
 
 
-def test_lines_of_one_event_are_bounded_and_counted(lines: Lines, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lines_of_an_event_are_rate_limited_and_dropped_ones_are_counted(
+    lines: Lines, monkeypatch: pytest.MonkeyPatch
+) -> None:
     now = 1000.0
     monkeypatch.setattr("oakvale.lifecycle.eventlog.time.time", lambda: now)
     log_event = eventlog.EventLogger("oakvale.ratelimit.service")
@@ -83,6 +85,6 @@
     assert lines() == ["level=info part=ratelimit.service event=counting held_back=7"]
 
 
-def test_the_gateway_in_service_does_without_eliot() -> None:
+def test_the_standalone_gateway_does_not_import_eliot() -> None:
     code = "import sys, oakvale.cli, oakvale.lifecycle.serving; sys.exit('eliot' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code]).returncode == 0
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""The loop: one clock reading a turn, order of parties, timers, descriptors reused, faults kept apart."""
+"""The event loop: clock readings, order of tasks, timers, reused descriptors and isolation of failures."""
 
 import gc
 import os
@@ -17,29 +17,29 @@
 LIMITS = Limits(timer_slack=0, wake_slack=0)
 
 
-def pair() -> tuple[socket.socket, socket.socket]:
-    one, other = socket.socketpair()
-    one.setblocking(False)
-    return one, other
+def socket_pair() -> tuple[socket.socket, socket.socket]:
+    local, remote = socket.socketpair()
+    local.setblocking(False)
+    return local, remote
 
 
-def test_the_clock_reads_unix_time_and_no_step_of_the_system_moves_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_clock_reads_unix_time_and_ignores_steps_of_the_system_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     assert abs(clock() - time.time_ns() // 1000) < 1_000_000
     before = clock()
-    real = time.time_ns
-    monkeypatch.setattr(time, "time_ns", lambda: real() + 3_600_000_000_000)
+    system_time = time.time_ns
+    monkeypatch.setattr(time, "time_ns", lambda: system_time() + 3_600_000_000_000)
     assert 0 <= clock() - before < 1_000_000
 
 
-def test_two_gateways_clocks_agree() -> None:
-    """Counter names hold time slots: gateways that disagreed would count under different names."""
-    one = Clock()
-    other = Clock()
-    assert abs(one() - other()) < 50_000
+def test_clocks_of_two_gateways_agree() -> None:
+    """Counter names contain time slots: gateways whose clocks differ would count under different names."""
+    first = Clock()
+    second = Clock()
+    assert abs(first() - second()) < 50_000
 
 
-def test_one_turn_reads_the_clock_once() -> None:
+def test_a_turn_reads_the_clock_once() -> None:
     clock = FakeClock()
     loop = Loop(clock, LIMITS)
     readings = clock.readings
@@ -49,8 +49,8 @@
     loop.close()
 
 
-def test_a_turn_gives_discovery_first_then_counter_backends_clients_timers() -> None:
-    loop, order, others = Loop(FakeClock(), LIMITS), [], []
+def test_a_turn_handles_discovery_then_counter_then_backends_then_clients_then_timers() -> None:
+    loop, order, sockets = Loop(FakeClock(), LIMITS), [], []
 
     def waits(name: str, sock: socket.socket) -> Coroutine:
         while True:
@@ -58,60 +58,60 @@
             order.append(name)
             sock.recv(1)
 
-    for rank in (Priority.CLIENT, Priority.BACKEND, Priority.DISCOVERY, Priority.COUNTER):
-        one, other = pair()
-        others.append((one, other))
-        loop.start(waits(rank.name, one), one.fileno(), rank)
+    for priority in (Priority.CLIENT, Priority.BACKEND, Priority.DISCOVERY, Priority.COUNTER):
+        local, remote = socket_pair()
+        sockets.append((local, remote))
+        loop.start(waits(priority.name, local), local.fileno(), priority)
     loop.at(loop.now, lambda _: order.append("TIMER"))
-    for _, other in others:
-        other.send(b"x")
+    for _, remote in sockets:
+        remote.send(b"x")
     loop.turn(0)
     assert order == ["DISCOVERY", "COUNTER", "BACKEND", "CLIENT", "TIMER"]
     loop.close()
 
 
-def test_an_event_of_a_descriptor_closed_and_reused_in_the_same_turn_is_passed_over() -> None:
+def test_an_event_for_a_descriptor_closed_and_reused_in_the_same_turn_is_ignored() -> None:
     loop, signals = Loop(FakeClock(), LIMITS), []
-    first, first_other = pair()
-    second, second_other = pair()
+    first, first_remote = socket_pair()
+    second, second_remote = socket_pair()
 
-    def ender() -> Coroutine:
+    def ends_other_task() -> Coroutine:
         yield READ, 0
-        loop.end(victim)  # its descriptor is free, and the next socket gets the same number
-        fresh = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        while fresh.fileno() != number:
-            fresh = fresh.dup()
-        kept.append(fresh)
-        loop.start(newcomer(), number, Priority.CLIENT)
+        loop.end(ended_task)  # frees its descriptor, whose number the next socket gets
+        reused = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        while reused.fileno() != number:
+            reused = reused.dup()
+        open_sockets.append(reused)
+        loop.start(new_task(), number, Priority.CLIENT)
         first.recv(1)
         yield READ, 0
 
-    def old() -> Coroutine:
+    def old_task() -> Coroutine:
         try:
             while True:
                 signals.append(("old", (yield READ, 0)))
         finally:
             second.close()
 
-    def newcomer() -> Coroutine:
+    def new_task() -> Coroutine:
         while True:
             signals.append(("new", (yield 0, 0)))
 
-    kept: list[socket.socket] = []
-    loop.start(ender(), first.fileno(), Priority.COUNTER)
+    open_sockets: list[socket.socket] = []
+    loop.start(ends_other_task(), first.fileno(), Priority.COUNTER)
     number = second.fileno()
-    victim = loop.start(old(), number, Priority.CLIENT)
-    first_other.send(b"x")
-    second_other.send(b"x")
+    ended_task = loop.start(old_task(), number, Priority.CLIENT)
+    first_remote.send(b"x")
+    second_remote.send(b"x")
     loop.turn(0)
-    assert signals == [] and kept[0].fileno() == number
+    assert signals == [] and open_sockets[0].fileno() == number
     loop.close()
 
 
-def test_a_failing_coroutine_is_logged_with_its_traceback_and_ends_alone(caplog: pytest.LogCaptureFixture) -> None:
-    loop, got = Loop(FakeClock(), LIMITS), []
-    one, one_other = pair()
-    two, two_other = pair()
+def test_a_failing_coroutine_is_logged_with_its_traceback_and_others_continue(caplog: pytest.LogCaptureFixture) -> None:
+    loop, received = Loop(FakeClock(), LIMITS), []
+    first, first_remote = socket_pair()
+    second, second_remote = socket_pair()
 
     def fails() -> Coroutine:
         yield READ, 0
@@ -120,21 +120,21 @@
     def works() -> Coroutine:
         while True:
             yield READ, 0
-            got.append(two.recv(1))
+            received.append(second.recv(1))
 
-    loop.start(fails(), one.fileno(), Priority.BACKEND)
-    loop.start(works(), two.fileno(), Priority.CLIENT)
-    one_other.send(b"x")
-    two_other.send(b"x")
+    loop.start(fails(), first.fileno(), Priority.BACKEND)
+    loop.start(works(), second.fileno(), Priority.CLIENT)
+    first_remote.send(b"x")
+    second_remote.send(b"x")
     loop.turn(0)
-    assert got == [b"x"] and caplog.records[0].exc_info and "odd" in caplog.text
-    two_other.send(b"y")
+    assert received == [b"x"] and caplog.records[0].exc_info and "odd" in caplog.text
+    second_remote.send(b"y")
     loop.turn(0)
-    assert got == [b"x", b"y"]
+    assert received == [b"x", b"y"]
     loop.close()
 
 
-def test_a_failing_timer_is_logged_and_the_others_go_on(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_failing_timer_is_logged_and_other_timers_still_run(caplog: pytest.LogCaptureFixture) -> None:
     loop, fired = Loop(FakeClock(), LIMITS), list[int]()
     loop.at(loop.now, lambda _: [].pop())
     loop.at(loop.now, fired.append, 2)
@@ -143,26 +143,26 @@
     loop.close()
 
 
-def test_a_descriptor_left_open_by_what_ended_is_not_told_of_for_ever() -> None:
+def test_a_descriptor_left_open_by_an_ended_task_is_unregistered() -> None:
     loop = Loop(FakeClock(), LIMITS)
-    one, other = pair()
+    local, remote = socket_pair()
 
     def forgets_to_close() -> Coroutine:
         yield READ, 0
 
-    loop.start(forgets_to_close(), one.fileno(), Priority.CLIENT)
-    other.send(b"x")
-    loop.turn(0)  # it ends
-    loop.turn(0)  # its descriptor is found to be nobody's
+    loop.start(forgets_to_close(), local.fileno(), Priority.CLIENT)
+    remote.send(b"x")
+    loop.turn(0)  # the task ends
+    loop.turn(0)  # its descriptor is found to have no task
     assert loop._poller.poll(0) == []
     loop.close()
 
 
-def test_a_descriptor_that_can_not_be_watched_ends_its_coroutine_alone(
+def test_a_descriptor_that_epoll_rejects_ends_only_its_own_coroutine(
     caplog: pytest.LogCaptureFixture, tmp_path: Path
 ) -> None:
     loop, closed = Loop(FakeClock(), LIMITS), []
-    file = (tmp_path / "file").open("w")  # epoll takes no plain file
+    file = (tmp_path / "file").open("w")  # epoll does not support regular files
 
     def waits() -> Coroutine:
         try:
@@ -176,21 +176,21 @@
     loop.close()
 
 
-def test_a_wait_ends_at_its_time_and_a_later_wait_is_not_cut_by_an_earlier_one() -> None:
+def test_a_wait_times_out_and_is_not_cut_short_by_the_timer_of_an_earlier_wait() -> None:
     clock = FakeClock()
     loop, signals = Loop(clock, LIMITS), []
-    one, other = pair()
+    local, remote = socket_pair()
 
     def waits() -> Coroutine:
         signals.append((yield READ, clock.now + 10 * MS))
-        one.recv(1)
+        local.recv(1)
         signals.append((yield READ, clock.now + 50 * MS))
 
-    loop.start(waits(), one.fileno(), Priority.CLIENT)
-    other.send(b"x")
+    loop.start(waits(), local.fileno(), Priority.CLIENT)
+    remote.send(b"x")
     loop.turn(0)
     assert signals == [select.EPOLLIN]
-    clock.now += 20 * MS  # past the first wait's end
+    clock.now += 20 * MS  # after the due time of the first wait
     loop.turn(0)
     assert signals == [select.EPOLLIN]
     clock.now += 30 * MS
@@ -199,29 +199,29 @@
     loop.close()
 
 
-def test_waits_moved_many_times_leave_one_timer() -> None:
-    """A keep-alive connection sets a new idle time with each request: the heap must not grow with them."""
+def test_a_wait_extended_many_times_has_a_single_timer() -> None:
+    """A keep-alive connection sets a new idle timeout for each request: the heap must not grow with them."""
     clock = FakeClock()
     loop = Loop(clock, LIMITS)
-    one, other = pair()
+    local, remote = socket_pair()
 
     def waits() -> Coroutine:
         while True:
             yield READ, clock.now + 60_000 * MS
-            one.recv(1)
+            local.recv(1)
 
-    loop.start(waits(), one.fileno(), Priority.CLIENT)
+    loop.start(waits(), local.fileno(), Priority.CLIENT)
     for _ in range(100):
         clock.now += 1
-        other.send(b"x")
+        remote.send(b"x")
         loop.turn(0)
     assert len(loop._timers) == 1
     loop.close()
 
 
-def test_wakes_and_ends() -> None:
+def test_a_task_woken_twice_resumes_once_and_not_after_its_end() -> None:
     loop, signals, closed = Loop(FakeClock(), LIMITS), [], []
-    one, _other = pair()
+    local, _remote = socket_pair()
 
     def waits() -> Coroutine:
         try:
@@ -230,7 +230,7 @@
         finally:
             closed.append(True)
 
-    task = loop.start(waits(), one.fileno(), Priority.CLIENT)
+    task = loop.start(waits(), local.fileno(), Priority.CLIENT)
     loop.wake(task)
     loop.wake(task)
     loop.turn(0)
@@ -242,7 +242,7 @@
     loop.close()
 
 
-def test_a_timer_may_be_late_by_the_slack_but_goes_with_other_events() -> None:
+def test_a_timer_may_be_late_by_its_slack_but_runs_with_earlier_events() -> None:
     clock = FakeClock()
     loop, fired = Loop(clock, Limits(timer_slack=4 * MS, wake_slack=20 * MS)), list[int]()
     loop.wake_at(clock.now + MS, fired.append, 1)
@@ -250,41 +250,40 @@
     loop.at(clock.now + 2 * MS, fired.append, 2)
     assert loop.wait(1.0) == 0.006
     clock.now += 2 * MS
-    loop.turn(0)  # this turn came anyway
+    loop.turn(0)  # a turn for another reason
     assert fired == [2, 1] and loop.wait(1.0) == 1.0
     loop.close()
 
 
-def test_what_came_while_the_process_stood_still_goes_before_the_timers_that_passed() -> None:
-    """Stopped between its wait and its reading of the clock, a gateway called every call to the counter timed
-    out whose answer lay in the socket."""
+def test_input_that_arrived_during_a_stall_is_handled_before_expired_timers() -> None:
+    """Guards against reporting a counter call as timed out although its response is already in the socket."""
     order: list[str] = []
-    one, other = pair()
+    local, remote = socket_pair()
 
-    class Stops(FakeClock):
+    class StallingClock(FakeClock):
         def __call__(self) -> int:
             if self.readings:
                 self.now += 1_000 * MS
-                other.send(b"x")
+                remote.send(b"x")
             return super().__call__()
 
-    clock = Stops()
+    clock = StallingClock()
     loop = Loop(clock, LIMITS)
 
     def waits() -> Coroutine:
         while True:
             yield READ, 0
-            order.append("answer")
-            one.recv(1)
+            order.append("response")
+            local.recv(1)
 
-    loop.start(waits(), one.fileno(), Priority.COUNTER)
-    loop.at(clock.now + 80 * MS, lambda _: order.append("time-out"))
+    loop.start(waits(), local.fileno(), Priority.COUNTER)
+    loop.at(clock.now + 80 * MS, lambda _: order.append("timeout"))
     loop.turn(0)
-    assert order == ["answer", "time-out"]
+    assert order == ["response", "timeout"]
     loop.close()
 
 
-def test_a_timer_called_off_costs_no_turn() -> None:
+def test_a_cancelled_timer_causes_no_turn() -> None:
     clock = FakeClock()
     loop, fired = Loop(clock, LIMITS), list[int]()
     first = loop.at(clock.now + MS, fired.append, 1)
@@ -297,16 +296,16 @@
     loop.close()
 
 
-def test_an_idle_gateway_still_gives_the_module_its_timers(node: Node) -> None:
-    """The module takes a gap without events as having stood still."""
-    n = Node(script=False)
+def test_an_idle_gateway_still_delivers_timers_to_the_decision_module(node: Node) -> None:
+    """The decision module interprets a gap without events as a stall of the process."""
+    idle_node = Node(script=False)
     for _ in range(40):
-        n.pass_time(250 * MS)
-    assert n.host.gateway.context.resumed_at == 0 and n.host.gateway.context.now == n.clock.now
-    n.close()
+        idle_node.pass_time(250 * MS)
+    assert idle_node.host.gateway.context.resumed_at == 0 and idle_node.host.gateway.context.now == idle_node.clock.now
+    idle_node.close()
 
 
-def test_nothing_is_left_open_when_a_node_closes() -> None:
+def test_no_descriptor_is_left_open_when_a_node_closes() -> None:
     def open_descriptors() -> int:
         return len(os.listdir("/proc/self/fd"))
 
@@ -322,7 +321,7 @@
     assert open_descriptors() <= before
 
 
-def test_the_module_hears_of_one_turn_at_one_time(node: Node) -> None:
+def test_all_events_of_a_turn_reach_the_decision_module_with_the_same_time(node: Node) -> None:
     node.host.dispatch(i.Timer(5))
     node.host.dispatch(i.Timer(6))
     assert node.script.times[-1] == node.script.times[-2] == node.loop.now
