--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The whole system as processes on loopback: the demo, and `oakvale status` of what it runs."""
+"""The complete system as processes on loopback: the demo, and `oakvale status` of its processes."""
 
 from __future__ import annotations
 
@@ -15,8 +15,6 @@
 from tests.helpers import invoke
 
 ROOT = Path(__file__).parent.parent
-
-
 DUTIES = ["gauge/0", "gauge/1", "gauge/2", "gauge/3"]
 
 
@@ -26,33 +24,35 @@
     return dict(line.split("=", 1) for line in result.stdout.splitlines())
 
 
-def duties(told: list[dict[str, str]]) -> list[str]:
-    return sorted(duty for one in told for duty in one.get("duties", "").split(",") if duty.startswith("gauge/"))
+def gauge_duties(statuses: list[dict[str, str]]) -> list[str]:
+    return sorted(
+        duty for fields in statuses for duty in fields.get("duties", "").split(",") if duty.startswith("gauge/")
+    )
 
 
-def one_content_each(ctl: list[str]) -> list[int]:
-    """Two contents under each of 20 numbers, at once at two machines or one after the other; then both again to each
-    machine. Under each number one must get 200 and the other 409, each time; gives the numbers for which that holds."""
-    ends, good = threading.Event(), list[int]()
-    callers = [ControlClient(ctl[n:] + ctl[:n], ends) for n in range(len(ctl))]
+def versions_with_one_content(ctl: list[str]) -> list[int]:
+    """Sends two contents under each of 20 version numbers, alternately in parallel and in sequence, then both again to
+    each machine. Returns the versions for which one content always got 200 and the other always 409."""
+    stop_event, consistent = threading.Event(), list[int]()
+    clients = [ControlClient(ctl[n:] + ctl[:n], stop_event) for n in range(len(ctl))]
 
-    def send(caller: ControlClient, gen: int, idle: int) -> int:
+    def send(client: ControlClient, gen: int, idle: int) -> int:
         limits = CONFIGURATION["limits"] | {"idle": f"{idle}s"}
-        return caller.call("POST", "/oakvale/Config.Replace", CONFIGURATION | {"gen": gen, "limits": limits}).status
+        return client.call("POST", "/oakvale/Config.Replace", CONFIGURATION | {"gen": gen, "limits": limits}).status
 
     with ThreadPoolExecutor(2) as pool:
         for gen in range(2, 22):
             if gen % 2:
-                first = list(pool.map(lambda n: send(callers[n], gen, n), (0, 1)))  # noqa: B023
+                first = list(pool.map(lambda n: send(clients[n], gen, n), (0, 1)))  # noqa: B023
             else:
-                first = [send(callers[n], gen, n) for n in (0, 1)]
-            again = [[send(caller, gen, n) for n in (0, 1)] for caller in callers]
-            if sorted(first) == [200, 409] and again == [first] * len(callers):
-                good.append(gen)
-    return good
+                first = [send(clients[n], gen, n) for n in (0, 1)]
+            repeated = [[send(client, gen, n) for n in (0, 1)] for client in clients]
+            if sorted(first) == [200, 409] and repeated == [first] * len(clients):
+                consistent.append(gen)
+    return consistent
 
 
-def test_a_small_system_serves_tells_how_it_stands_and_ends() -> None:
+def test_a_small_system_serves_a_request_reports_its_status_and_stops() -> None:
     process = subprocess.Popen(
         [sys.executable, "-m", "oakvale", "demo", "--stay"],
         cwd=ROOT,
@@ -61,46 +61,48 @@
         stderr=subprocess.PIPE,
     )
     assert process.stdout is not None
-    watchdog = threading.Timer(60, process.kill)  # what is read below then ends
+    watchdog = threading.Timer(60, process.kill)  # ends the reads below
     watchdog.start()
     try:
-        said = []
+        output = []
         for line in process.stdout:
-            said.append(line.strip())
+            output.append(line.strip())
             if line == "until interrupted\n":
                 break
-        assert said[-1:] == ["until interrupted"], process.stderr and process.stderr.read()
-        assert any("200 GET /calendar/today?chair=2" in line and line.endswith("for north") for line in said)
-        addresses = next(line for line in said if line.startswith("oakvale status: ")).split()[2:]
-        due = time.monotonic() + 10
-        told = [status(address) for address in addresses]
-        while duties(told) != DUTIES and time.monotonic() < due:  # some may still be put to the vote
-            told = [status(address) for address in addresses]
-        good = one_content_each(next(line for line in said if line.startswith("operator and backends: ")).split()[3:])
+        assert output[-1:] == ["until interrupted"], process.stderr and process.stderr.read()
+        assert any("200 GET /calendar/today?chair=2" in line and line.endswith("for north") for line in output)
+        addresses = next(line for line in output if line.startswith("oakvale status: ")).split()[2:]
+        deadline = time.monotonic() + 10
+        statuses = [status(address) for address in addresses]
+        while gauge_duties(statuses) != DUTIES and time.monotonic() < deadline:  # some may still be up for election
+            statuses = [status(address) for address in addresses]
+        consistent = versions_with_one_content(
+            next(line for line in output if line.startswith("operator and backends: ")).split()[3:]
+        )
     finally:
         process.send_signal(signal.SIGTERM)
-        rest, errors = process.communicate()
+        remaining, errors = process.communicate()
         watchdog.cancel()
-    assert (process.returncode, rest) == (130, "stopped\n"), errors
+    assert (process.returncode, remaining) == (130, "stopped\n"), errors
 
-    assert good == list(range(2, 22))
-    core, edge = told[:3], told[3:]
-    assert sorted(t["place"] for t in core) == ["backup", "primary", "witness"]
-    serving = [t for t in core if t["serving"] == "True"]
+    assert consistent == list(range(2, 22))
+    core, edge = statuses[:3], statuses[3:]
+    assert sorted(fields["place"] for fields in core) == ["backup", "primary", "witness"]
+    serving = [fields for fields in core if fields["serving"] == "True"]
     assert len(serving) == 1 and serving[0]["own"] == serving[0]["primary"] == core[0]["primary"]
-    for one in (*serving, *edge):
-        by_kind = {name: int(count) for name, count in one.items() if name.startswith("sent.")}
-        assert sum(by_kind.values()) == int(one["sent_bytes"])
-        assert by_kind["sent.news" if one in serving else "sent.join"] > 0
-        assert (one["gen"], one["gateways"], one["backends.calendar.ready"]) == ("1", "sluice-1,sluice-2", "1")
-    assert all(one["ready"] == one["listed"] == "True" and int(one["news_age_ms"]) >= 0 for one in edge)
-    assert sum(int(one["requests"]) for one in edge) == 1
-    assert duties(told) == DUTIES
-    for one in told:
-        assert one["role"] in one["node"] and int(one["memory_mb"]) > 0 and int(one["links_out"]) > 0
-
-
-def test_who_does_not_answer_is_one_line() -> None:
+    for fields in (*serving, *edge):
+        by_kind = {name: int(count) for name, count in fields.items() if name.startswith("sent.")}
+        assert sum(by_kind.values()) == int(fields["sent_bytes"])
+        assert by_kind["sent.news" if fields in serving else "sent.join"] > 0
+        assert (fields["gen"], fields["gateways"], fields["backends.calendar.ready"]) == ("1", "sluice-1,sluice-2", "1")
+    assert all(fields["ready"] == fields["listed"] == "True" and int(fields["news_age_ms"]) >= 0 for fields in edge)
+    assert sum(int(fields["requests"]) for fields in edge) == 1
+    assert gauge_duties(statuses) == DUTIES
+    for fields in statuses:
+        assert fields["role"] in fields["node"] and int(fields["memory_mb"]) > 0 and int(fields["links_out"]) > 0
+
+
+def test_status_of_an_unreachable_process_fails_with_one_line() -> None:
     for address in ("127.0.0.1:1", "nowhere"):
         result = invoke(["status", address])
         assert result.exit_code == 1 and result.stdout == "" and result.stderr.startswith(f"oakvale: {address}: ")
