--- a/oakvale/adapter/__init__.py
+++ b/oakvale/adapter/__init__.py
@@ -1,5 +1,3 @@
-"""Adapter: runs many gateway instances in one process and connects them to an external simulator's protocol.
-
-It decodes events, passes them to the instances and encodes their actions. It makes no decisions of its own and opens
-no sockets. Start reading at `host`.
+"""Adapter: runs many gateway instances in one process, driven by an external simulator over standard input and
+output. It decodes events and encodes actions, and must neither make decisions nor open a socket. Begin with `host`.
 """
--- a/oakvale/lifecycle/__init__.py
+++ b/oakvale/lifecycle/__init__.py
@@ -1,4 +1,3 @@
-"""Process lifecycle: startup, accepting connections, signals, reload, shutdown, logging and status lines.
-
-It does not inspect requests or attempts. Start reading at `serving`.
+"""Lifecycle: startup and shutdown of a process, accepting connections, signals, reload, logging and status lines.
+It must not inspect requests or attempts. Begin with `serving`.
 """
--- a/tests/test_chunks.py
+++ b/tests/test_chunks.py
@@ -448,7 +448,7 @@
     system.change("config", {"gen": 2, "text": planned_size_configuration(random.Random(4), 2)})
 
     def held() -> list[bool]:
-        feeds = [cast(Any, s.process).works.sluice.feed for s in system.works.edges]
+        feeds = [cast(Any, s.process).works.gateway.feed for s in system.works.edges]
         return [feed.table.get("config")["gen"] == 2 and feed.is_fresh() for feed in feeds]
 
     spans: list[int] = []
