--- a/oakvale/base/configuration.py
+++ b/oakvale/base/configuration.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """The validated configuration; `known` is the last known backend list, served until discovery responds."""
+    """The validated configuration; `known` is the last known backend list, used until discovery responds."""
 
     name: str
     listen: Address
