--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -12,7 +12,7 @@
 import pytest
 
 from oakvale import interface as i
-from oakvale.base.loop import Rank
+from oakvale.base.loop import Priority
 from oakvale.interface import Ending, ListForm
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
@@ -246,7 +246,7 @@
         handled.append("reload")
         raise RuntimeError("odd")
 
-    node.loop.start(signals.run(lambda: handled.append("stop"), reload), signals.fileno(), Rank.DISCOVERY)
+    node.loop.start(signals.run(lambda: handled.append("stop"), reload), signals.fileno(), Priority.DISCOVERY)
     signals._write.send(bytes([signal.SIGHUP, signal.SIGHUP, signal.SIGTERM]))
     node.turns()
     assert handled == ["stop", "reload"] and "signal failed" in caplog.text
