--- a/oakvale/cli.py
+++ b/oakvale/cli.py
@@ -86,7 +86,7 @@
 
     try:
         print("\n".join(check.check(args.kind, args.file)))
-    except check.Wrong as error:
+    except check.CheckError as error:
         fail(error)
 
 
--- a/oakvale/config/bounds.py
+++ b/oakvale/config/bounds.py
@@ -7,12 +7,12 @@
 from oakvale.base.limits import MB, MS, SECOND, Limits
 from oakvale.config.settings import Settings
 
-FILES = 220  # descriptors that are kept for files and the rest of the process
+RESERVED_DESCRIPTORS = 220  # descriptors that are kept for files and the rest of the process
 PEERS = 16  # an eighth of the rest goes to the system's own links
 
 
-def bounds(settings: Settings) -> Limits:
-    own = max(64, settings.nofile - FILES)
+def limits_from_settings(settings: Settings) -> Limits:
+    own = max(64, settings.nofile - RESERVED_DESCRIPTORS)
     grace = settings.bounds.grace
     limits = Limits.fill(
         sockets=own - own // 8,
--- a/oakvale/config/chains.py
+++ b/oakvale/config/chains.py
@@ -17,7 +17,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from oakvale.config.settings import Settings
-from oakvale.config.toml_table import BadFile, read
+from oakvale.config.toml_table import BadFile, read_toml
 
 HEADROOM = 1.0
 
@@ -30,17 +30,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Given:
+class ChainSettings:
     headroom: float = HEADROOM
     above: Mapping[str, str] = field(default_factory=dict)
 
 
-def load(path: str, settings: Settings | None = None) -> Given:
+def load(path: str, settings: Settings | None = None) -> ChainSettings:
     """With the settings, also whether what stands below is there."""
-    return read(path, lambda data: decode(data, settings))
+    return read_toml(path, lambda data: decode(data, settings))
 
 
-def decode(data: dict[str, Any], settings: Settings | None) -> Given:
+def decode(data: dict[str, Any], settings: Settings | None) -> ChainSettings:
     try:
         found = File.model_validate(data)
     except ValidationError as error:
@@ -61,4 +61,4 @@
         for name in found.above.values():
             if name in settings.zones:
                 raise BadFile(f"above: {name} is a zone")
-    return Given(found.headroom, found.above)
+    return ChainSettings(found.headroom, found.above)
--- a/oakvale/config/check.py
+++ b/oakvale/config/check.py
@@ -9,20 +9,23 @@
 from oakvale.config.toml_table import BadFile
 
 
-class Wrong(Exception):
+class CheckError(Exception):
     """One line."""
 
 
 def check(kind: str, path: str) -> list[str]:
     try:
-        return {"settings": of_settings, "deploy": of_deploy, "config": of_config, "contracts": of_contracts}[kind](
-            path
-        )
+        return {
+            "settings": describe_settings,
+            "deploy": describe_deployment,
+            "config": describe_configuration,
+            "contracts": describe_contracts,
+        }[kind](path)
     except BadFile as error:
-        raise Wrong(str(error)) from error
+        raise CheckError(str(error)) from error
 
 
-def of_settings(path: str) -> list[str]:
+def describe_settings(path: str) -> list[str]:
     told = settings.load({"OAKVALE_SETTINGS": path})
     role = {"http": "sluice", "ctl": "headworks"}
     fits = [name for bind, name in role.items() if bind in told.bind]
@@ -40,11 +43,11 @@
         f"clauses: {', '.join(sorted(told.clauses)) or 'none'}",
     ]
     if "ctl" in told.bind and told.datadir is None:
-        raise Wrong(f"{path}: [self] datadir is missing, which a headworks (ctl in [network.bind]) needs")
+        raise CheckError(f"{path}: [self] datadir is missing, which a headworks (ctl in [network.bind]) needs")
     return lines
 
 
-def of_deploy(path: str) -> list[str]:
+def describe_deployment(path: str) -> list[str]:
     found = deploy.load(path)
     return [
         f"build: {found.build}",
@@ -57,15 +60,15 @@
     ]
 
 
-def of_config(path: str) -> list[str]:
+def describe_configuration(path: str) -> list[str]:
     from oakvale.config import model  # slow to import, and no other check needs it
 
     try:
         config = model.parse(Path(path).read_bytes())
     except OSError as error:
-        raise Wrong(f"{path}: cannot be read: {error.strerror}") from error
-    except model.Invalid as error:
-        raise Wrong(f"{path}: {error}") from error
+        raise CheckError(f"{path}: cannot be read: {error.strerror}") from error
+    except model.InvalidConfiguration as error:
+        raise CheckError(f"{path}: {error}") from error
     safe = sum(route.type == "safe" for route in config.routes)
     limited = sum(tenant.rate > 0 for tenant in config.tenants or [])
     keys = sum(len(tenant.apikeys) for tenant in config.tenants or [])
@@ -79,7 +82,7 @@
     ]
 
 
-def of_contracts(path: str) -> list[str]:
+def describe_contracts(path: str) -> list[str]:
     from oakvale.config import contracts  # as above
     from oakvale.drains.hours import DAY
 
--- a/oakvale/config/contracts.py
+++ b/oakvale/config/contracts.py
@@ -14,40 +14,40 @@
 
 from pydantic import AwareDatetime, BaseModel, BeforeValidator, ConfigDict, Field, ValidationError
 
-from oakvale.config.toml_table import BadFile, read
+from oakvale.config.toml_table import BadFile, read_toml
 from oakvale.drains import hours
 
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
-TIME = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])|24:00")
-LONG = re.compile(r"([0-9]{1,5})([dhms])")
-UNITS = {"d": hours.DAY, "h": hours.DAY // 24, "m": hours.DAY // 1440, "s": hours.SECOND}
+TIME_PATTERN = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])|24:00")
+SPAN_PATTERN = re.compile(r"([0-9]{1,5})([dhms])")
+SPAN_UNITS_US = {"d": hours.DAY, "h": hours.DAY // 24, "m": hours.DAY // 1440, "s": hours.SECOND}
 
 
-def minute(text: object) -> int:
-    found = TIME.fullmatch(text) if isinstance(text, str) else None
+def parse_time_of_day(text: object) -> int:
+    found = TIME_PATTERN.fullmatch(text) if isinstance(text, str) else None
     if found is None:
         raise ValueError(f"not a time of day such as 06:30 or 24:00: {text!r}")
     return hours.MINUTES if found[1] is None else int(found[1]) * 60 + int(found[2])
 
 
-def long(text: object) -> int:
-    found = LONG.fullmatch(text) if isinstance(text, str) else None
+def parse_span(text: object) -> int:
+    found = SPAN_PATTERN.fullmatch(text) if isinstance(text, str) else None
     if found is None:
         raise ValueError(f"not a span such as 14d, 36h or 90m: {text!r}")
-    return int(found[1]) * UNITS[found[2]]
+    return int(found[1]) * SPAN_UNITS_US[found[2]]
 
 
-T = TypeVar("T", bound=BaseModel)
-Minute = Annotated[int, BeforeValidator(minute)]
+Model = TypeVar("Model", bound=BaseModel)
+MinuteOfDay = Annotated[int, BeforeValidator(parse_time_of_day)]
 
 
-class Part(BaseModel):
+class StrictModel(BaseModel):
     model_config = ConfigDict(extra="forbid", frozen=True, populate_by_name=True)
 
 
-class Hours(Part):
-    begin: Annotated[Minute, Field(alias="from")]
-    end: Annotated[Minute, Field(alias="to")]
+class TimeRange(StrictModel):
+    begin: Annotated[MinuteOfDay, Field(alias="from")]
+    end: Annotated[MinuteOfDay, Field(alias="to")]
 
     def span(self) -> hours.Span:
         if self.begin == self.end:
@@ -57,24 +57,24 @@
         return hours.Span(self.begin, self.end)
 
 
-class Weekly(Hours):
+class WeeklyRange(TimeRange):
     days: Annotated[list[Literal["mon", "tue", "wed", "thu", "fri", "sat", "sun"]], Field(min_length=1)]
 
 
-class Exceptional(Part):
+class DateException(StrictModel):
     on: Annotated[date, Field(alias="date")]
-    hours: list[Hours] = []
+    hours: list[TimeRange] = []
 
 
-class Contract(Part):
+class Contract(StrictModel):
     tenant: Annotated[str, Field(min_length=1)]
     zone: str
-    notice: Annotated[int, BeforeValidator(long)] = 31 * hours.DAY
-    hours: list[Weekly]
-    exceptions: list[Exceptional] = []
+    notice: Annotated[int, BeforeValidator(parse_span)] = 31 * hours.DAY
+    hours: list[WeeklyRange]
+    exceptions: list[DateException] = []
 
 
-class Written(Part):
+class ScheduledOrder(StrictModel):
     """An order that stands in the file: given once, by the primary, so long after it first served with the file."""
 
     name: Annotated[str, Field(pattern=r"^[0-9A-Za-z._-]{1,64}$")]
@@ -82,29 +82,29 @@
     target: Annotated[str, Field(min_length=1)]
     by: Annotated[str, Field(min_length=1)]
     why: Annotated[str, Field(min_length=1)]
-    after: Annotated[int, BeforeValidator(long)] = 0
-    within: Annotated[int, BeforeValidator(long)]  # from when it is given
+    after: Annotated[int, BeforeValidator(parse_span)] = 0
+    within: Annotated[int, BeforeValidator(parse_span)]  # from when it is given
 
 
-class File(Part):
+class ContractsFile(StrictModel):
     contract: list[Contract] = []
-    order: list[Written] = []
+    order: list[ScheduledOrder] = []
 
 
 @dataclass(slots=True, frozen=True)
 class Contracts:
     by_tenant: dict[str, hours.Contract]  # `*`: of all that have none of their own
-    orders: tuple[Written, ...] = ()
+    orders: tuple[ScheduledOrder, ...] = ()
 
 
 def load(path: str) -> Contracts:
     """Raises BadFile with the file, the tenant and the field."""
-    return read(path, decode)
+    return read_toml(path, decode)
 
 
 def decode(data: dict[str, Any]) -> Contracts:
     try:
-        found = File.model_validate(data)
+        found = ContractsFile.model_validate(data)
     except ValidationError as error:
         first = error.errors()[0]
         place = list(first["loc"])
@@ -142,14 +142,14 @@
     return Contracts(contracts, tuple(found.order))
 
 
-def _span(where: str, field: str, found: Hours) -> hours.Span:
+def _span(where: str, field: str, found: TimeRange) -> hours.Span:
     try:
         return found.span()
     except ValueError as error:
         raise BadFile(f"{where}: {field}: {error}") from error
 
 
-class Order(Part):
+class DrainOrder(StrictModel):
     """What an operator sends for a drain. A time without its zone would be read two ways, so it is refused."""
 
     kind: Literal["gateway", "backend", "zone"]
@@ -162,19 +162,19 @@
         return round((self.due - datetime(1970, 1, 1, tzinfo=UTC)).total_seconds() * hours.SECOND)
 
 
-class Cancelled(Part):
+class Cancellation(StrictModel):
     by: Annotated[str, Field(min_length=1)]
     why: Annotated[str, Field(min_length=1)]
 
 
-class BadOrder(Exception):
+class InvalidOrder(Exception):
     """One line: the field and what is wrong with it."""
 
 
-def order(form: type[T], body: bytes) -> T:
-    """Raises BadOrder."""
+def parse_order(form: type[Model], body: bytes) -> Model:
+    """Raises InvalidOrder."""
     try:
         return form.model_validate_json(body)
     except ValidationError as error:
         first = error.errors()[0]
-        raise BadOrder(f"{'.'.join(map(str, first['loc'])) or 'body'}: {first['msg']}") from error
+        raise InvalidOrder(f"{'.'.join(map(str, first['loc'])) or 'body'}: {first['msg']}") from error
--- a/oakvale/config/deploy.py
+++ b/oakvale/config/deploy.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 from oakvale.config import packages
-from oakvale.config.toml_table import BadFile, Table, read
+from oakvale.config.toml_table import BadFile, Table, read_toml
 
-FIELDS = ("run", "on", "share", "count", "serves", "apart")
-SERVED = ("edge", "ctl")
-MOST = 2  # roles on a machine
-NO_PROGRAMS = ("sh", "bash", "dash", "zsh", "env", "npx")  # shells and helpers
+ROLE_FIELDS = ("run", "on", "share", "count", "serves", "apart")
+SERVED_INTERFACES = ("edge", "ctl")
+MAX_ROLES_PER_CLASS = 2  # roles on a machine
+SHELLS_AND_WRAPPERS = ("sh", "bash", "dash", "zsh", "env", "npx")  # shells and helpers
 
 
 @dataclass(slots=True, frozen=True)
@@ -43,14 +43,14 @@
 
 def load(path: str) -> Deploy:
     """Raises BadFile."""
-    return read(path, decode)
+    return read_toml(path, decode)
 
 
 def decode(data: dict[str, Any]) -> Deploy:
     whole = Table(data, "")
-    build, tables = whole.text("build"), whole.table("roles")
+    build, tables = whole.string("build"), whole.table("roles")
     if not tables.keys():
-        raise whole.wrong("[roles]", "holds no role")
+        raise whole.field_error("[roles]", "holds no role")
     roles = tuple(_role(name, tables.table(name)) for name in tables.keys())
     classes: dict[str, list[Role]] = {}
     for role in roles:
@@ -59,9 +59,9 @@
             if both := set(role.serves) & set(other.serves):
                 raise BadFile(f"[roles.{role.name}] serves {min(both)!r} on {role.on}, as [roles.{other.name}] does")
         others.append(role)
-        if len(others) > MOST:
-            raise BadFile(f"[roles.{role.name}] on: {role.on} has {MOST} roles already")
-    for what in SERVED:
+        if len(others) > MAX_ROLES_PER_CLASS:
+            raise BadFile(f"[roles.{role.name}] on: {role.on} has {MAX_ROLES_PER_CLASS} roles already")
+    for what in SERVED_INTERFACES:
         if not any(what in role.serves for role in roles):
             raise BadFile(f"[roles] no role serves {what!r}")
     return Deploy(build, *_packages(whole, build, roles), roles)
@@ -73,44 +73,44 @@
     Raises BadFile where the list is not one, or lacks what `build` or a role calls.
     """
     whole.get("packages", list)
-    listed = whole.texts("packages")
+    listed = whole.strings("packages")
     if odd := [name for name in listed if not packages.is_name(name)]:
-        raise whole.wrong("packages", f"holds what is no package's name: {odd[0]!r}")
+        raise whole.field_error("packages", f"holds what is no package's name: {odd[0]!r}")
     if len(set(listed)) < len(listed):
-        raise whole.wrong("packages", "names a package twice")
+        raise whole.field_error("packages", "names a package twice")
     try:
         packages.check_commands(packages.commands_of(build), listed)
     except ValueError as error:
-        raise whole.wrong("build:", f"is no command of a shell: {error}") from error
-    except packages.Unlisted as error:
-        raise whole.wrong("build:", str(error)) from error
+        raise whole.field_error("build:", f"is no command of a shell: {error}") from error
+    except packages.UnlistedCommand as error:
+        raise whole.field_error("build:", str(error)) from error
     for role in roles:
         try:
             packages.check_commands([role.run], listed)
-        except packages.Unlisted as error:
+        except packages.UnlistedCommand as error:
             raise BadFile(f"[roles.{role.name}] run: {error}") from error
     try:
         return listed, packages.check_python(listed)
     except packages.UnsupportedPython as error:
-        raise whole.wrong("packages:", str(error)) from error
+        raise whole.field_error("packages:", str(error)) from error
 
 
 def _role(name: str, table: Table) -> Role:
-    if odd := [field for field in table.keys() if field not in FIELDS]:
-        raise table.wrong(odd[0], f"is not known (there are {', '.join(FIELDS)})")
-    run, on = tuple(table.text("run").split(" ")), table.text("on")
+    if odd := [field for field in table.keys() if field not in ROLE_FIELDS]:
+        raise table.field_error(odd[0], f"is not known (there are {', '.join(ROLE_FIELDS)})")
+    run, on = tuple(table.string("run").split(" ")), table.string("on")
     if "" in run:
-        raise table.wrong("run", "has a space too many: it is split at each")
-    if run[0].rpartition("/")[2] in NO_PROGRAMS:
-        raise table.wrong("run:", f"{run[0]!r} is a shell or a helper, not the program")
+        raise table.field_error("run", "has a space too many: it is split at each")
+    if run[0].rpartition("/")[2] in SHELLS_AND_WRAPPERS:
+        raise table.field_error("run:", f"{run[0]!r} is a shell or a helper, not the program")
     share, count = table.get("share", (int, float), None), table.get("count", int, None)
     if (share is None) == (count is None):
-        raise table.wrong("needs", "one of share and count")
+        raise table.field_error("needs", "one of share and count")
     if share is not None and not 0 < share <= 1:
-        raise table.wrong("share", f"is not over 0 and up to 1: {share!r}")
+        raise table.field_error("share", f"is not over 0 and up to 1: {share!r}")
     if count is not None and count < 1:
-        raise table.wrong("count", f"is not a whole number from 1 on: {count!r}")
-    serves, apart = table.texts("serves"), table.get("apart", bool, False)
-    if any(what not in SERVED for what in serves):
-        raise table.wrong("serves", f"is not a list of {' and '.join(SERVED)}: {list(serves)!r}")
+        raise table.field_error("count", f"is not a whole number from 1 on: {count!r}")
+    serves, apart = table.strings("serves"), table.get("apart", bool, False)
+    if any(what not in SERVED_INTERFACES for what in serves):
+        raise table.field_error("serves", f"is not a list of {' and '.join(SERVED_INTERFACES)}: {list(serves)!r}")
     return Role(name, run, on, None if share is None else float(share), count, serves, apart)
--- a/oakvale/config/durations.py
+++ b/oakvale/config/durations.py
@@ -8,7 +8,7 @@
 MICROS = {"ms": 1_000, "s": 1_000_000}
 
 
-def micros(text: object) -> int:
+def parse_duration(text: object) -> int:
     """`1500ms` or `2.5s` in microseconds; raises ValueError for anything else."""
     found = TIME.fullmatch(text) if isinstance(text, str) else None
     if found is None:
--- a/oakvale/config/model.py
+++ b/oakvale/config/model.py
@@ -20,35 +20,35 @@
 import orjson
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, TypeAdapter, ValidationError
 
-from oakvale.config.durations import micros
+from oakvale.config.durations import parse_duration
 
-MINUTE = 60_000_000
-DIGEST = 16  # bytes of BLAKE2b
-LARGE = 100_000  # bytes of a text that is not read in one go, some 15 ms
-SLICE = 4_000  # rows that are checked in one step, about 20 ms
-Micros = Annotated[int, BeforeValidator(micros)]
+MINUTE_US = 60_000_000
+DIGEST_BYTES = 16  # bytes of BLAKE2b
+SINGLE_STEP_MAX_BYTES = 100_000  # bytes of a text that is not read in one go, some 15 ms
+ROWS_PER_STEP = 4_000  # rows that are checked in one step, about 20 ms
+DurationUs = Annotated[int, BeforeValidator(parse_duration)]
 
 
-class Invalid(Exception):
+class InvalidConfiguration(Exception):
     """One line: the place, the field, what is wrong."""
 
 
-class Part(BaseModel):
+class ConfigurationPart(BaseModel):
     model_config = ConfigDict(extra="ignore", frozen=True, populate_by_name=True)
 
 
-class Split(Part):
+class Split(ConfigurationPart):
     svc: str
     wt: Annotated[float, Field(ge=0)]
 
 
-class Route(Part):
+class Route(ConfigurationPart):
     name: str
     vhost: Annotated[str, Field(min_length=1)]
     prefix: Annotated[str, Field(pattern=r"^/(.*/)?$")]
     type: Annotated[str, Field(pattern="^(safe|unsafe)$")]
-    deadline: Micros
-    target_time: Micros | None = None
+    deadline: DurationUs
+    target_time: DurationUs | None = None
     prio: int = 0
     split: list[Split] | None = None
     svc: str | None = None
@@ -56,13 +56,13 @@
     public: bool = False
 
 
-class Service(Part):
+class Service(ConfigurationPart):
     name: str
     hcheck: str | None = None
     max_conns: Annotated[int | None, Field(alias="max-conns")] = None
 
 
-class Tenant(Part):
+class Tenant(ConfigurationPart):
     name: str
     apikeys: list[str]
     prio: int | None = None
@@ -70,14 +70,14 @@
     burst: Annotated[float, Field(ge=0)] = 0.0
 
 
-class Limits(Part):
+class Limits(ConfigurationPart):
     hdr_bytes: Annotated[int | None, Field(alias="hdr-bytes")] = None
     body_bytes: Annotated[int | None, Field(alias="body-bytes")] = None
-    hdr: Micros | None = None
-    idle: Micros | None = None
+    hdr: DurationUs | None = None
+    idle: DurationUs | None = None
 
 
-class Configuration(Part):
+class Configuration(ConfigurationPart):
     gen: int
     routes: list[Route]
     svcs: list[Service]
@@ -85,7 +85,7 @@
     tenants: list[Tenant] | None = None
 
 
-Read = tuple[Configuration, bytes]
+ParsedConfiguration = tuple[Configuration, bytes]
 T = TypeVar("T")
 TABLES: dict[str, TypeAdapter[list[Any]]] = {
     "routes": TypeAdapter(list[Route]),
@@ -94,52 +94,52 @@
 }
 
 
-def records(table: Any, place: str) -> list[dict[str, Any]]:
+def rows_to_objects(table: Any, place: str) -> list[dict[str, Any]]:
     """The rows of a table as objects; null is a field that is left out."""
     if not isinstance(table, dict) or not all(isinstance(table.get(part), list) for part in ("cols", "rows")):
-        raise Invalid(f"{place}: no cols or rows")
+        raise InvalidConfiguration(f"{place}: no cols or rows")
     names = table["cols"]
     if not all(isinstance(name, str) for name in names):
-        raise Invalid(f"{place}.cols: a name is no text")
+        raise InvalidConfiguration(f"{place}.cols: a name is no text")
     if len(set(names)) != len(names):
-        raise Invalid(f"{place}.cols: a name is there twice")
+        raise InvalidConfiguration(f"{place}.cols: a name is there twice")
     found = []
     for at, row in enumerate(table["rows"]):
         if not isinstance(row, list) or len(row) != len(names):
-            raise Invalid(f"{place}.rows[{at}]: not {len(names)} values")
+            raise InvalidConfiguration(f"{place}.rows[{at}]: not {len(names)} values")
         found.append({name: value for name, value in zip(names, row, strict=True) if value is not None})
     return found
 
 
 def parse(text: bytes) -> Configuration:
     """A configuration from what the operator sent; raises Invalid."""
-    return read(text)[0]
+    return parse_with_digest(text)[0]
 
 
-def read(text: bytes) -> Read:
+def parse_with_digest(text: bytes) -> ParsedConfiguration:
     """The same, and the digest of its content."""
-    steps = reading(text)
+    steps = parse_in_steps(text)
     while True:
         try:
             next(steps)
         except StopIteration as ended:
-            found: Read = ended.value
+            found: ParsedConfiguration = ended.value
             return found
 
 
-def reading(text: bytes) -> Generator[None, None, Read]:
+def parse_in_steps(text: bytes) -> Generator[None, None, ParsedConfiguration]:
     """The same in steps, none of which takes much longer than it takes to read the JSON: for who has more to do."""
-    large = len(text) > LARGE
+    large = len(text) > SINGLE_STEP_MAX_BYTES
     plain, rest = _plain(text)
     if large:
         yield
     said = orjson.dumps([plain, rest], option=orjson.OPT_SORT_KEYS)
-    digest = blake2b(said, digest_size=DIGEST).digest()
+    digest = blake2b(said, digest_size=DIGEST_BYTES).digest()
     plain = {name: value for name, value in plain.items() if value is not None}
     for name, kind in TABLES.items():
         rows, made = plain.get(name, []), list[Any]()
-        for at in range(0, len(rows), SLICE):
-            made += _valid(kind.validate_python, rows[at : at + SLICE], name, at)
+        for at in range(0, len(rows), ROWS_PER_STEP):
+            made += _valid(kind.validate_python, rows[at : at + ROWS_PER_STEP], name, at)
             if large:
                 yield
         if rows:
@@ -147,7 +147,7 @@
     found = _valid(Configuration.model_validate, plain)
     if large:
         yield
-    check(found)
+    check_consistency(found)
     return found, digest
 
 
@@ -160,7 +160,7 @@
         place = list(first["loc"])
         if table:
             place = [table, before + int(place[0]), *place[1:]]
-        raise Invalid(f"{'.'.join(map(str, place))}: {first['msg']}") from error
+        raise InvalidConfiguration(f"{'.'.join(map(str, place))}: {first['msg']}") from error
 
 
 def _plain(text: bytes) -> tuple[dict[str, Any], dict[str, Any]]:
@@ -168,43 +168,43 @@
     try:
         data = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise Invalid(f"not JSON: {error}") from error
+        raise InvalidConfiguration(f"not JSON: {error}") from error
     if not isinstance(data, dict):
-        raise Invalid("no object")
+        raise InvalidConfiguration("no object")
     rest = {}
     for name in TABLES:
         if data.get(name) is not None:
             table = data[name]
-            data[name] = records(table, name)
+            data[name] = rows_to_objects(table, name)
             rest[name] = {part: value for part, value in table.items() if part not in ("cols", "rows")}
     return data, rest
 
 
-def check(config: Configuration) -> None:
+def check_consistency(config: Configuration) -> None:
     services = {service.name for service in config.svcs}
     if len(services) != len(config.svcs):
-        raise Invalid("svcs: two services have one name")
+        raise InvalidConfiguration("svcs: two services have one name")
     places: dict[tuple[str, str], str] = {}
     for route in config.routes:
         where = f"routes.{route.name}"
         if route.split is None and route.svc is None:
-            raise Invalid(f"{where}: neither svc nor split")
+            raise InvalidConfiguration(f"{where}: neither svc nor split")
         named = [part.svc for part in route.split or []] + ([] if route.svc is None else [route.svc])
         for name in named:
             if name not in services:
-                raise Invalid(f"{where}: unknown service {name!r}")
+                raise InvalidConfiguration(f"{where}: unknown service {name!r}")
         if route.split is not None and not sum(part.wt for part in route.split) > 0:
-            raise Invalid(f"{where}.split: no weight")
+            raise InvalidConfiguration(f"{where}.split: no weight")
         place = (route.vhost.lower(), route.prefix)
         if place in places:
-            raise Invalid(f"{where}: host and prefix of {places[place]}")
+            raise InvalidConfiguration(f"{where}: host and prefix of {places[place]}")
         places[place] = route.name
         if route.deadline <= 0:
-            raise Invalid(f"{where}.deadline: not above 0")
-        if route.target_time is not None and route.target_time - route.deadline >= MINUTE:
-            raise Invalid(f"{where}.target_time: a minute or more above deadline")
+            raise InvalidConfiguration(f"{where}.deadline: not above 0")
+        if route.target_time is not None and route.target_time - route.deadline >= MINUTE_US:
+            raise InvalidConfiguration(f"{where}.target_time: a minute or more above deadline")
     holders: dict[str, str] = {}
     for tenant in config.tenants or []:
         for key in tenant.apikeys:
             if holders.setdefault(key, tenant.name) != tenant.name:
-                raise Invalid(f"tenants.{tenant.name}.apikeys: a key of {holders[key]}")
+                raise InvalidConfiguration(f"tenants.{tenant.name}.apikeys: a key of {holders[key]}")
--- a/oakvale/config/packages.py
+++ b/oakvale/config/packages.py
@@ -55,7 +55,7 @@
 """Modules run with `python3 -m` that `python3` alone does not bring, with the package that does."""
 
 
-class Unlisted(Exception):
+class UnlistedCommand(Exception):
     """A command needs what no listed package brings. One line, naming the command."""
 
 
@@ -68,19 +68,19 @@
 
 
 def check_commands(commands: Iterable[Sequence[str]], packages: Sequence[str]) -> None:
-    """Each command is a program with its arguments. Raises Unlisted."""
+    """Each command is a program with its arguments. Raises UnlistedCommand."""
     listed = set(packages)
     for words in commands:
         program = words[0]
         if program in SHELL_BUILTINS:
             continue
         if "/" in program:
-            raise Unlisted(f"{program!r} is named by its path, so no listed package can be shown to bring it")
+            raise UnlistedCommand(f"{program!r} is named by its path, so no listed package can be shown to bring it")
         if not any(program in _programs(package) for package in listed):
-            raise Unlisted(f"{program!r} is brought by no listed package{_advice(program)}")
+            raise UnlistedCommand(f"{program!r} is brought by no listed package{_advice(program)}")
         module = _module(words)
         if module in MODULES and MODULES[module] not in listed:
-            raise Unlisted(f"'{program} -m {module}' needs {MODULES[module]}, which is not listed")
+            raise UnlistedCommand(f"'{program} -m {module}' needs {MODULES[module]}, which is not listed")
 
 
 def commands_of(script: str) -> list[list[str]]:
--- a/oakvale/config/settings_watch.py
+++ b/oakvale/config/settings_watch.py
@@ -15,36 +15,36 @@
 from oakvale.config.toml_table import BadFile
 from oakvale.lifecycle.eventlog import EventLogger
 
-LOOK = 2_000_000  # microseconds between two looks at the file
+CHECK_INTERVAL_US = 2_000_000  # microseconds between two looks at the file
 
 log_event = EventLogger(__name__)
 
 
 class SettingsWatch:
     def __init__(
-        self, loop: Loop, environment: Mapping[str, str], settings: Settings, told: Callable[[Settings], None]
+        self, loop: Loop, environment: Mapping[str, str], settings: Settings, on_change: Callable[[Settings], None]
     ) -> None:
-        self._loop, self._environment, self._told = loop, environment, told
+        self._loop, self._environment, self._on_change = loop, environment, on_change
         self._path = environment.get("OAKVALE_SETTINGS") or DEFAULT_PATH
         self.settings = settings
-        self._seen = self._stamp()
-        loop.at(loop.now + LOOK, self._look)
+        self._last_stamp = self._file_stamp()
+        loop.at(loop.now + CHECK_INTERVAL_US, self._check_file)
 
-    def _stamp(self) -> tuple[int, int] | None:
+    def _file_stamp(self) -> tuple[int, int] | None:
         try:
             found = os.stat(self._path)
         except OSError:
             return None
         return found.st_mtime_ns, found.st_size
 
-    def _look(self, _: object) -> None:
-        self._loop.at(self._loop.now + LOOK, self._look)
-        stamp = self._stamp()
-        if stamp is not None and stamp != self._seen:
-            self.again()
+    def _check_file(self, _: object) -> None:
+        self._loop.at(self._loop.now + CHECK_INTERVAL_US, self._check_file)
+        stamp = self._file_stamp()
+        if stamp is not None and stamp != self._last_stamp:
+            self.reload()
 
-    def again(self) -> None:
-        self._seen = self._stamp()
+    def reload(self) -> None:
+        self._last_stamp = self._file_stamp()
         try:
             fresh = load(self._environment)
         except BadFile as error:
@@ -55,4 +55,4 @@
             return
         kept = replace(was, seeds=fresh.seeds) != fresh
         log_event("settings", seeds=",".join(f"{ip}:{port}" for ip, port in fresh.seeds), needs_restart=kept)
-        self._told(fresh)
+        self._on_change(fresh)
--- a/oakvale/config/toml_table.py
+++ b/oakvale/config/toml_table.py
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 from oakvale.base.address import Address, parse_address
-from oakvale.config.durations import micros
+from oakvale.config.durations import parse_duration
 
 T = TypeVar("T")
 
@@ -17,7 +17,7 @@
     """One line: the file, the place, the field, what is wrong with it."""
 
 
-def read(path: str, decode: Callable[[dict[str, Any]], T]) -> T:
+def read_toml(path: str, decode: Callable[[dict[str, Any]], T]) -> T:
     """Raises BadFile."""
     try:
         data = tomllib.loads(Path(path).read_text())
@@ -41,7 +41,7 @@
             raise BadFile(f"[{place}] is not a table")
         self._data, self._place = data, place
 
-    def wrong(self, name: str, why: str) -> BadFile:
+    def field_error(self, name: str, why: str) -> BadFile:
         place = f"[{self._place}] " if self._place else ""
         return BadFile(f"{place}{name} {why}")
 
@@ -51,38 +51,38 @@
     def get(self, name: str, kind: type | tuple[type, ...], default: Any = ...) -> Any:
         value = self._data.get(name, default)
         if value is ...:
-            raise self.wrong(name, "is missing")
+            raise self.field_error(name, "is missing")
         odd = not isinstance(value, kind) or isinstance(value, bool) and kind is not bool
         if value is not default and odd:
-            raise self.wrong(name, f"is not understood: {value!r}")
+            raise self.field_error(name, f"is not understood: {value!r}")
         return value
 
-    def text(self, name: str) -> str:
+    def string(self, name: str) -> str:
         """One that says something."""
         found: str = self.get(name, str)
         if not found.strip():
-            raise self.wrong(name, "is empty")
+            raise self.field_error(name, "is empty")
         return found
 
-    def time(self, name: str, default: int) -> int:
+    def duration(self, name: str, default: int) -> int:
         value = self._data.get(name)
         if value is None:
             return default
         try:
-            return micros(value)
+            return parse_duration(value)
         except ValueError as error:
-            raise self.wrong(f"{name}:", str(error)) from error
+            raise self.field_error(f"{name}:", str(error)) from error
 
-    def texts(self, name: str) -> tuple[str, ...]:
+    def strings(self, name: str) -> tuple[str, ...]:
         found = self.get(name, list, [])
         if not all(isinstance(text, str) for text in found):
-            raise self.wrong(name, f"holds what is not a text: {found!r}")
+            raise self.field_error(name, f"holds what is not a text: {found!r}")
         return tuple(found)
 
     def addresses(self, name: str) -> tuple[Address, ...]:
         found = tuple(parse_address(text) for text in self.get(name, list, []))
         if None in found:
-            raise self.wrong(name, "holds what is not host:port")
+            raise self.field_error(name, "holds what is not host:port")
         return tuple(address for address in found if address is not None)
 
     def keys(self) -> list[str]:
--- a/oakvale/controlplane/failover_planning.py
+++ b/oakvale/controlplane/failover_planning.py
@@ -18,7 +18,7 @@
 from oakvale.transport.links import Answer, Connection, Transport
 
 if TYPE_CHECKING:
-    from oakvale.config.chains import Given  # slow to import; most systems have no chains
+    from oakvale.config.chains import ChainSettings  # slow to import; most systems have no chains
 
 CHECK_INTERVAL_US = 1_000_000
 MIN_PLAN_INTERVAL_US = 5_000_000  # keeps a wave of load from causing a stream of updates
@@ -43,7 +43,7 @@
         loop: Loop,
         transport: Transport,
         settings: Settings,
-        chain_settings: Given | None,
+        chain_settings: ChainSettings | None,
     ) -> None:
         self._core, self._backends, self._loop, self._chain_settings, self._settings = (
             core,
--- a/oakvale/controlplane/process.py
+++ b/oakvale/controlplane/process.py
@@ -13,7 +13,7 @@
 
 from oakvale.base.loop import Clock, Loop, Rank
 from oakvale.base.net import Sock
-from oakvale.config.bounds import bounds
+from oakvale.config.bounds import limits_from_settings
 from oakvale.config.settings import Settings
 from oakvale.config.settings_watch import SettingsWatch
 from oakvale.config.toml_table import BadFile
@@ -33,7 +33,7 @@
 from oakvale.transport.status_service import serve_status
 
 if TYPE_CHECKING:
-    from oakvale.config.chains import Given
+    from oakvale.config.chains import ChainSettings
     from oakvale.controlplane.drains import DrainManager
 
 log_event = EventLogger(__name__)
@@ -79,7 +79,7 @@
         GatewayRegistry(core, voter_service, loop, self.transport)
         Compactor(core, loop)
         serve_status(self.transport, "headworks", settings.node, lambda: core_status(core))
-        self.shared = SharedResources(loop, bounds(settings))
+        self.shared = SharedResources(loop, limits_from_settings(settings))
         self._ctl = ControlServer(self.shared, core, settings)
         self.acceptor = Acceptor(self._ctl, listeners["ctl"], loop)
         self._drains: DrainManager | None = None
@@ -91,7 +91,7 @@
         self.transport.close_idle_links()
         self.loop.at(self.loop.now + TRANSPORT_SWEEP_INTERVAL_US, self._sweep)
 
-    def plan_failover(self, settings: Settings, chain_settings: Given | None) -> None:
+    def plan_failover(self, settings: Settings, chain_settings: ChainSettings | None) -> None:
         """Starts failover planning; without `chain_settings` it only removes earlier plans."""
         FailoverPlanner(self.core, self._ctl.backends, self.loop, self.transport, settings, chain_settings)
 
@@ -123,14 +123,14 @@
     datadir = settings.datadir
     if datadir is None or "ctl" not in settings.bind:
         raise BadFile("headworks needs [self] datadir and [network.bind] ctl")
-    loop = Loop(Clock(), bounds(settings))
+    loop = Loop(Clock(), limits_from_settings(settings))
     process = Process(settings, listeners, loop, lambda: _open_storage(loop, datadir))
     process.plan_failover(settings, chain_settings)
     watch = SettingsWatch(loop, os.environ, settings, lambda fresh: process.know(fresh.seeds))
     process.core.on_serving_change.append(lambda serves: _preload_config_model(loop) if serves else None)
 
     def reload() -> None:
-        watch.again()
+        watch.reload()
         process.load_contracts(settings)
 
     process.load_contracts(settings)
--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -16,7 +16,7 @@
 
 from oakvale.base.address import parse_address, spelled
 from oakvale.base.loop import Loop
-from oakvale.config.durations import micros
+from oakvale.config.durations import parse_duration
 from oakvale.config.settings import Settings
 from oakvale.controlplane.compaction import RETENTION_US
 from oakvale.controlplane.core import Core
@@ -25,7 +25,7 @@
 from oakvale.lifecycle.eventlog import EventLogger
 
 if TYPE_CHECKING:  # imported only with contracts, or on a primary
-    from oakvale.config.model import Configuration, Read
+    from oakvale.config.model import Configuration, ParsedConfiguration
     from oakvale.controlplane.drains import DrainManager
 
 JSON = (b"content-type", b"application/json")
@@ -99,7 +99,8 @@
         self._checked: dict[bytes, CheckedConfig] = {}  # by digest of the text; the latest valid ones
         # by digest of the text: texts to be checked, and the callers that wait for each
         self._queue: dict[bytes, tuple[bytes, list[ReplyCallback]]] = {}
-        self._check_steps: Generator[None, None, Read] | None = None  # the running check of the first queued text
+        # the running check of the first queued text
+        self._check_steps: Generator[None, None, ParsedConfiguration] | None = None
 
     def replace(self, rest: str, body: bytes, send_reply: ReplyCallback) -> None:
         text_digest = blake2b(body, digest_size=16).digest()
@@ -123,7 +124,7 @@
         from oakvale.config import model  # slow to import; only a primary needs it
 
         text_digest, (body, callers) = next(iter(self._queue.items()))
-        self._check_steps = self._check_steps or model.reading(body)
+        self._check_steps = self._check_steps or model.parse_in_steps(body)
         unfinished = False
         refusal, checked = None, None
         try:
@@ -131,7 +132,7 @@
             unfinished = True
         except StopIteration as ended:
             checked = self._cache_check(text_digest, *ended.value)
-        except model.Invalid as error:
+        except model.InvalidConfiguration as error:
             log_event("configuration refused", why=str(error)[:200])
             refusal = error_reply(400, str(error))
         finally:
@@ -192,8 +193,10 @@
 
         text_digest = blake2b(body, digest_size=16).digest()
         try:
-            return (self._checked.get(text_digest) or self._cache_check(text_digest, *model.read(body))).digest
-        except model.Invalid:  # stored under older rules: no text that is valid now has the same content
+            return (
+                self._checked.get(text_digest) or self._cache_check(text_digest, *model.parse_with_digest(body))
+            ).digest
+        except model.InvalidConfiguration:  # stored under older rules: no text that is valid now has the same content
             return b""
 
     def read(self, rest: str, body: bytes, send_reply: ReplyCallback) -> None:
@@ -234,7 +237,7 @@
                 "state": str(report.get("state") or "ready"),
             }
             call_number = int(report.get("calls") or 0)
-            warmup_us = micros(report["warmup_time"]) if report.get("warmup_time") else 0
+            warmup_us = parse_duration(report["warmup_time"]) if report.get("warmup_time") else 0
         except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, AttributeError) as error:
             return send_reply(error_reply(400, f"beat is not understood: {error!r}"[:200]))
         if not BACKEND_ID.fullmatch(name) or parse_address(fields["addr"]) is None:
@@ -344,8 +347,8 @@
         if store and not ORDER_NAME.fullmatch(name):
             return send_reply(error_reply(400, "no name of the order: letters, digits, dot, dash, up to 64"))
         try:
-            form = contracts.order(contracts.Order, body)
-        except contracts.BadOrder as error:
+            form = contracts.parse_order(contracts.DrainOrder, body)
+        except contracts.InvalidOrder as error:
             return send_reply(error_reply(400, str(error)))
         if self._drains.contracts is None:
             return send_reply(error_reply(409, "the file of contracts can't be used: see the log"))
@@ -376,8 +379,8 @@
         from oakvale.config import contracts
 
         try:
-            form = contracts.order(contracts.Cancelled, body)
-        except contracts.BadOrder as error:
+            form = contracts.parse_order(contracts.Cancellation, body)
+        except contracts.InvalidOrder as error:
             return send_reply(error_reply(400, str(error)))
         stored = self._core.replicated_state.latest(f"drain/{name}")
         if stored is None:
--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -9,7 +9,7 @@
 from oakvale.base.address import Address, parse_address, spelled
 from oakvale.base.loop import Loop
 from oakvale.base.net import Sock
-from oakvale.config.bounds import bounds
+from oakvale.config.bounds import limits_from_settings
 from oakvale.config.settings import Settings
 from oakvale.dataplane.drain_agent import DrainAgent
 from oakvale.dataplane.request_router import RequestRouter
@@ -70,7 +70,7 @@
 class EdgeGateway:
     def __init__(self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop) -> None:
         self.settings = settings
-        limits = bounds(settings)
+        limits = limits_from_settings(settings)
         self.loop = loop
         self.life = loop.net.token(6)
         # two roles of a machine share its ports: the headworks takes the first
--- a/oakvale/dataplane/process.py
+++ b/oakvale/dataplane/process.py
@@ -8,7 +8,7 @@
 
 from oakvale.base.loop import Clock, Loop, Rank
 from oakvale.base.net import Sock
-from oakvale.config.bounds import bounds
+from oakvale.config.bounds import limits_from_settings
 from oakvale.config.settings import Settings
 from oakvale.config.settings_watch import SettingsWatch
 from oakvale.config.toml_table import BadFile
@@ -45,10 +45,10 @@
     """Raises BadFile, OSError."""
     if "http" not in settings.bind:
         raise BadFile("sluice needs [network.bind] http")
-    loop = Loop(Clock(), bounds(settings))
+    loop = Loop(Clock(), limits_from_settings(settings))
     process = Process(settings, listeners, loop)
     watch = SettingsWatch(loop, os.environ, settings, lambda fresh: process.know(fresh.seeds))
-    loop.start(signals.run(process.stop, watch.again), signals.fileno(), Rank.DISCOVERY)
+    loop.start(signals.run(process.stop, watch.reload), signals.fileno(), Rank.DISCOVERY)
     gc.collect()
     gc.freeze()
     try:
--- a/oakvale/dataplane/routes.py
+++ b/oakvale/dataplane/routes.py
@@ -13,7 +13,7 @@
 import orjson
 
 from oakvale.base.limits import Limits
-from oakvale.config.durations import micros
+from oakvale.config.durations import parse_duration
 from oakvale.dissemination.table import Table
 from oakvale.dissemination.tree import Member, Members
 from oakvale.ratelimit.quotas import Quota
@@ -115,8 +115,8 @@
     for row in rows(data.get("routes")):
         split = row.get("split")
         parts = tuple((str(p["svc"]), float(p["wt"])) for p in split) if split else ((str(row["svc"]), 1.0),)
-        deadline = micros(row["deadline"])
-        aim = micros(row["target_time"]) if "target_time" in row else deadline
+        deadline = parse_duration(row["deadline"])
+        aim = parse_duration(row["target_time"]) if "target_time" in row else deadline
         host = str(row["vhost"]).lower()
         by_host.setdefault(host, []).append(
             Route(
@@ -146,7 +146,7 @@
         "clients": ClientBounds(
             given.get("hdr-bytes"),
             given.get("body-bytes"),
-            *(micros(given[name]) if given.get(name) else None for name in ("hdr", "idle")),
+            *(parse_duration(given[name]) if given.get(name) else None for name in ("hdr", "idle")),
         ),
         "routes": {host: tuple(sorted(found, key=lambda r: -len(r.prefix))) for host, found in by_host.items()},
         "tenants": tenants,
--- a/oakvale/lab/days.py
+++ b/oakvale/lab/days.py
@@ -12,7 +12,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from oakvale.config.durations import micros
+from oakvale.config.durations import parse_duration
 
 Kind = Literal[
     "hot_tenant",
@@ -186,7 +186,7 @@
 
     def time(self, bound: str) -> int:
         """A bound that is a time, in microseconds."""
-        return micros(self.terms()[bound])
+        return parse_duration(self.terms()[bound])
 
     def edges(self) -> list[tuple[str, str]]:
         """Machine and zone of each edge."""
@@ -210,7 +210,7 @@
                 raise ValueError(f"bounds.{name}: not known (there are {', '.join(BOUNDS)})")
             if isinstance(BOUNDS[name], str):
                 try:
-                    micros(value)
+                    parse_duration(value)
                 except ValueError as error:
                     raise ValueError(f"bounds.{name}: {error}") from None
             elif isinstance(value, str) or isinstance(value, bool) != isinstance(BOUNDS[name], bool):
--- a/oakvale/lab/files.py
+++ b/oakvale/lab/files.py
@@ -7,7 +7,7 @@
 
 from pydantic import BaseModel, ValidationError
 
-from oakvale.config.toml_table import BadFile, read
+from oakvale.config.toml_table import BadFile, read_toml
 from oakvale.lab import days
 
 M = TypeVar("M", bound=BaseModel)
@@ -22,4 +22,4 @@
         except ValidationError as error:
             raise BadFile(days.first(error, data)) from error
 
-    return read(str(path), decode)
+    return read_toml(str(path), decode)
--- a/oakvale/lab/models/launch.py
+++ b/oakvale/lab/models/launch.py
@@ -10,7 +10,7 @@
 
 from oakvale.base.address import Address
 from oakvale.base.loop import Loop
-from oakvale.config.durations import micros
+from oakvale.config.durations import parse_duration
 from oakvale.lab.days import Day, Route, Service, Trouble
 from oakvale.lab.models.backend import Backend, Ways
 from oakvale.lab.models.crowd import Crowd, Flow, GiveUp, Swell
@@ -119,7 +119,7 @@
     def __init__(self, ground: Ground, day: Day, rng: Random, record: Record, began: int) -> None:
         self.ground, self.day, self.record, self.began = ground, day, record, began
         self._rng = rng
-        self._times = {key: micros(value) for key, value in day.terms().items() if isinstance(value, str)}
+        self._times = {key: parse_duration(value) for key, value in day.terms().items() if isinstance(value, str)}
         self.books = Books(day, Random(rng.getrandbits(64)))
         self.platform = Platform(ground.edges, list(day.zones))
         self._unheard = Losses(Random(f"unheard {record.name} {record.seed}"))  # of backends
--- a/oakvale/lab/play.py
+++ b/oakvale/lab/play.py
@@ -13,7 +13,7 @@
 
 from oakvale.base.address import Address
 from oakvale.base.loop import Loop
-from oakvale.config.durations import micros
+from oakvale.config.durations import parse_duration
 from oakvale.lab.days import Day, Trouble
 from oakvale.lab.models.launch import launch
 from oakvale.lab.models.platform import Edge
@@ -126,7 +126,7 @@
 ) -> Record:
     """`watch` hears now and then how many of the day's seconds have been played."""
     bounds = {
-        name.replace("-", "_"): micros(value) if isinstance(value, str) else value
+        name.replace("-", "_"): parse_duration(value) if isinstance(value, str) else value
         for name, value in day.terms().items()
     }
     record = Record(
--- a/oakvale/lab/simulation/works.py
+++ b/oakvale/lab/simulation/works.py
@@ -15,8 +15,8 @@
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
 from oakvale.base.net import Sock
-from oakvale.config.bounds import FILES, bounds
-from oakvale.config.durations import micros
+from oakvale.config.bounds import RESERVED_DESCRIPTORS, limits_from_settings
+from oakvale.config.durations import parse_duration
 from oakvale.config.settings import Settings, decode
 from oakvale.controlplane import process as headworks
 from oakvale.dataplane import process as sluice
@@ -124,9 +124,9 @@
         process = self.process = Process(
             self.machine,
             Random(works.rng.getrandbits(64)),
-            bounds(settings),
+            limits_from_settings(settings),
             works.costs,
-            settings.nofile - FILES,
+            settings.nofile - RESERVED_DESCRIPTORS,
             self._ended,
         )
         works.happened(Event.START if self._meant else Event.AGAIN, works.events.now, works.events.now, (self.name,))
@@ -281,7 +281,7 @@
         self.layout, self.costs = layout, costs or Costs()
         self.rng, self._chance = Random(seed), seed
         self.added: Callable[[Station], None] = _nothing  # hears of machines that come later
-        self.calm_after = micros(layout.terms.get("sync_time", "4s"))
+        self.calm_after = parse_duration(layout.terms.get("sync_time", "4s"))
         self.events = Events()
         self.wires = Wires(self.events, Random(self.rng.getrandbits(64)), layout.delay, layout.between)
         self.happened, self._noted = happened, noted
--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -16,7 +16,7 @@
 from typing import Any, cast
 
 from oakvale.base.loop import Loop
-from oakvale.config.bounds import bounds
+from oakvale.config.bounds import limits_from_settings
 from oakvale.dataplane.request_router import RequestRouter
 from oakvale.dataplane.routes import Backend, Picture, configured
 from oakvale.lifecycle.acceptor import Acceptor
@@ -316,7 +316,7 @@
         self.now, self.log = START, list[str]()
         self.faults: list[str] = []
         self.net = Lines()
-        given = replace(bounds(cast(Any, SETTINGS)), timer_slack=0, wake_slack=0, **limits or {})
+        given = replace(limits_from_settings(cast(Any, SETTINGS)), timer_slack=0, wake_slack=0, **limits or {})
         self.loop = Loop(lambda: self.now, given, cast(Any, self.net))
         self.word: tuple[bool, int, bool] | None = (True, 0, True)  # of the counter; None: later
         self.owed: list[Callable[[bool, int, bool], None]] = []
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -12,7 +12,7 @@
 
 from oakvale import interface as i
 from oakvale.base.limits import Limits
-from oakvale.config.bounds import bounds
+from oakvale.config.bounds import limits_from_settings
 from oakvale.dataplane import backend_protocol
 from oakvale.dataplane.backend_protocol import SystemDialect
 from oakvale.memory.requests import Answer
@@ -35,7 +35,7 @@
 
 
 def bounds_of() -> Limits:
-    return bounds(cast(Any, SETTINGS))
+    return limits_from_settings(cast(Any, SETTINGS))
 
 
 def test_drawn_schedules_break_no_rule() -> None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -9,7 +9,7 @@
 import pytest
 
 from oakvale.config import model, settings
-from oakvale.config.durations import micros
+from oakvale.config.durations import parse_duration
 from oakvale.config.settings_watch import SettingsWatch
 from oakvale.config.toml_table import BadFile
 
@@ -103,13 +103,13 @@
     [("1500ms", 1_500_000), ("2.5s", 2_500_000), ("0ms", 0), ("0.25ms", 250), ("7.915077855057237s", 7_915_078)],
 )
 def test_times(text: str, time: int) -> None:
-    assert micros(text) == time
+    assert parse_duration(text) == time
 
 
 @pytest.mark.parametrize("text", ["", "5", "5 s", "5m", "-5s", "s", "1e3s", "5s\n", "٥s", 5, None])
 def test_what_is_no_time(text: object) -> None:
     with pytest.raises(ValueError):
-        micros(text)
+        parse_duration(text)
 
 
 # ---- configurations
@@ -245,12 +245,12 @@
     ids=lambda value: value if isinstance(value, str) else "",
 )
 def test_what_is_invalid_is_refused_and_named(text: bytes, named: str) -> None:
-    with pytest.raises(model.Invalid) as error:
+    with pytest.raises(model.InvalidConfiguration) as error:
         model.parse(text)
     assert named in str(error.value)
 
 
-CONTENT = model.read(orjson.dumps(VALID))[1]
+CONTENT = model.parse_with_digest(orjson.dumps(VALID))[1]
 ROWS = [dict(zip(VALID["svcs"]["cols"], row, strict=True)) for row in VALID["svcs"]["rows"]]
 
 
@@ -272,7 +272,7 @@
     ],
 )
 def test_one_content_has_one_digest(text: bytes, same: bool) -> None:
-    found, digest = model.read(text)
+    found, digest = model.parse_with_digest(text)
     assert found.gen == 7 and (digest == CONTENT) is same
 
 
@@ -296,7 +296,7 @@
         [[], []],
         [[[]]],
     ]
-    assert len({model.read(changed("later", to=value))[1] for value in values}) == len(values)
+    assert len({model.parse_with_digest(changed("later", to=value))[1] for value in values}) == len(values)
 
 
 class Clock:
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -12,7 +12,7 @@
 
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
-from oakvale.config.bounds import bounds
+from oakvale.config.bounds import limits_from_settings
 from oakvale.controlplane.control_server import ControlServer
 from oakvale.controlplane.resources import Reply
 from oakvale.lifecycle.acceptor import Acceptor
@@ -24,7 +24,7 @@
 
 ADDRESS = ("10.0.0.1", 8783)
 MAX_CONCURRENT_ORDERS = 8
-bounds_of = bounds
+bounds_of = limits_from_settings
 
 
 @dataclass(eq=False)
@@ -167,7 +167,7 @@
 
 
 def with_timeout_behind_pending(given: Any) -> Limits:
-    return replace(bounds(given), patient=False)
+    return replace(limits_from_settings(given), patient=False)
 
 
 BREAKAGES: dict[str, tuple[Any, str, Any]] = {
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -12,7 +12,7 @@
 import pytest
 
 from oakvale import cli
-from oakvale.config.chains import Given, load
+from oakvale.config.chains import ChainSettings, load
 from oakvale.config.settings import decode
 from oakvale.config.toml_table import BadFile
 from oakvale.controlplane.failover_planning import FailoverPlanner
@@ -468,7 +468,7 @@
                 call(None)
 
 
-def planning(given: Given | None) -> tuple[Plain, Beats]:
+def planning(given: ChainSettings | None) -> tuple[Plain, Beats]:
     core, beats = Plain(), Beats()
     backends = {
         f"backend/{zone}{n}": {"svc": "s", "az": zone, "state": "ready", "slots": 2.0, "calls": 1}
@@ -483,7 +483,7 @@
 
 
 def test_the_plan_follows_what_is_measured_in_versions_but_not_every_wave() -> None:
-    core, beats = planning(Given())
+    core, beats = planning(ChainSettings())
     core.run(6)
     first = core.replicated_state.table.get("chains")
     assert first["version"] == 1 and first["limits"]["s"] == {zone: 4.0 for zone in "abc"}
@@ -498,7 +498,7 @@
 
 
 def test_places_whose_beats_are_all_missed_are_told_unless_it_is_most_of_them() -> None:
-    core, beats = planning(Given())
+    core, beats = planning(ChainSettings())
     beats.quiet = ["b0"]
     core.run(2)
     assert core.replicated_state.table.get("quiet") is None
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -237,7 +237,7 @@
     "an invalid one is taken": Break(
         "CONFIG",
         day(("bad_config", 2.0, {"how": "unknown_service"})),
-        {"oakvale.config.model.check": lambda config: None},
+        {"oakvale.config.model.check_consistency": lambda config: None},
     ),
     "any answer is believed": Break(
         "MIXED",
--- a/tests/test_lab_experiments.py
+++ b/tests/test_lab_experiments.py
@@ -147,10 +147,10 @@
     assert found["oakvale.base.limits.MB"] == found["oakvale.config.bounds.MB"] == 2
     assert all(getattr(*variants.found(name)) == oakvale.base.limits.MB for name in found)
     swapped = variants.patches(
-        Spec(name="other", swap={"oakvale.config.durations.micros": "oakvale.numbers.parse_integer"})
+        Spec(name="other", swap={"oakvale.config.durations.parse_duration": "oakvale.numbers.parse_integer"})
     )
-    same = [name for name in swapped if name.endswith(".micros")]
-    assert len({id(swapped[name]) for name in same}) == 1 and "oakvale.config.model.micros" in same
+    same = [name for name in swapped if name.endswith(".parse_duration")]
+    assert len({id(swapped[name]) for name in same}) == 1 and "oakvale.config.model.parse_duration" in same
 
 
 def test_what_follows_from_a_constant_changes_with_it() -> None:
--- a/tests/test_models.py
+++ b/tests/test_models.py
@@ -183,14 +183,14 @@
 
 
 def test_valid_orders_are_taken_and_invalid_ones_refused_by_the_systems_own_reader() -> None:
-    from oakvale.config.model import Invalid, parse
+    from oakvale.config.model import InvalidConfiguration, parse
 
     books = Books(decode(DAY), Random(3))
     orders = [books.first(), *(books.change(how) for how in CHANGES * 3), *books.race(), books.revoke()]
     assert [parse(order.text).gen for order in orders] == sorted({order.gen for order in orders})
     for how in SPOILS:
         spoilt = books.spoil(how)
-        with pytest.raises(Invalid):
+        with pytest.raises(InvalidConfiguration):
             parse(spoilt.text)
         assert not spoilt.valid
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -200,7 +200,7 @@
     """Each takes a second to check, in steps, and a duplicate of a queued one is not checked again. Whole checks in one
     turn would get the primary replaced."""
     operators = Operators(1)
-    world, checks, real = operators.world, list[bytes](), model.reading
+    world, checks, real = operators.world, list[bytes](), model.parse_in_steps
 
     def slow(text: bytes) -> Generator[None, None, Any]:
         checks.append(text)
@@ -209,7 +209,7 @@
             yield
         return (yield from real(text))
 
-    monkeypatch.setattr(model, "reading", slow)
+    monkeypatch.setattr(model, "parse_in_steps", slow)
     machine = world.serving()
     assert machine is not None and machine.core is not None
     for _ in range(2):
