--- a/oakvale/config/__init__.py
+++ b/oakvale/config/__init__.py
@@ -1,4 +1,3 @@
-"""Intake: what a process of the system is told, as it reads and checks the settings file and the operator's
-configurations and turns them into plain values and bounds. It must hold no state and talk to nobody. Begin
-with `settings`.
+"""Reads and checks the settings file and the operators' configuration files, and turns them into plain values and
+limits. It must not keep state and must not communicate with other processes. Begin with `settings`.
 """
--- a/oakvale/config/bounds.py
+++ b/oakvale/config/bounds.py
@@ -1,4 +1,4 @@
-"""The bounds of a process in the system, from its settings file: the type is the gateway's in service."""
+"""Derives the resource limits of a process from its settings file."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 from oakvale.base.limits import MB, MS, SECOND, Limits
 from oakvale.config.settings import Settings
 
-RESERVED_DESCRIPTORS = 220  # descriptors that are kept for files and the rest of the process
-PEERS = 16  # an eighth of the rest goes to the system's own links
+RESERVED_DESCRIPTORS = 220  # file descriptors kept for files and the rest of the process
+PEERS = 16
 
 
 def limits_from_settings(settings: Settings) -> Limits:
-    own = max(64, settings.nofile - RESERVED_DESCRIPTORS)
-    grace = settings.bounds.grace
+    """Returns the limits that follow from the descriptors, memory and grace period in `settings`."""
+    descriptors = max(64, settings.nofile - RESERVED_DESCRIPTORS)
+    grace_us = settings.bounds.grace
     limits = Limits.fill(
-        sockets=own - own // 8,
+        sockets=descriptors - descriptors // 8,  # the rest is for connections to other nodes
         memory=settings.memory_mb * MB,
         connect=300 * MS,
         backend_idle=9 * SECOND,
@@ -33,10 +34,10 @@
         client_take=10 * SECOND,
         answer_rest=2 * SECOND,
         patient=True,
-        clients_idle=limits.clients,  # one that is new takes the place of one that is idle when it comes, not before
-        # the platform looks each second and passes new connections on until two looks failed
-        stop_accepting=min(2_600 * MS, grace // 2),
-        stop_taking=min(3_000 * MS, grace // 2),
-        stop_longest=grace - 300 * MS,
+        clients_idle=limits.clients,  # an idle connection is closed only when a new one needs its slot
+        # the platform probes readiness each second and stops sending new connections after two failed probes
+        stop_accepting=min(2_600 * MS, grace_us // 2),
+        stop_taking=min(3_000 * MS, grace_us // 2),
+        stop_longest=grace_us - 300 * MS,
         status=5 * SECOND,
     )
--- a/oakvale/config/chains.py
+++ b/oakvale/config/chains.py
@@ -1,11 +1,11 @@
-"""The operators' file on chains (TOML): what stands above the regions, and how much of a place may be used.
+"""Reads the operators' file on failover chains (TOML): the hierarchy above the regions, and the usable capacity.
 
-    headroom = 1.0         # of what a place holds, while another is out; this is the default
+    headroom = 1.0         # share of a location's capacity that may be used while another location is down (default)
 
-    [above]                # a region, or a name from here -> the name above it
+    [above]                # a region, or a parent named here -> its parent
     kingston = "jamaica"
 
-Checked whole; raises BadFile, which names file, place and field.
+The whole file is checked. Raises BadFile, which names the file, the location in it and the field.
 """
 
 from __future__ import annotations
@@ -19,45 +19,50 @@
 from oakvale.config.settings import Settings
 from oakvale.config.toml_table import BadFile, read_toml
 
-HEADROOM = 1.0
+DEFAULT_HEADROOM = 1.0  # share of a location's capacity
 
 
-class File(BaseModel):
+class ChainsFile(BaseModel):
+    """The fields of the file."""
+
     model_config = ConfigDict(extra="forbid", strict=True)
 
-    headroom: Annotated[float, Field(gt=0, le=1)] = HEADROOM
+    headroom: Annotated[float, Field(gt=0, le=1)] = DEFAULT_HEADROOM
     above: dict[str, str] = {}
 
 
 @dataclass(slots=True, frozen=True)
 class ChainSettings:
-    headroom: float = HEADROOM
+    """Checked contents of the file: the usable share of capacity, and the parent of each region or parent."""
+
+    headroom: float = DEFAULT_HEADROOM
     above: Mapping[str, str] = field(default_factory=dict)
 
 
 def load(path: str, settings: Settings | None = None) -> ChainSettings:
-    """With the settings, also whether what stands below is there."""
+    """Reads and checks the file; with `settings`, also that its regions exist. Raises BadFile."""
     return read_toml(path, lambda data: decode(data, settings))
 
 
 def decode(data: dict[str, Any], settings: Settings | None) -> ChainSettings:
+    """Checks the parsed TOML; see `load`."""
     try:
-        found = File.model_validate(data)
+        found = ChainsFile.model_validate(data)
     except ValidationError as error:
         first = error.errors()[0]
         raise BadFile(f"{'.'.join(map(str, first['loc']))}: {first['msg']}") from error
     for name in found.above:
-        at, seen = name, {name}
-        while at in found.above:
-            at = found.above[at]
-            if at in seen:
-                raise BadFile(f"above.{name}: {at} stands above itself")
-            seen.add(at)
+        ancestor, seen = name, {name}
+        while ancestor in found.above:
+            ancestor = found.above[ancestor]
+            if ancestor in seen:
+                raise BadFile(f"above.{name}: {ancestor} is its own ancestor")
+            seen.add(ancestor)
     if settings is not None:
-        there = {*settings.zones.values(), *found.above.values()}
+        known_names = {*settings.zones.values(), *found.above.values()}
         for name in found.above:
-            if name not in there:
-                raise BadFile(f"above.{name}: no region of the settings, and nothing stands below it")
+            if name not in known_names:
+                raise BadFile(f"above.{name}: neither a region of the settings nor a parent in this file")
         for name in found.above.values():
             if name in settings.zones:
                 raise BadFile(f"above: {name} is a zone")
--- a/oakvale/config/check.py
+++ b/oakvale/config/check.py
@@ -1,4 +1,4 @@
-"""`oakvale check`: what a file holds, in a few lines, or `Wrong` with file, place and field."""
+"""Implements `oakvale check`: summarizes a file in a few lines, or raises CheckError with file, location and field."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class CheckError(Exception):
-    """One line."""
+    """A file failed its check; one line for the operator."""
 
 
 def check(kind: str, path: str) -> list[str]:
+    """Returns the summary of a file of the given kind. Raises CheckError."""
     try:
         return {
             "settings": describe_settings,
@@ -26,24 +27,25 @@
 
 
 def describe_settings(path: str) -> list[str]:
-    told = settings.load({"OAKVALE_SETTINGS": path})
-    role = {"http": "sluice", "ctl": "headworks"}
-    fits = [name for bind, name in role.items() if bind in told.bind]
-    counted = "counted" if told.voting else "not counted"
+    loaded = settings.load({"OAKVALE_SETTINGS": path})
+    role_by_bind = {"http": "sluice", "ctl": "headworks"}
+    possible_roles = [role for bind, role in role_by_bind.items() if bind in loaded.bind]
+    counted = "counted" if loaded.voting else "not counted"
     lines = [
-        f"{told.node} at {told.ip}, zone {told.zone or '-'}, region {told.region or '-'}; {counted} among those that "
-        f"may be lost; fits: {', '.join(fits) or 'no role'}",
-        *(f"{name}: {spelled(address)}" for name, address in told.bind.items()),
-        f"between gateways: ports {told.ports[0]} to {told.ports[1]}",
-        f"seeds: {', '.join(map(spelled, told.seeds)) or 'none'}; first start of the system: {told.bootstrap}",
-        f"limits: {told.cpu:g} cores, {told.memory_mb} MB, {told.nofile} descriptors, "
-        f"disk {told.disk_mb} MB at {told.datadir or '-'}",
-        f"to be borne at once: {told.tolerate} machines, or {told.tolerate_zones} zones, or "
-        f"{told.tolerate_regions} regions",
-        f"clauses: {', '.join(sorted(told.clauses)) or 'none'}",
+        f"{loaded.node} at {loaded.ip}, zone {loaded.zone or '-'}, region {loaded.region or '-'}; {counted} "
+        "among the machines that may fail; "
+        f"fits: {', '.join(possible_roles) or 'no role'}",
+        *(f"{name}: {spelled(address)}" for name, address in loaded.bind.items()),
+        f"connections between nodes: ports {loaded.ports[0]} to {loaded.ports[1]}",
+        f"seeds: {', '.join(map(spelled, loaded.seeds)) or 'none'}; bootstrap: {loaded.bootstrap}",
+        f"limits: {loaded.cpu:g} cores, {loaded.memory_mb} MB, {loaded.nofile} descriptors, "
+        f"disk {loaded.disk_mb} MB at {loaded.datadir or '-'}",
+        f"tolerated failures at the same time: {loaded.tolerate} machines, or {loaded.tolerate_zones} zones, or "
+        f"{loaded.tolerate_regions} regions",
+        f"clauses: {', '.join(sorted(loaded.clauses)) or 'none'}",
     ]
-    if "ctl" in told.bind and told.datadir is None:
-        raise CheckError(f"{path}: [self] datadir is missing, which a headworks (ctl in [network.bind]) needs")
+    if "ctl" in loaded.bind and loaded.datadir is None:
+        raise CheckError(f"{path}: [self] datadir is missing; a headworks (ctl in [network.bind]) requires it")
     return lines
 
 
@@ -53,7 +55,7 @@
         f"build: {found.build}",
         f"packages: {', '.join(found.packages)}; {found.python}",
         *(
-            f"{role.name} on {role.on}: {role.machines()}; serves {', '.join(role.serves) or 'nobody outside'}; "
+            f"{role.name} on {role.on}: {role.machines()}; serves {', '.join(role.serves) or 'no outside interface'}; "
             f"runs {' '.join(role.run)}"
             for role in found.roles
         ),
@@ -61,7 +63,7 @@
 
 
 def describe_configuration(path: str) -> list[str]:
-    from oakvale.config import model  # slow to import, and no other check needs it
+    from oakvale.config import model  # imported late: slow to import, and no other check needs it
 
     try:
         config = model.parse(Path(path).read_bytes())
@@ -69,28 +71,31 @@
         raise CheckError(f"{path}: cannot be read: {error.strerror}") from error
     except model.InvalidConfiguration as error:
         raise CheckError(f"{path}: {error}") from error
-    safe = sum(route.type == "safe" for route in config.routes)
-    limited = sum(tenant.rate > 0 for tenant in config.tenants or [])
+    safe_routes = sum(route.type == "safe" for route in config.routes)
+    limited_tenants = sum(tenant.rate > 0 for tenant in config.tenants or [])
     keys = sum(len(tenant.apikeys) for tenant in config.tenants or [])
     return [
         f"gen {config.gen}",
-        f"routes: {len(config.routes)}, {safe} of them safe, on {len({r.vhost.lower() for r in config.routes})} hosts",
+        f"routes: {len(config.routes)}, {safe_routes} of them safe, "
+        f"on {len({route.vhost.lower() for route in config.routes})} hosts",
         f"services: {', '.join(service.name for service in config.svcs)}",
-        "tenants: no key is asked for"
+        "tenants: none; requests need no API key"
         if config.tenants is None
-        else f"tenants: {len(config.tenants)} with {keys} keys, {limited} of them with a quota",
+        else f"tenants: {len(config.tenants)} with {keys} keys, {limited_tenants} of them with a quota",
     ]
 
 
 def describe_contracts(path: str) -> list[str]:
-    from oakvale.config import contracts  # as above
+    from oakvale.config import contracts  # imported late, as above
     from oakvale.drains.hours import DAY
 
     found = contracts.load(path)
-    spans = [
-        f"{name}: {contract.zone}, {sum(map(len, contract.week))} spans a week, {len(contract.dates)} exceptions, "
-        f"notice {contract.notice / DAY:g} days"
+    contract_lines = [
+        f"{name}: {contract.zone}, {sum(map(len, contract.week))} time ranges a week, "
+        f"{len(contract.dates)} exceptions, notice {contract.notice / DAY:g} days"
         for name, contract in sorted(found.by_tenant.items())
     ]
-    orders = [f"order {order.name}: {order.kind} {order.target}, by {order.by}: {order.why}" for order in found.orders]
-    return spans + orders or ["no contracts"]
+    order_lines = [
+        f"order {order.name}: {order.kind} {order.target}, by {order.by}: {order.why}" for order in found.orders
+    ]
+    return contract_lines + order_lines or ["no contracts"]
--- a/oakvale/config/packages.py
+++ b/oakvale/config/packages.py
@@ -1,8 +1,8 @@
-"""System packages of the deploy file, in Debian's names: what each brings, and what `build` and the roles call of it.
+"""Checks that the Debian packages of the deploy file provide every program that `build` and the roles call.
 
-A machine that runs the system has the packages that the file lists and nothing else. What a listed package pulls in by
-its own dependencies (the standard library and libsqlite3 with `python3`, the certificates with `python3-pip`) counts as
-brought; the sources are Debian's package lists of bookworm and trixie.
+A machine that runs the system has only the packages that the file lists, and their dependencies (the standard library
+and libsqlite3 with `python3`, the certificates with `python3-pip`). The tables below follow the package lists of Debian
+bookworm and trixie.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 import subprocess
 from collections.abc import Iterable, Sequence
 
-NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+\Z")  # Debian policy manual, 5.6.1
+PACKAGE_NAME = re.compile(r"[a-z0-9][a-z0-9+.-]+\Z")  # Debian policy manual, 5.6.1
 VERSIONED_PYTHON = re.compile(r"python3\.(\d+)(-minimal)?\Z")
 
 OLDEST_PYTHON = (3, 11)  # pyproject.toml, requires-python
-NEWEST_PYTHON = (3, 14)  # the newest for which each pinned requirement has a wheel: no compiler is listed
+NEWEST_PYTHON = (3, 14)  # the newest for which every pinned requirement has a wheel, as no compiler is listed
 
 SHELL_BUILTINS = frozenset(
     "! . : [ alias bg break case cd command continue do done echo elif else esac eval exec exit export false fg fi for "
     "getopts hash if in jobs kill local printf pwd read readonly return set shift test then times trap true type "
     "ulimit umask unalias unset until wait while { }".split()
 )
-KEYWORDS = frozenset("! do else elif if then until while {".split())
-"""Words of the shell behind which a command begins."""
-PROGRAMS = {
+SHELL_KEYWORDS = frozenset("! do else elif if then until while {".split())
+"""Shell keywords that a command follows."""
+PROGRAMS_BY_PACKAGE = {
     "coreutils": "cat chmod cp cut date dirname env head install ln ls mkdir mktemp mv rm sort tail touch tr uniq wc",
     "curl": "curl",
     "findutils": "find xargs",
@@ -40,8 +40,8 @@
     "sed": "sed",
     "tar": "tar",
 }
-"""Programs that a package brings, for the packages that a build is likely to call."""
-MODULES = {
+"""The programs of each package that a build is likely to call."""
+PACKAGE_BY_MODULE = {
     "pip": "python3-pip",
     "venv": "python3-venv",
     "ensurepip": "python3-venv",
@@ -52,76 +52,77 @@
     "lib2to3": "python3-lib2to3",
     "distutils": "python3-distutils",
 }
-"""Modules run with `python3 -m` that `python3` alone does not bring, with the package that does."""
+"""Modules that `python3` alone does not provide, and the package that does."""
 
 
 class UnlistedCommand(Exception):
-    """A command needs what no listed package brings. One line, naming the command."""
+    """No listed package provides what a command needs; one line that names the command."""
 
 
 class UnsupportedPython(Exception):
-    """A listed package brings an interpreter for which the system is not made. One line, naming the package."""
+    """The interpreter of the listed packages is not supported; one line that names the package."""
 
 
-def is_name(text: str) -> bool:
-    return NAME.match(text) is not None
+def is_package_name(text: str) -> bool:
+    """Tells whether a text is a valid Debian package name."""
+    return PACKAGE_NAME.match(text) is not None
 
 
 def check_commands(commands: Iterable[Sequence[str]], packages: Sequence[str]) -> None:
-    """Each command is a program with its arguments. Raises UnlistedCommand."""
+    """Checks commands, each a program with its arguments. Raises UnlistedCommand."""
     listed = set(packages)
     for words in commands:
         program = words[0]
         if program in SHELL_BUILTINS:
             continue
         if "/" in program:
-            raise UnlistedCommand(f"{program!r} is named by its path, so no listed package can be shown to bring it")
+            raise UnlistedCommand(f"{program!r} is named by its path, so it cannot be matched to a listed package")
         if not any(program in _programs(package) for package in listed):
-            raise UnlistedCommand(f"{program!r} is brought by no listed package{_advice(program)}")
+            raise UnlistedCommand(f"{program!r} is not provided by any listed package{_advice(program)}")
         module = _module(words)
-        if module in MODULES and MODULES[module] not in listed:
-            raise UnlistedCommand(f"'{program} -m {module}' needs {MODULES[module]}, which is not listed")
+        if module in PACKAGE_BY_MODULE and PACKAGE_BY_MODULE[module] not in listed:
+            raise UnlistedCommand(f"'{program} -m {module}' needs {PACKAGE_BY_MODULE[module]}, which is not listed")
 
 
 def commands_of(script: str) -> list[list[str]]:
-    """The simple commands of a shell script of one line or more, without assignments, redirections and keywords.
+    """Returns the simple commands of a shell script, without assignments, redirections and keywords.
 
-    Raises ValueError where the script's quotes are not closed.
+    Raises ValueError if the quotes of the script are not closed.
     """
     lexer = shlex.shlex(script, posix=True, punctuation_chars=";&|()<>\n")
     lexer.whitespace = " \t"
     lexer.whitespace_split = True
-    found: list[list[str]] = [[]]
-    redirected = False
+    commands: list[list[str]] = [[]]
+    after_redirection = False
     for word in lexer:
         if set(word) <= set(";&|()\n"):
-            found.append([])
+            commands.append([])
         elif set(word) <= set("<>&"):
-            redirected = True
-        elif redirected:
-            redirected = False
-        elif not found[-1] and (_assigns(word) or word in KEYWORDS):
+            after_redirection = True
+        elif after_redirection:
+            after_redirection = False
+        elif not commands[-1] and (_is_assignment(word) or word in SHELL_KEYWORDS):
             continue
         else:
-            found[-1].append(word)
-    return [words for words in found if words]
+            commands[-1].append(word)
+    return [words for words in commands if words]
 
 
 def installed_python(package: str) -> tuple[int, int] | None:
-    """The version of Python that this machine's package database has for a package; None where it can't be told."""
+    """Returns the Python version of a package in the package database of this machine; None if it is unknown."""
     if shutil.which("dpkg-query") is None:
         return None
-    asked = ["dpkg-query", "--show", "--showformat", "${Version}", package]
-    answer = subprocess.run(asked, capture_output=True, text=True, timeout=10)
-    return _python_version(answer.stdout) if answer.returncode == 0 else None
+    query = ["dpkg-query", "--show", "--showformat", "${Version}", package]
+    result = subprocess.run(query, capture_output=True, text=True, timeout=10)
+    return _python_version(result.stdout) if result.returncode == 0 else None
 
 
 def check_python(packages: Sequence[str]) -> str:
-    """One line on the interpreter that the list brings. Raises UnsupportedPython."""
+    """Describes the interpreter that the packages provide. Raises UnsupportedPython."""
     supported = f"{_dotted(OLDEST_PYTHON)} to {_dotted(NEWEST_PYTHON)}"
     for package in packages:
-        if named := VERSIONED_PYTHON.match(package):
-            version: tuple[int, int] | None = (3, int(named[1]))
+        if versioned := VERSIONED_PYTHON.match(package):
+            version: tuple[int, int] | None = (3, int(versioned[1]))
         elif package in ("python3", "python3-minimal"):
             version = installed_python(package)
         else:
@@ -131,18 +132,18 @@
         if not OLDEST_PYTHON <= version <= NEWEST_PYTHON:
             raise UnsupportedPython(f"{package} is Python {_dotted(version)}: {supported} is supported")
         return f"{package} is Python {_dotted(version)} here: {supported} is supported"
-    raise UnsupportedPython(f"no package brings an interpreter: python3 ({supported}) is needed")
+    raise UnsupportedPython(f"no package provides an interpreter: python3 ({supported}) is needed")
 
 
 def _programs(package: str) -> list[str]:
     if VERSIONED_PYTHON.match(package):
         return [package.removesuffix("-minimal")]
-    return PROGRAMS.get(package, "").split()
+    return PROGRAMS_BY_PACKAGE.get(package, "").split()
 
 
 def _advice(program: str) -> str:
-    bringing = sorted(package for package in PROGRAMS if program in _programs(package))
-    return f" ({' or '.join(bringing)} would)" if bringing else ""
+    providers = sorted(package for package in PROGRAMS_BY_PACKAGE if program in _programs(package))
+    return f" ({' or '.join(providers)} would)" if providers else ""
 
 
 def _module(words: Sequence[str]) -> str | None:
@@ -151,7 +152,7 @@
     return words[words.index("-m") + 1].partition(".")[0]
 
 
-def _assigns(word: str) -> bool:
+def _is_assignment(word: str) -> bool:
     return re.match(r"[A-Za-z_]\w*=", word) is not None
 
 
--- a/oakvale/config/toml_table.py
+++ b/oakvale/config/toml_table.py
@@ -1,4 +1,4 @@
-"""TOML files that are written by hand: read whole, then field by field; what is wrong says where it stands."""
+"""Reads TOML files field by field; every error names the file, the table and the field."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class BadFile(Exception):
-    """One line: the file, the place, the field, what is wrong with it."""
+    """A file cannot be used; one line with the file, the table, the field and the reason."""
 
 
 def read_toml(path: str, decode: Callable[[dict[str, Any]], T]) -> T:
-    """Raises BadFile."""
+    """Parses a TOML file and passes it to `decode`. Raises BadFile, also for one that `decode` raises."""
     try:
         data = tomllib.loads(Path(path).read_text())
     except OSError as error:
@@ -32,39 +32,43 @@
 
 
 class Table:
-    """One table of the file; every read of a field says where it stands when it is wrong."""
+    """One table of a file, with typed access to its fields; each accessor raises BadFile."""
 
-    def __init__(self, data: Any, place: str) -> None:
+    def __init__(self, data: Any, location: str) -> None:
         if data is None:
             data = {}
         if not isinstance(data, dict):
-            raise BadFile(f"[{place}] is not a table")
-        self._data, self._place = data, place
+            raise BadFile(f"[{location}] is not a table")
+        self._data, self._location = data, location
 
     def field_error(self, name: str, why: str) -> BadFile:
-        place = f"[{self._place}] " if self._place else ""
-        return BadFile(f"{place}{name} {why}")
+        """Returns the error for a field of this table."""
+        prefix = f"[{self._location}] " if self._location else ""
+        return BadFile(f"{prefix}{name} {why}")
 
     def table(self, name: str) -> Table:
-        return Table(self._data.get(name), f"{self._place}.{name}" if self._place else name)
+        """Returns a subtable; an empty one if it is missing."""
+        return Table(self._data.get(name), f"{self._location}.{name}" if self._location else name)
 
     def get(self, name: str, kind: type | tuple[type, ...], default: Any = ...) -> Any:
+        """Returns a field of the given type, or the default; without a default the field is required."""
         value = self._data.get(name, default)
         if value is ...:
             raise self.field_error(name, "is missing")
-        odd = not isinstance(value, kind) or isinstance(value, bool) and kind is not bool
-        if value is not default and odd:
+        wrong_type = not isinstance(value, kind) or isinstance(value, bool) and kind is not bool
+        if value is not default and wrong_type:
             raise self.field_error(name, f"is not understood: {value!r}")
         return value
 
     def string(self, name: str) -> str:
-        """One that says something."""
+        """Returns a required text that is not blank."""
         found: str = self.get(name, str)
         if not found.strip():
             raise self.field_error(name, "is empty")
         return found
 
     def duration(self, name: str, default: int) -> int:
+        """Returns microseconds; the default if the field is missing."""
         value = self._data.get(name)
         if value is None:
             return default
@@ -74,16 +78,19 @@
             raise self.field_error(f"{name}:", str(error)) from error
 
     def strings(self, name: str) -> tuple[str, ...]:
+        """Returns a list of texts; an empty one if the field is missing."""
         found = self.get(name, list, [])
         if not all(isinstance(text, str) for text in found):
             raise self.field_error(name, f"holds what is not a text: {found!r}")
         return tuple(found)
 
     def addresses(self, name: str) -> tuple[Address, ...]:
+        """Returns a list of `host:port` addresses; an empty one if the field is missing."""
         found = tuple(parse_address(text) for text in self.get(name, list, []))
         if None in found:
             raise self.field_error(name, "holds what is not host:port")
         return tuple(address for address in found if address is not None)
 
     def keys(self) -> list[str]:
+        """Returns the names of the fields and subtables."""
         return list(self._data)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -118,7 +118,7 @@
     [
         ("headroom = 1.5", "headroom: Input should be less than or equal to 1"),
         ("over = 1", "over: Extra inputs"),
-        ('[above]\nr = "s"\ns = "r"', "stands above itself"),
+        ('[above]\nr = "s"\ns = "r"', "is its own ancestor"),
         ("[above", "not TOML"),
         ('headroom = "x"', "headroom: "),
     ],
--- a/tests/test_packages.py
+++ b/tests/test_packages.py
@@ -15,7 +15,7 @@
 
 ROOT = Path(__file__).parent.parent
 SYSTEM = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
-SPLIT_OFF = set(packages.MODULES) | {"idlelib", "turtle", "_gdbm", "dbm"}
+SPLIT_OFF = set(packages.PACKAGE_BY_MODULE) | {"idlelib", "turtle", "_gdbm", "dbm"}
 """Modules of the standard library that Debian does not ship in python3 and its dependencies."""
 LABORATORY = ("lab", "demo")  # not run on the operators' machines
 
@@ -53,7 +53,7 @@
 
 def test_a_role_calls_only_what_is_listed() -> None:
     roles = {**SYSTEM["roles"], "sluice": {**SYSTEM["roles"]["sluice"], "run": "node gateway.js"}}
-    with pytest.raises(BadFile, match=r"\[roles.sluice\] run: 'node' is brought by no listed package"):
+    with pytest.raises(BadFile, match=r"\[roles.sluice\] run: 'node' is not provided by any listed package"):
         deploy.decode(changed(roles=roles))
 
 
@@ -66,7 +66,7 @@
         (["Python3"], "packages holds what is no package's name: 'Python3'"),
         (["python3", "python3-pip=23.0"], "packages holds what is no package's name: 'python3-pip=23.0'"),
         (["python3", "python3-pip", "python3"], "packages names a package twice"),
-        (["python3.9", "python3-pip"], "build: 'python3' is brought by no listed package"),
+        (["python3.9", "python3-pip"], "build: 'python3' is not provided by any listed package"),
     ],
 )
 def test_a_list_that_is_none(listed: object, why: str) -> None:
