--- a/oakvale/config/contracts.py
+++ b/oakvale/config/contracts.py
@@ -88,7 +88,7 @@
 
 
 class ScheduledOrder(StrictModel):
-    """A drain order in the file; the primary issues it once, when `after` has passed since it began to serve with the file."""
+    """A drain order in the file; the primary issues it once, `after` it began to serve with the file."""
 
     name: Annotated[str, Field(pattern=r"^[0-9A-Za-z._-]{1,64}$")]
     kind: Literal["gateway", "backend", "zone"]
--- a/oakvale/config/settings.py
+++ b/oakvale/config/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of a process in the system (`OAKVALE_SETTINGS`, TOML), read and checked.
+"""Reads and checks the settings file of a process (`OAKVALE_SETTINGS`, TOML).
 
-Unknown fields are skipped. A missing or broken field that is needed raises `BadFile`, which names it.
+Unknown fields are ignored. A missing required field or a malformed one raises `BadFile`, which names it.
 """
 
 from __future__ import annotations
@@ -12,14 +12,16 @@
 from oakvale.base.address import Address, parse_address
 from oakvale.config.toml_table import Table, read_toml
 
-DEFAULT_CONTRACTS_PATH = "deploy/contracts.toml"  # from where the process was started: the repository's root
+DEFAULT_CONTRACTS_PATH = (
+    "deploy/contracts.toml"  # relative to the working directory, which is the root of the repository
+)
 DEFAULT_PATH = "/etc/oakvale/settings.toml"
 MILLISECOND_US = 1_000
 
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """The figures of the rules, times in microseconds. What a file does not give keeps the page's example."""
+    """Bounds from the `[terms.bounds]` table, times in microseconds; the defaults are the examples of PROTOCOL."""
 
     contact: int = 3_000 * MILLISECOND_US
     ack: int = 5_000 * MILLISECOND_US
@@ -36,7 +38,7 @@
     quota_excess: float = 0.0
     quota_slack: float = 0.0
     revoke: int = 5_000 * MILLISECOND_US
-    strict_revoke: bool = False  # a key is not honoured where its removal may have gone unheard for `revoke`
+    strict_revoke: bool = False  # reject a key if a revocation may have been missed for `revoke`
 
 
 DURATION_FIELDS = (
@@ -57,6 +59,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
+    """The checked contents of the settings file."""
+
     node: str
     ip: str
     zone: str
@@ -65,64 +69,65 @@
     voting: bool
     bootstrap: bool
     datadir: str | None
-    seeds: tuple[Address, ...]  # ctl addresses of core machines
+    seeds: tuple[Address, ...]  # control addresses of core machines
     bind: dict[str, Address]
-    ports: tuple[int, int]  # first and last of those between gateways
+    ports: tuple[int, int]  # first and last port for connections between nodes
     zones: dict[str, str]  # zone -> region
-    beat: int  # microseconds between two beats of a backend
+    beat: int  # microseconds between two heartbeats of a backend
     cpu: float
     memory_mb: int
     nofile: int
     disk_mb: int
-    tolerate: int  # counted machines that may be lost at once
+    tolerate: int  # voting machines that may fail at the same time
     tolerate_zones: int
     tolerate_regions: int
     clauses: frozenset[str]
     bounds: Bounds = field(default_factory=Bounds)
-    contracts: str = DEFAULT_CONTRACTS_PATH  # the operators' file of contracts; where there is none, no drain is taken
+    contracts: str = DEFAULT_CONTRACTS_PATH  # path of the contracts file; without the file, drain requests are rejected
 
 
 def load(environment: Mapping[str, str]) -> Settings:
-    """Raises BadFile."""
+    """Reads the file that the environment names. Raises BadFile."""
     path = environment.get("OAKVALE_SETTINGS") or DEFAULT_PATH
     return read_toml(path, decode)
 
 
 def decode(data: dict[str, Any]) -> Settings:
-    whole = Table(data, "")
-    own, network, terms = whole.table("self"), whole.table("network"), whole.table("terms")
-    limits, bind, zones = own.table("limits"), network.table("bind"), network.table("azs")
-    given, tolerance = terms.table("bounds"), terms.table("tolerance")
+    """Checks the parsed TOML. Raises BadFile."""
+    root = Table(data, "")
+    node, network, terms = root.table("self"), root.table("network"), root.table("terms")
+    limits, bind, zones = node.table("limits"), network.table("bind"), network.table("azs")
+    bounds, tolerance = terms.table("bounds"), terms.table("tolerance")
     ports = network.get("port-range", list)
-    if len(ports) != 2 or not all(isinstance(p, int) and 0 < p < 65536 for p in ports) or ports[0] > ports[1]:
-        raise network.field_error("port-range", f"is not two ports: {ports!r}")
-    bound: dict[str, Address] = {}
+    if len(ports) != 2 or not all(isinstance(port, int) and 0 < port < 65536 for port in ports) or ports[0] > ports[1]:
+        raise network.field_error("port-range", f"is not two ports in ascending order: {ports!r}")
+    bind_addresses: dict[str, Address] = {}
     for name in bind.keys():
         address = parse_address(bind.get(name, str))
         if address is None:
             raise bind.field_error(name, "is not host:port")
-        bound[name] = address
-    figures: dict[str, Any] = {
-        name: given.duration(name if name in ("sync_time",) else name.replace("_", "-"), getattr(Bounds(), name))
+        bind_addresses[name] = address
+    bound_values: dict[str, Any] = {
+        name: bounds.duration(name if name in ("sync_time",) else name.replace("_", "-"), getattr(Bounds(), name))
         for name in DURATION_FIELDS
     }
     for name in NUMBER_FIELDS:
-        figures[name] = float(given.get(name.replace("_", "-"), (int, float), getattr(Bounds(), name)))
-    figures["strict_revoke"] = given.get("strict-revoke", bool, False)
+        bound_values[name] = float(bounds.get(name.replace("_", "-"), (int, float), getattr(Bounds(), name)))
+    bound_values["strict_revoke"] = bounds.get("strict-revoke", bool, False)
     return Settings(
-        node=own.get("node", str),
-        ip=own.get("ip", str),
-        zone=own.get("az", str, ""),
-        region=own.get("rgn", str, ""),
-        serves=own.strings("serves"),
-        voting=own.get("voting", bool, False),
-        bootstrap=own.get("bootstrap", bool, False),
-        datadir=own.get("datadir", str, None),
+        node=node.get("node", str),
+        ip=node.get("ip", str),
+        zone=node.get("az", str, ""),
+        region=node.get("rgn", str, ""),
+        serves=node.strings("serves"),
+        voting=node.get("voting", bool, False),
+        bootstrap=node.get("bootstrap", bool, False),
+        datadir=node.get("datadir", str, None),
         seeds=network.addresses("seeds"),
-        bind=bound,
+        bind=bind_addresses,
         ports=(ports[0], ports[1]),
         zones={name: zones.get(name, str) for name in zones.keys()},
-        beat=whole.table("infra").duration("beat", 1_500 * MILLISECOND_US),
+        beat=root.table("infra").duration("beat", 1_500 * MILLISECOND_US),
         cpu=float(limits.get("cpu", (int, float), 1.0)),
         memory_mb=limits.get("mem-mb", int, 192),
         nofile=limits.get("nofile", int, 1024),
@@ -131,6 +136,6 @@
         tolerate_zones=tolerance.get("azs", int, 0),
         tolerate_regions=tolerance.get("rgns", int, 0),
         clauses=frozenset(terms.strings("clauses")),
-        bounds=Bounds(**figures),
-        contracts=whole.table("contracts").get("file", str, DEFAULT_CONTRACTS_PATH),
+        bounds=Bounds(**bound_values),
+        contracts=root.table("contracts").get("file", str, DEFAULT_CONTRACTS_PATH),
     )
--- a/oakvale/config/settings_watch.py
+++ b/oakvale/config/settings_watch.py
@@ -1,7 +1,7 @@
-"""A settings file that changes under way: read anew on SIGHUP, and when its time or size is another.
+"""Reloads the settings file on SIGHUP, and when its modification time or size changes.
 
-What can change in a running process is where other machines are found; everything else takes a restart. A file
-that can't be used changes nothing.
+A running process takes over only the seed addresses; every other change requires a restart. A file that cannot be
+used is logged and otherwise ignored.
 """
 
 from __future__ import annotations
@@ -15,12 +15,14 @@
 from oakvale.config.toml_table import BadFile
 from oakvale.lifecycle.eventlog import EventLogger
 
-CHECK_INTERVAL_US = 2_000_000  # microseconds between two looks at the file
+CHECK_INTERVAL_US = 2_000_000
 
 log_event = EventLogger(__name__)
 
 
 class SettingsWatch:
+    """Checks the file at intervals and calls `on_change` with each new version of the settings."""
+
     def __init__(
         self, loop: Loop, environment: Mapping[str, str], settings: Settings, on_change: Callable[[Settings], None]
     ) -> None:
@@ -32,10 +34,10 @@
 
     def _file_stamp(self) -> tuple[int, int] | None:
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size
+        return status.st_mtime_ns, status.st_size
 
     def _check_file(self, _: object) -> None:
         self._loop.at(self._loop.now + CHECK_INTERVAL_US, self._check_file)
@@ -44,15 +46,16 @@
             self.reload()
 
     def reload(self) -> None:
+        """Reads the file, and reports the settings if they changed."""
         self._last_stamp = self._file_stamp()
         try:
             fresh = load(self._environment)
         except BadFile as error:
             log_event("settings refused", "error", why=str(error))
             return
-        was, self.settings = self.settings, fresh
-        if fresh == was:
+        previous, self.settings = self.settings, fresh
+        if fresh == previous:
             return
-        kept = replace(was, seeds=fresh.seeds) != fresh
-        log_event("settings", seeds=",".join(f"{ip}:{port}" for ip, port in fresh.seeds), needs_restart=kept)
+        needs_restart = replace(previous, seeds=fresh.seeds) != fresh
+        log_event("settings", seeds=",".join(f"{ip}:{port}" for ip, port in fresh.seeds), needs_restart=needs_restart)
         self._on_change(fresh)
