--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,36 +3,36 @@
 import pytest
 
 from tests.data_plane import Gate
-from tests.known_red import listed
+from tests.known_red import load_known_failures
 from tests.node import Node
 
-KNOWN_RED = listed()
+KNOWN_FAILURES = load_known_failures()
 
 
 @pytest.fixture
 def node() -> Iterator[Node]:
-    """A gateway's sockets with a script in the module's place."""
-    n = Node()
-    yield n
-    n.close()
+    """A gateway on loopback sockets with stub peers and a fake clock."""
+    simulated_node = Node()
+    yield simulated_node
+    simulated_node.close()
 
 
 @pytest.fixture
 def gate() -> Iterator[Gate]:
     """The data plane of the whole system on loopback sockets."""
-    made = Gate()
-    yield made
-    made.close()
+    data_plane = Gate()
+    yield data_plane
+    data_plane.close()
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """A listed test must fail: one that passes has to come off the list."""
+    """Marks the known failures as strict xfail: a listed test that passes must be removed from the list."""
     for item in items:
-        for known in KNOWN_RED:
-            if known.names(item.nodeid):
+        for known in KNOWN_FAILURES:
+            if known.matches(item.nodeid):
                 item.add_marker(pytest.mark.xfail(strict=True, reason=f"KNOWN-RED: {known.cause}"))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for known in KNOWN_RED:
+    for known in KNOWN_FAILURES:
         terminalreporter.write_line(f"KNOWN-RED.txt: {known.test}: {known.cause} ({known.issue})")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,6 @@
-"""KNOWN-RED.txt at the root: tests that fail for a real fault which is not mended yet.
+"""Reads KNOWN-RED.txt at the root, which lists tests that fail because of a fault not yet fixed.
 
-A line each, in three parts: `tests/test_name.py::test_function; the cause; issue N`.
+Each line has three parts: `tests/test_name.py::test_function; the cause; issue N`.
 """
 
 from __future__ import annotations
@@ -8,38 +8,40 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+LIST_PATH = Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_ENTRIES = 3
 
 
-class BadList(ValueError):
-    """The file is not a list of at most `MOST` tests with cause and issue."""
+class InvalidList(ValueError):
+    """The file is not a list of at most `MAX_ENTRIES` tests, each with cause and issue."""
 
 
 @dataclass(frozen=True, slots=True)
-class KnownRed:
+class KnownFailure:
+    """One line of the list."""
+
     test: str
     cause: str
     issue: str
 
-    def names(self, nodeid: str) -> bool:
-        """Whether a test is this one, with whatever parameters."""
+    def matches(self, nodeid: str) -> bool:
+        """Tells whether a test id is of this test, with any parameters."""
         return nodeid.partition("[")[0] == self.test
 
 
-def parse(text: str) -> tuple[KnownRed, ...]:
-    """Raises BadList with the line that is wrong."""
-    found = []
+def parse(text: str) -> tuple[KnownFailure, ...]:
+    """Parses the list. Raises InvalidList, which names the malformed line."""
+    entries = []
     for number, line in enumerate(text.splitlines(), 1):
         parts = [part.strip() for part in line.split(";")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-            raise BadList(f"KNOWN-RED.txt line {number}: wanted 'FILE::TEST; cause; issue'")
-        found.append(KnownRed(*parts))
-    if len(found) > MOST:
-        raise BadList(f"KNOWN-RED.txt: {len(found)} tests, {MOST} at most")
-    return tuple(found)
+            raise InvalidList(f"KNOWN-RED.txt line {number}: expected 'FILE::TEST; cause; issue'")
+        entries.append(KnownFailure(*parts))
+    if len(entries) > MAX_ENTRIES:
+        raise InvalidList(f"KNOWN-RED.txt: {len(entries)} tests, {MAX_ENTRIES} at most")
+    return tuple(entries)
 
 
-def listed() -> tuple[KnownRed, ...]:
-    """What the file lists; nothing where there is none."""
-    return parse(FILE.read_text()) if FILE.exists() else ()
+def load_known_failures() -> tuple[KnownFailure, ...]:
+    """Returns the entries of the file; none if it does not exist."""
+    return parse(LIST_PATH.read_text()) if LIST_PATH.exists() else ()
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The page on the architecture names files that are there, and its picture is the one that its text describes."""
+"""The architecture page names only files that exist, and its image matches the source of the graph."""
 
 import re
 from html import unescape
@@ -8,21 +8,25 @@
 PAGE = (ROOT / "docs" / "architecture.md").read_text()
 
 
-def test_every_file_it_names_is_there() -> None:
+def test_every_named_file_exists() -> None:
     named = set(re.findall(r"`([a-z_/]+\.py)`", PAGE))
     assert len(named) > 20
     assert not {name for name in named if not (ROOT / "oakvale" / name).exists() and not (ROOT / name).exists()}
 
 
-def test_each_way_has_ten_steps_at_most() -> None:
-    ways = {way.splitlines()[0]: re.findall(r"^(\d+)\. ", way, re.M) for way in PAGE.split("\n## ")[1:]}
-    assert list(ways) == ["A request", "A configuration", "A backend's beat", "A quota count"]
-    assert all(steps == [str(n + 1) for n in range(len(steps))] and len(steps) <= 10 for steps in ways.values())
+def test_each_section_has_at_most_ten_steps() -> None:
+    steps_by_section = {
+        section.splitlines()[0]: re.findall(r"^(\d+)\. ", section, re.M) for section in PAGE.split("\n## ")[1:]
+    }
+    assert list(steps_by_section) == ["A request", "A configuration", "A backend's beat", "A quota count"]
+    assert all(
+        steps == [str(n + 1) for n in range(len(steps))] and len(steps) <= 10 for steps in steps_by_section.values()
+    )
 
 
-def test_the_image_shows_what_the_text_says() -> None:
-    text, image = ((ROOT / "docs" / f"architecture.{kind}").read_text() for kind in ("dot", "svg"))
+def test_image_matches_the_graph_source() -> None:
+    graph, image = ((ROOT / "docs" / f"architecture.{kind}").read_text() for kind in ("dot", "svg"))
     image = unescape(image)
-    words = [word for label in re.findall(r'label="(.*?)"', text) for word in label.split("\\n")]
+    words = [word for label in re.findall(r'label="(.*?)"', graph) for word in label.split("\\n")]
     assert words and all(f">{word}</text>" in image for word in words)
-    assert image.count('class="edge"') == text.count("->") - text.count("style=invis")
+    assert image.count('class="edge"') == graph.count("->") - graph.count("style=invis")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""What a process is told: the settings file, and what PROTOCOL calls a valid configuration."""
+"""The settings file, its reloading, and the validation of configurations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from oakvale.config.settings_watch import SettingsWatch
 from oakvale.config.toml_table import BadFile
 
-FILE = """
+SETTINGS_FILE = """
 later = 1
 [self]
 node = "core-1"
@@ -48,14 +48,14 @@
 """
 
 
-def load(tmp_path: Path, text: str) -> settings.Settings:
+def load_settings(tmp_path: Path, text: str) -> settings.Settings:
     path = tmp_path / "settings.toml"
     path.write_text(text)
     return settings.load({"OAKVALE_SETTINGS": str(path)})
 
 
-def test_a_settings_file_is_read_and_unknown_fields_are_skipped(tmp_path: Path) -> None:
-    found = load(tmp_path, FILE)
+def test_settings_file_is_read_and_unknown_fields_are_ignored(tmp_path: Path) -> None:
+    found = load_settings(tmp_path, SETTINGS_FILE)
     assert (found.node, found.zone, found.bootstrap, found.voting) == ("core-1", "half-way-tree", True, False)
     assert found.seeds == (("10.1.0.33", 8783), ("10.2.0.25", 8783)) and found.bind == {"ctl": ("10.1.0.30", 8783)}
     assert (found.beat, found.cpu, found.memory_mb, found.tolerate) == (1_500_000, 0.86, 300, 1)
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("was", "becomes", "named"),
+    ("original", "replacement", "expected"),
     [
         ('ip = "10.1.0.30"', "", "[self] ip"),
         ('node = "core-1"', "node = 1", "[self] node"),
@@ -86,28 +86,28 @@
         ("[self.limits]", "[self.limits", "not TOML"),
     ],
 )
-def test_what_is_wrong_in_a_settings_file_is_named(tmp_path: Path, was: str, becomes: str, named: str) -> None:
-    assert was in FILE
+def test_error_in_settings_file_names_the_field(tmp_path: Path, original: str, replacement: str, expected: str) -> None:
+    assert original in SETTINGS_FILE
     with pytest.raises(BadFile) as error:
-        load(tmp_path, FILE.replace(was, becomes))
-    assert named in str(error.value) and "settings.toml" in str(error.value) and "\n" not in str(error.value)
+        load_settings(tmp_path, SETTINGS_FILE.replace(original, replacement))
+    assert expected in str(error.value) and "settings.toml" in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_file_that_is_not_there(tmp_path: Path) -> None:
+def test_missing_settings_file_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(BadFile, match="cannot be read"):
         settings.load({"OAKVALE_SETTINGS": str(tmp_path / "none")})
 
 
 @pytest.mark.parametrize(
-    ("text", "time"),
+    ("text", "microseconds"),
     [("1500ms", 1_500_000), ("2.5s", 2_500_000), ("0ms", 0), ("0.25ms", 250), ("7.915077855057237s", 7_915_078)],
 )
-def test_times(text: str, time: int) -> None:
-    assert parse_duration(text) == time
+def test_valid_durations(text: str, microseconds: int) -> None:
+    assert parse_duration(text) == microseconds
 
 
 @pytest.mark.parametrize("text", ["", "5", "5 s", "5m", "-5s", "s", "1e3s", "5s\n", "٥s", 5, None])
-def test_what_is_no_time(text: object) -> None:
+def test_invalid_durations_are_rejected(text: object) -> None:
     with pytest.raises(ValueError):
         parse_duration(text)
 
@@ -164,22 +164,29 @@
 }
 
 
-def changed(*path: Any, to: Any) -> bytes:
+def configuration_with(*path: Any, to: Any) -> bytes:
+    """Returns the valid configuration with one value replaced."""
     data = orjson.loads(orjson.dumps(VALID))
-    part = data
-    for step in path[:-1]:
-        part = part[step]
-    part[path[-1]] = to
+    parent = data
+    for key in path[:-1]:
+        parent = parent[key]
+    parent[path[-1]] = to
     return orjson.dumps(data)
 
 
-def test_a_configuration_is_read_whole() -> None:
+def test_configuration_is_parsed() -> None:
     found = model.parse(orjson.dumps(VALID))
-    split, plain = found.routes
-    assert found.gen == 7 and split.split is not None
-    assert [(part.svc, part.wt) for part in split.split] == [("s1", 90), ("s2", 10)]
-    assert (split.deadline, split.target_time, split.tries, split.prio) == (1_200_000, 300_000, 2, 2)
-    assert (plain.svc, plain.split, plain.target_time, plain.public, plain.type) == ("s2", None, None, False, "unsafe")
+    weighted, single = found.routes
+    assert found.gen == 7 and weighted.split is not None
+    assert [(part.svc, part.wt) for part in weighted.split] == [("s1", 90), ("s2", 10)]
+    assert (weighted.deadline, weighted.target_time, weighted.tries, weighted.prio) == (1_200_000, 300_000, 2, 2)
+    assert (single.svc, single.split, single.target_time, single.public, single.type) == (
+        "s2",
+        None,
+        None,
+        False,
+        "unsafe",
+    )
     assert found.svcs[0].max_conns == 110 and found.svcs[1].hcheck is None
     assert found.limits.hdr == 3_000_000 and found.limits.body_bytes == 1000 and found.limits.idle is None
     assert found.tenants is not None and (found.tenants[0].rate, found.tenants[0].burst) == (63, 63)
@@ -189,53 +196,53 @@
 @pytest.mark.parametrize(
     "text",
     [
-        changed("tenants", to=None),
-        changed("limits", to=None),
-        changed("limits", to={}),
-        changed("later", to={"a": 1}),
-        changed("routes", "rows", to=[]),
-        changed("routes", "rows", 0, 5, to="61199ms"),
-        changed("routes", "rows", 1, 1, to="b.example"),
-        changed("gen", to=0),
+        configuration_with("tenants", to=None),
+        configuration_with("limits", to=None),
+        configuration_with("limits", to={}),
+        configuration_with("later", to={"a": 1}),
+        configuration_with("routes", "rows", to=[]),
+        configuration_with("routes", "rows", 0, 5, to="61199ms"),
+        configuration_with("routes", "rows", 1, 1, to="b.example"),
+        configuration_with("gen", to=0),
     ],
 )
-def test_valid_ones_pass(text: bytes) -> None:
+def test_valid_configurations_are_accepted(text: bytes) -> None:
     model.parse(text)
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected"),
     [
-        (changed("routes", "rows", 1, 10, to="none"), "routes.r2"),  # unknown services
-        (changed("routes", "rows", 0, 7, 1, "svc", to="none"), "routes.r1"),
-        (changed("routes", "rows", 0, 10, to="none"), "routes.r1"),
-        (changed("routes", "rows", 1, 10, to=None), "routes.r2"),
-        (changed("routes", "rows", 1, 2, to="/x/"), "routes.r2"),  # host and prefix of another
+        (configuration_with("routes", "rows", 1, 10, to="none"), "routes.r2"),  # unknown services
+        (configuration_with("routes", "rows", 0, 7, 1, "svc", to="none"), "routes.r1"),
+        (configuration_with("routes", "rows", 0, 10, to="none"), "routes.r1"),
+        (configuration_with("routes", "rows", 1, 10, to=None), "routes.r2"),
+        (configuration_with("routes", "rows", 1, 2, to="/x/"), "routes.r2"),  # same host and prefix as another route
         (
-            changed(
+            configuration_with(
                 "routes", "rows", 1, to=["r2", "A.Example", "/x/", "safe", "1s", None, 1, None, 1, None, "s2", None]
             ),
             "routes.r2",
         ),
-        (changed("routes", "rows", 0, 5, to="61200ms"), "target_time"),  # a minute above the deadline
-        (changed("routes", "rows", 0, 8, to=0), "routes.0.tries"),
-        (changed("routes", "rows", 0, 8, to=None), "routes.0.tries"),
-        (changed("routes", "rows", 0, 4, to="soon"), "routes.0.deadline"),
-        (changed("routes", "rows", 0, 4, to="0ms"), "deadline"),
-        (changed("routes", "rows", 0, 3, to="maybe"), "routes.0.type"),
-        (changed("routes", "rows", 0, 2, to="x/"), "routes.0.prefix"),
-        (changed("routes", "rows", 0, 7, to=[]), "routes.r1.split"),
-        (changed("routes", "rows", 1, to=["r2"]), "routes.rows[1]"),  # can't be read whole
-        (changed("routes", "cols", 1, to="name"), "routes.cols"),
-        (changed("routes", "rows", to=None), "routes"),
-        (changed("routes", to=None), "routes"),
-        (changed("svcs", to=None), "svcs"),
-        (changed("svcs", "rows", 1, 0, to="s1"), "svcs"),
-        (changed("gen", to=None), "gen"),
-        (changed("gen", to="newest"), "gen"),
-        (changed("limits", "hdr", to=3), "limits.hdr"),
-        (changed("tenants", "rows", 0, 1, to="k1"), "tenants.0.apikeys"),
-        (changed("tenants", "rows", 0, 3, to=-1), "tenants.0.rate-per-s"),
+        (configuration_with("routes", "rows", 0, 5, to="61200ms"), "target_time"),  # one minute above the deadline
+        (configuration_with("routes", "rows", 0, 8, to=0), "routes.0.tries"),
+        (configuration_with("routes", "rows", 0, 8, to=None), "routes.0.tries"),
+        (configuration_with("routes", "rows", 0, 4, to="soon"), "routes.0.deadline"),
+        (configuration_with("routes", "rows", 0, 4, to="0ms"), "deadline"),
+        (configuration_with("routes", "rows", 0, 3, to="maybe"), "routes.0.type"),
+        (configuration_with("routes", "rows", 0, 2, to="x/"), "routes.0.prefix"),
+        (configuration_with("routes", "rows", 0, 7, to=[]), "routes.r1.split"),
+        (configuration_with("routes", "rows", 1, to=["r2"]), "routes.rows[1]"),  # fewer values than columns
+        (configuration_with("routes", "cols", 1, to="name"), "routes.cols"),
+        (configuration_with("routes", "rows", to=None), "routes"),
+        (configuration_with("routes", to=None), "routes"),
+        (configuration_with("svcs", to=None), "svcs"),
+        (configuration_with("svcs", "rows", 1, 0, to="s1"), "svcs"),
+        (configuration_with("gen", to=None), "gen"),
+        (configuration_with("gen", to="newest"), "gen"),
+        (configuration_with("limits", "hdr", to=3), "limits.hdr"),
+        (configuration_with("tenants", "rows", 0, 1, to="k1"), "tenants.0.apikeys"),
+        (configuration_with("tenants", "rows", 0, 3, to=-1), "tenants.0.rate-per-s"),
         (orjson.dumps(VALID)[:-1], "JSON"),
         (b"", "JSON"),
         (b"\xff", "JSON"),
@@ -244,39 +251,54 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_what_is_invalid_is_refused_and_named(text: bytes, named: str) -> None:
+def test_invalid_configuration_is_rejected_and_error_names_the_field(text: bytes, expected: str) -> None:
     with pytest.raises(model.InvalidConfiguration) as error:
         model.parse(text)
-    assert named in str(error.value)
+    assert expected in str(error.value)
 
 
-CONTENT = model.parse_with_digest(orjson.dumps(VALID))[1]
-ROWS = [dict(zip(VALID["svcs"]["cols"], row, strict=True)) for row in VALID["svcs"]["rows"]]
+VALID_DIGEST = model.parse_with_digest(orjson.dumps(VALID))[1]
+SERVICE_OBJECTS = [dict(zip(VALID["svcs"]["cols"], row, strict=True)) for row in VALID["svcs"]["rows"]]
 
 
 @pytest.mark.parametrize(
-    ("text", "same"),
+    ("text", "is_same"),
     [
         (orjson.dumps(VALID, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS), True),
-        (changed("svcs", to={"rows": [list(row.values())[::-1] for row in ROWS], "cols": list(ROWS[0])[::-1]}), True),
-        (changed("svcs", to={"cols": [*ROWS[0], "later"], "rows": [[*row.values(), None] for row in ROWS]}), True),
+        (
+            configuration_with(
+                "svcs",
+                to={
+                    "rows": [list(row.values())[::-1] for row in SERVICE_OBJECTS],
+                    "cols": list(SERVICE_OBJECTS[0])[::-1],
+                },
+            ),
+            True,
+        ),
+        (
+            configuration_with(
+                "svcs",
+                to={"cols": [*SERVICE_OBJECTS[0], "later"], "rows": [[*row.values(), None] for row in SERVICE_OBJECTS]},
+            ),
+            True,
+        ),
         (orjson.dumps(VALID).replace(b'"gen":7', b'"gen":6,"gen":7'), True),
         (orjson.dumps(VALID).replace(b'"s1"', b'"\\u0073\\u0031"'), True),
-        (changed("gen", to="7"), False),
-        (changed("gen", to=7.0), False),
-        (changed("later", to=None), False),
-        (changed("svcs", "rows", to=VALID["svcs"]["rows"][::-1]), False),
-        (changed("svcs", "later", to=1), False),
-        (changed("tenants", "rows", 0, 3, to=63.0), False),
-        (changed("tenants", "rows", 0, 0, to="\u00e9"), False),
+        (configuration_with("gen", to="7"), False),
+        (configuration_with("gen", to=7.0), False),
+        (configuration_with("later", to=None), False),
+        (configuration_with("svcs", "rows", to=VALID["svcs"]["rows"][::-1]), False),
+        (configuration_with("svcs", "later", to=1), False),
+        (configuration_with("tenants", "rows", 0, 3, to=63.0), False),
+        (configuration_with("tenants", "rows", 0, 0, to="\u00e9"), False),
     ],
 )
-def test_one_content_has_one_digest(text: bytes, same: bool) -> None:
+def test_digest_depends_only_on_content(text: bytes, is_same: bool) -> None:
     found, digest = model.parse_with_digest(text)
-    assert found.gen == 7 and (digest == CONTENT) is same
+    assert found.gen == 7 and (digest == VALID_DIGEST) is is_same
 
 
-def test_texts_that_look_alike_are_two_contents() -> None:
+def test_similar_values_have_different_digests() -> None:
     values: list[Any] = [
         1,
         1.0,
@@ -296,11 +318,11 @@
         [[], []],
         [[[]]],
     ]
-    assert len({model.parse_with_digest(changed("later", to=value))[1] for value in values}) == len(values)
+    assert len({model.parse_with_digest(configuration_with("later", to=value))[1] for value in values}) == len(values)
 
 
-class Clock:
-    """The part of a loop that a watch needs."""
+class LoopStub:
+    """Records timers; stands in for the event loop."""
 
     def __init__(self) -> None:
         self.now, self.calls = 0, list[Any]()
@@ -309,17 +331,17 @@
         self.calls.append(call)
 
 
-def test_a_file_that_changes_is_read_again_and_a_broken_one_changes_nothing(tmp_path: Path) -> None:
-    """Seeds turn over while a process runs, with or without a signal."""
-    path, told, clock = tmp_path / "settings.toml", list[settings.Settings](), Clock()
-    path.write_text(FILE)
+def test_watch_reloads_a_changed_file_and_ignores_a_broken_one(tmp_path: Path) -> None:
+    """Seed addresses may change while a process runs, also without a signal."""
+    path, reported, loop = tmp_path / "settings.toml", list[settings.Settings](), LoopStub()
+    path.write_text(SETTINGS_FILE)
     environment = {"OAKVALE_SETTINGS": str(path)}
-    SettingsWatch(clock, environment, settings.load(environment), told.append)  # type: ignore[arg-type]
-    clock.calls.pop()(None)
-    assert not told
-    path.write_text(FILE.replace("seeds = [", 'seeds = ["10.9.9.9:8783",'))
-    clock.calls.pop()(None)
-    assert [fresh.seeds[0] for fresh in told] == [("10.9.9.9", 8783)]
+    SettingsWatch(loop, environment, settings.load(environment), reported.append)  # type: ignore[arg-type]
+    loop.calls.pop()(None)
+    assert not reported
+    path.write_text(SETTINGS_FILE.replace("seeds = [", 'seeds = ["10.9.9.9:8783",'))
+    loop.calls.pop()(None)
+    assert [fresh.seeds[0] for fresh in reported] == [("10.9.9.9", 8783)]
     path.write_text("seeds = [")
-    clock.calls.pop()(None)
-    assert len(told) == 1
+    loop.calls.pop()(None)
+    assert len(reported) == 1
--- a/tests/test_import_order.py
+++ b/tests/test_import_order.py
@@ -1,4 +1,4 @@
-"""Imports run one way, also those inside functions and those for types alone."""
+"""Imports follow the order of the layers, including those inside functions and for type checking."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-# each imports from those before it and from itself; what stands on one line knows nothing of its neighbours
-ORDER = (
+# a package imports only from itself and from the lines above; packages on one line do not import each other
+LAYERS = (
     ("__init__",),
     ("interface", "numbers"),
     ("settings", "retry_budget"),
@@ -23,7 +23,7 @@
     ("driver",),
     ("host",),
     ("lifecycle", "adapter", "drains"),
-    ("config",),  # from here on, the whole system
+    ("config",),  # from here on: the distributed system
     ("transport", "storage"),
     ("dissemination",),
     ("failover",),
@@ -35,15 +35,15 @@
     ("cli",),
     ("__main__",),
 )
-LEVEL = {part: level for level, parts in enumerate(ORDER) for part in parts}
+LAYER_INDEX = {package: level for level, packages in enumerate(LAYERS) for package in packages}
 FILES = {
     ".".join(path.relative_to(ROOT).with_suffix("").parts).removesuffix(".__init__"): path
     for path in sorted((ROOT / "oakvale").rglob("*.py"))
 }
 
 
-def imported(name: str) -> set[str]:
-    """The modules of ours that a module names in an import, wherever in it."""
+def imported_modules(name: str) -> set[str]:
+    """Returns the modules of oakvale that a module imports anywhere in its source."""
     found = set()
     for node in ast.walk(ast.parse(FILES[name].read_text())):
         if isinstance(node, ast.Import):
@@ -51,44 +51,47 @@
         elif isinstance(node, ast.ImportFrom):
             assert node.level == 0, f"{name}: imports are absolute"
             inner = {f"{node.module}.{alias.name}" for alias in node.names}
-            found |= {x if x in FILES else str(node.module) for x in inner}
+            found |= {module if module in FILES else str(node.module) for module in inner}
     return found & FILES.keys()
 
 
-def part(module: str) -> str:
-    """The package or file right under oakvale that a module belongs to."""
+def top_level_part(module: str) -> str:
+    """Returns the top-level package or file of oakvale that contains a module."""
     return (module.split(".") + ["__init__"])[1]
 
 
 @pytest.mark.parametrize("name", FILES)
-def test_imports_run_one_way(name: str) -> None:
-    assert part(name) in LEVEL, "a new part: say where it stands"
+def test_imports_follow_the_layers(name: str) -> None:
+    assert top_level_part(name) in LAYER_INDEX, "add the new package to LAYERS"
     upwards = {
-        other for other in imported(name) if part(other) != part(name) and LEVEL[part(other)] >= LEVEL[part(name)]
+        other
+        for other in imported_modules(name)
+        if top_level_part(other) != top_level_part(name)
+        and LAYER_INDEX[top_level_part(other)] >= LAYER_INDEX[top_level_part(name)]
     }
     assert not upwards
 
 
-def test_no_circle() -> None:
-    TopologicalSorter({name: imported(name) for name in FILES}).prepare()
+def test_imports_have_no_cycle() -> None:
+    TopologicalSorter({name: imported_modules(name) for name in FILES}).prepare()
 
 
 @pytest.mark.parametrize(
     "name", [name for name, path in FILES.items() if path.stem == "__init__" and name != "oakvale"]
 )
-def test_a_package_says_what_it_owns(name: str) -> None:
-    """What it owns, what it must not do, where to begin reading: three sentences."""
+def test_package_docstring_states_what_it_owns(name: str) -> None:
+    """Three sentences: what it owns, what it must not do, where to begin reading."""
     text = ast.get_docstring(ast.parse(FILES[name].read_text())) or ""
     *_, last = sentences = " ".join(text.split()).split(". ")
     assert len(sentences) == 3 and last.startswith("Begin with `")
 
 
-def test_the_deploy_file_names_all_that_the_gateway_in_service_is_made_of() -> None:
-    """A file that was moved out of the driver was not named: the operators would have judged the gateway without it."""
+def test_deploy_file_lists_every_module_of_the_gateway() -> None:
+    """The deploy file must list every file of the running gateway, or operators would review an incomplete set."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    named, left, seen = (*deploy["node"], *deploy["policy"]), ["oakvale.lifecycle.serving"], set[str]()
-    while left:
-        seen.add(name := left.pop())
-        left += imported(name) - seen
+    named, pending, seen = (*deploy["node"], *deploy["policy"]), ["oakvale.lifecycle.serving"], set[str]()
+    while pending:
+        seen.add(name := pending.pop())
+        pending += imported_modules(name) - seen
     files = {str(FILES[name].relative_to(ROOT)) for name in seen}
     assert len(files) > 30 and not {file for file in files if not file.startswith(named)}
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,14 +1,14 @@
-"""The list of known failures: few, each with its cause, and none that names no test."""
+"""The list of known failures is short, gives a cause for each, and names only tests that exist."""
 
 from __future__ import annotations
 
 import pytest
 
-from tests.known_red import FILE, BadList, listed, parse
+from tests.known_red import LIST_PATH, InvalidList, load_known_failures, parse
 
 
 @pytest.mark.parametrize(
-    "text, why",
+    "text, message",
     [
         ("tests/test_a.py::test_b; it breaks\n", "line 1"),
         ("tests/test_a.py; it breaks; issue 1\n", "line 1"),
@@ -16,18 +16,18 @@
         ("a::b; c; d\n" * 4, "4 tests"),
     ],
 )
-def test_a_list_without_causes_or_of_too_many_is_refused(text: str, why: str) -> None:
-    with pytest.raises(BadList, match=why):
+def test_list_with_missing_causes_or_too_many_entries_is_rejected(text: str, message: str) -> None:
+    with pytest.raises(InvalidList, match=message):
         parse(text)
 
 
-def test_only_the_named_test_is_passed_over() -> None:
+def test_entry_matches_only_the_named_test() -> None:
     (known,) = parse("tests/test_a.py::test_b; it breaks; issue 1\n")
-    assert known.names("tests/test_a.py::test_b[1-x]")
-    assert not known.names("tests/test_a.py::test_bc") and not known.names("tests/test_c.py::test_b")
+    assert known.matches("tests/test_a.py::test_b[1-x]")
+    assert not known.matches("tests/test_a.py::test_bc") and not known.matches("tests/test_c.py::test_b")
 
 
-def test_each_listed_test_exists() -> None:
-    for known in listed():
+def test_every_listed_test_exists() -> None:
+    for known in load_known_failures():
         path, _, name = known.test.partition("::")
-        assert f"def {name}(" in (FILE.parent / path).read_text()
+        assert f"def {name}(" in (LIST_PATH.parent / path).read_text()
--- a/tests/test_packages.py
+++ b/tests/test_packages.py
@@ -1,4 +1,4 @@
-"""System packages in the deploy file: their names, what `build` and the roles call, and the interpreter they bring."""
+"""Packages in the deploy file: their names, the programs that `build` and the roles call, and the interpreter."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from oakvale.config.toml_table import BadFile
 
 ROOT = Path(__file__).parent.parent
-SYSTEM = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
-SPLIT_OFF = set(packages.PACKAGE_BY_MODULE) | {"idlelib", "turtle", "_gdbm", "dbm"}
-"""Modules of the standard library that Debian does not ship in python3 and its dependencies."""
-LABORATORY = ("lab", "demo")  # not run on the operators' machines
+DEPLOY_FILE = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
+SEPARATELY_PACKAGED_MODULES = set(packages.PACKAGE_BY_MODULE) | {"idlelib", "turtle", "_gdbm", "dbm"}
+"""Modules of the standard library that Debian ships neither in python3 nor in its dependencies."""
+DEVELOPMENT_PACKAGES = ("lab", "demo")  # not run on production machines
 
 
-def changed(**fields: object) -> dict[str, object]:
-    return {**SYSTEM, **fields}
+def deploy_file_with(**fields: object) -> dict[str, object]:
+    return {**DEPLOY_FILE, **fields}
 
 
 @pytest.mark.parametrize(
@@ -38,27 +38,27 @@
         ("python3 -m pip -V >target/log; unheard-of", "unheard-of"),
     ],
 )
-def test_a_program_that_no_listed_package_brings_is_refused(build: str, program: str) -> None:
+def test_program_of_no_listed_package_is_rejected(build: str, program: str) -> None:
     with pytest.raises(BadFile, match=rf"build: .*{re.escape(program)}"):
-        deploy.decode(changed(build=build))
+        deploy.decode(deploy_file_with(build=build))
 
 
-def test_the_build_line_needs_each_package_of_the_list() -> None:
-    listed = SYSTEM["packages"]
-    assert deploy.decode(SYSTEM).packages == tuple(listed)
+def test_build_line_needs_every_listed_package() -> None:
+    listed = DEPLOY_FILE["packages"]
+    assert deploy.decode(DEPLOY_FILE).packages == tuple(listed)
     for left_out in ("python3", "python3-pip"):
         with pytest.raises(BadFile, match="build: "):
-            deploy.decode(changed(packages=[name for name in listed if name != left_out]))
+            deploy.decode(deploy_file_with(packages=[name for name in listed if name != left_out]))
 
 
-def test_a_role_calls_only_what_is_listed() -> None:
-    roles = {**SYSTEM["roles"], "sluice": {**SYSTEM["roles"]["sluice"], "run": "node gateway.js"}}
+def test_role_may_run_only_programs_of_listed_packages() -> None:
+    roles = {**DEPLOY_FILE["roles"], "sluice": {**DEPLOY_FILE["roles"]["sluice"], "run": "node gateway.js"}}
     with pytest.raises(BadFile, match=r"\[roles.sluice\] run: 'node' is not provided by any listed package"):
-        deploy.decode(changed(roles=roles))
+        deploy.decode(deploy_file_with(roles=roles))
 
 
 @pytest.mark.parametrize(
-    "listed, why",
+    "listed, expected_error",
     [
         (None, "packages is not understood"),
         ("python3", "packages is not understood"),
@@ -69,46 +69,48 @@
         (["python3.9", "python3-pip"], "build: 'python3' is not provided by any listed package"),
     ],
 )
-def test_a_list_that_is_none(listed: object, why: str) -> None:
-    with pytest.raises(BadFile, match=re.escape(why)):
-        deploy.decode(changed(packages=listed))
+def test_malformed_package_list_is_rejected(listed: object, expected_error: str) -> None:
+    with pytest.raises(BadFile, match=re.escape(expected_error)):
+        deploy.decode(deploy_file_with(packages=listed))
 
 
-def test_the_list_must_be_there() -> None:
+def test_package_list_is_required() -> None:
     with pytest.raises(BadFile, match="packages is missing"):
-        deploy.decode({name: value for name, value in SYSTEM.items() if name != "packages"})
+        deploy.decode({name: value for name, value in DEPLOY_FILE.items() if name != "packages"})
 
 
 @pytest.mark.parametrize("version", [(3, 9), (3, 10), (3, 15), (4, 0)])
-def test_an_interpreter_that_is_not_supported(version: tuple[int, int], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unsupported_installed_interpreter_is_rejected(
+    version: tuple[int, int], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(packages, "installed_python", lambda _: version)
     with pytest.raises(BadFile, match=r"packages: python3 is Python \d\.\d+: 3\.11 to 3\.14 is supported"):
-        deploy.decode(SYSTEM)
+        deploy.decode(DEPLOY_FILE)
 
 
 @pytest.mark.parametrize("package", ["python3.10", "python3.15-minimal"])
-def test_a_named_interpreter_that_is_not_supported(package: str) -> None:
+def test_unsupported_versioned_interpreter_is_rejected(package: str) -> None:
     with pytest.raises(packages.UnsupportedPython, match=package):
         packages.check_python([package])
 
 
-def test_the_supported_versions_are_the_project_s() -> None:
+def test_oldest_supported_version_matches_pyproject() -> None:
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     assert project["requires-python"] == f">={'.'.join(map(str, packages.OLDEST_PYTHON))}"
 
 
-def test_the_roles_import_nothing_that_debian_splits_off() -> None:
+def test_roles_import_no_module_that_debian_packages_separately() -> None:
     for path in (ROOT / "oakvale").rglob("*.py"):
-        if path.relative_to(ROOT / "oakvale").parts[0] in LABORATORY:
+        if path.relative_to(ROOT / "oakvale").parts[0] in DEVELOPMENT_PACKAGES:
             continue
         for node in ast.walk(ast.parse(path.read_text())):
             names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
             names += [node.module] if isinstance(node, ast.ImportFrom) and node.module else []
             for name in (name.partition(".")[0] for name in names):
-                assert not (name in sys.stdlib_module_names and name in SPLIT_OFF), f"{path}: {name}"
+                assert not (name in sys.stdlib_module_names and name in SEPARATELY_PACKAGED_MODULES), f"{path}: {name}"
 
 
-def test_commands_of_a_script() -> None:
+def test_commands_of_shell_script() -> None:
     script = "[ a -nt b ] || X=1 python3 -m pip -q >log 2>&1; if true; then\n ls | wc; fi"
     programs = [words[0] for words in packages.commands_of(script)]
     assert programs == ["[", "python3", "true", "ls", "wc", "fi"]
