--- a/tests/test_bench_scripts.py
+++ b/tests/test_bench_scripts.py
@@ -50,8 +50,8 @@
 
 def test_drawn_days_are_deterministic_and_cover_all_variants() -> None:
     draw = load_script("draw")
-    texts = [draw.day(seed, True, all_variants=True) for seed in range(40)]
-    assert texts == [draw.day(seed, True, all_variants=True) for seed in range(40)]
+    texts = [draw.day_file(seed, True, all_variants=True) for seed in range(40)]
+    assert texts == [draw.day_file(seed, True, all_variants=True) for seed in range(40)]
     found = {(one["kind"], one.get("how", "")) for text in texts for one in tomllib.loads(text)["day"][0]["faults"]}
     kinds = {kind for kind, _ in found}
     assert {"give_up", "retry_abuse", "srv_lying_health", "srv_cut", "replace_core", "node_freeze"} <= kinds
