--- a/tests/test_bench_scripts.py
+++ b/tests/test_bench_scripts.py
@@ -23,7 +23,7 @@
 
 
 def kinds_output(without: str = "") -> str:
-    newest = load_script("hardening").NEWEST_LISTS
+    newest = load_script("hardening").NEWEST_BENCH_VARIANTS
     lines = [f"{kind}: some; how: {' '.join(variants)}" for kind, variants in newest.items()]
     return "\n".join(line.replace(without, "") if without else line for line in lines)
 
