--- a/bench/versions.py
+++ b/bench/versions.py
@@ -1,13 +1,13 @@
-"""Rolls a small system on loopback from one version to another and half-way back, under load, and counts what failed.
+"""Upgrades a small system on loopback under load and partly rolls it back, and counts failed requests.
 
     versions.py OLD [--edge N] [--seconds S]
 
-OLD is a checkout of the version before; this tree is the new one. Three core machines and some gateways run as
-processes; each step restarts one of them with the other version and waits S seconds. All of it: the core forward,
-then the gateways; the core back, then half of the gateways; all back; and forward again with the gateways first.
-Clients send safe and unsafe requests for two services meanwhile, and two stand-in backends a service count what they
-run. It ends with 1 where an unsafe request ran twice, a request ran at a stranger's service, a process ended by
-itself, or a connection broke on an unsafe request that had been sent.
+OLD is a checkout of the previous version; this tree is the new one. Three core machines and some gateways run as
+processes; each step restarts one of them with the other version and waits S seconds. The order is: upgrade the core,
+then the gateways; roll back the core, then half of the gateways, then the others; upgrade again, gateways first.
+Meanwhile clients send safe and unsafe requests for two services, and two stub backends per service record what they
+run. The exit code is 1 if an unsafe request ran twice, a request reached the wrong service, a process exited by itself,
+or a connection broke after an unsafe request had been sent.
 """
 
 import argparse
@@ -29,80 +29,88 @@
 from oakvale.demo.show import CONFIGURATION, HOST, KEY, PROMISES
 
 SERVICES = ("calendar", "book")
-CLIENTS = 6
-PAUSE = 0.02  # seconds between two requests of a client
-LONGEST_START = 30.0  # seconds until all gateways are ready
+CLIENT_COUNT = 6
+REQUEST_INTERVAL_S = 0.02  # between two requests of a client
+STARTUP_TIMEOUT_S = 30.0  # until all gateways are ready
 
 
 def configuration() -> dict[str, object]:
+    """Returns the configuration of the demo with a second service, whose requests are unsafe."""
     routes = CONFIGURATION["routes"]
     row = dict(zip(routes["cols"], routes["rows"][0], strict=True))
-    rows = [row, row | {"name": "orders", "prefix": "/book/", "type": "unsafe", "svc": "book"}]
+    route_rows = [row, row | {"name": "orders", "prefix": "/book/", "type": "unsafe", "svc": "book"}]
     services = CONFIGURATION["svcs"]
-    known = dict(zip(services["cols"], services["rows"][0], strict=True))
+    service_fields = dict(zip(services["cols"], services["rows"][0], strict=True))
     tenants = {"cols": ["name", "apikeys", "prio", "rate-per-s", "burst"], "rows": [["north", [KEY], 1, 5000, 5000]]}
     return CONFIGURATION | {
         "tenants": tenants,
-        "routes": {"cols": routes["cols"], "rows": [[one[name] for name in routes["cols"]] for one in rows]},
-        "svcs": {"cols": services["cols"], "rows": [list((known | {"name": name}).values()) for name in SERVICES]},
+        "routes": {"cols": routes["cols"], "rows": [[row[column] for column in routes["cols"]] for row in route_rows]},
+        "svcs": {
+            "cols": services["cols"],
+            "rows": [list((service_fields | {"name": name}).values()) for name in SERVICES],
+        },
     }
 
 
 class Clients:
-    """They take another gateway after a failure, as the platform does; unsafe requests only after a promise."""
+    """Clients that retry on another gateway after a failure, as the platform does.
+
+    An unsafe request is retried only if the response guarantees that it was not run, or if no connection was made.
+    """
 
     def __init__(self, gateways: list[str]) -> None:
-        self._gateways, self.ends = gateways, threading.Event()
-        self.counts: Counter[str] = Counter()
-        self.unsafe: set[str] = set()
-        self.unclear: set[str] = set()  # unsafe, sent, and no answer
+        self._gateways, self.stopped = gateways, threading.Event()
+        self.outcome_counts: Counter[str] = Counter()
+        self.unsafe_ids: set[str] = set()
+        self.unanswered_ids: set[str] = set()  # unsafe requests that were sent and got no response
         self._lock = threading.Lock()
-        self._threads = [threading.Thread(target=self._run, args=(n,), daemon=True) for n in range(CLIENTS)]
+        self._threads = [threading.Thread(target=self._run, args=(n,), daemon=True) for n in range(CLIENT_COUNT)]
 
     def start(self) -> None:
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        self.ends.set()
+        self.stopped.set()
         for thread in self._threads:
             thread.join(10)
 
     def _run(self, number: int) -> None:
-        draw = random.Random(number)
-        while not self.ends.wait(PAUSE):
-            self._ask(draw, draw.choice(SERVICES))
+        rng = random.Random(number)
+        while not self.stopped.wait(REQUEST_INTERVAL_S):
+            self._send_with_retries(rng, rng.choice(SERVICES))
 
-    def _ask(self, draw: random.Random, service: str) -> None:
+    def _send_with_retries(self, rng: random.Random, service: str) -> None:
         for _ in range(6):
-            name, gateway = secrets.token_hex(8), draw.choice(self._gateways)
-            outcome = self._try(name, gateway, service)
+            request_id, gateway = secrets.token_hex(8), rng.choice(self._gateways)
+            outcome = self._attempt(request_id, gateway, service)
             with self._lock:
-                self.counts[f"{service}: {outcome}"] += 1
+                self.outcome_counts[f"{service}: {outcome}"] += 1
             if outcome not in ("refused", "no connection") and not (service == "calendar" and outcome != "200"):
                 return
-            self.ends.wait(0.1)
+            self.stopped.wait(0.1)
         with self._lock:
-            self.counts[f"{service}: given up"] += 1
-
-    def _try(self, name: str, gateway: str, service: str) -> str:
-        unsafe = service == "book"
-        if unsafe:
-            self.unsafe.add(name)
-        headers = {"Host": HOST, "Attempt-Id": name, "Time-Left": "2000", "Authorization": f"Bearer {KEY}"}
-        method, body = ("POST", b"order") if unsafe else ("GET", None)
+            self.outcome_counts[f"{service}: given up"] += 1
+
+    def _attempt(self, request_id: str, gateway: str, service: str) -> str:
+        is_unsafe = service == "book"
+        if is_unsafe:
+            self.unsafe_ids.add(request_id)
+        headers = {"Host": HOST, "Attempt-Id": request_id, "Time-Left": "2000", "Authorization": f"Bearer {KEY}"}
+        method, body = ("POST", b"order") if is_unsafe else ("GET", None)
         try:
-            given, _ = once(gateway, method, f"/{service}/x", body, headers, timeout=3)
+            reply, _ = once(gateway, method, f"/{service}/x", body, headers, timeout=3)
         except ConnectionRefusedError:
             return "no connection"
         except (OSError, http.client.HTTPException):
-            if unsafe:
-                self.unclear.add(name)
-            return "broken off"
-        return "refused" if given.status in PROMISES else str(given.status)
+            if is_unsafe:
+                self.unanswered_ids.add(request_id)
+            return "connection lost"
+        return "refused" if reply.status in PROMISES else str(reply.status)
 
 
-def steps(machines: Machines, old: Path) -> Iterator[tuple[str, Path]]:
+def restart_plan(machines: Machines, old: Path) -> Iterator[tuple[str, Path]]:
+    """Yields the nodes in the order of their restarts, each with the source tree to start it from."""
     core = [node for node in machines.nodes() if node.startswith("headworks")]
     edge = [node for node in machines.nodes() if node.startswith("sluice")]
     for node in core + edge:
@@ -120,50 +128,54 @@
     parser.add_argument("old", type=Path)
     parser.add_argument("--edge", type=int, default=4)
     parser.add_argument("--seconds", type=float, default=2.0)
-    told = parser.parse_args()
-    machines, ends = Machines(edge=told.edge), threading.Event()
+    options = parser.parse_args()
+    machines, stopped = Machines(edge=options.edge), threading.Event()
     zones = ("a", "b")
     backends = [
         Backend((machines.backend_address[0], 0), service, zone, machines.ctl) for service in SERVICES for zone in zones
     ]
     clients = Clients(machines.http)
-    in_order = 0
+    clean_exits = 0
     restarts = 0
     try:
-        machines.start(told.old)
+        machines.start(options.old)
         for backend in backends:
             backend.start()
-        Caller(machines.ctl, ends).call("POST", "/oakvale/Config.Replace", configuration(), LONGEST_START)
-        due = time.monotonic() + LONGEST_START
-        while not machines.ready() and time.monotonic() < due:
+        Caller(machines.ctl, stopped).call("POST", "/oakvale/Config.Replace", configuration(), STARTUP_TIMEOUT_S)
+        deadline = time.monotonic() + STARTUP_TIMEOUT_S
+        while not machines.ready() and time.monotonic() < deadline:
             time.sleep(0.1)
         clients.start()
-        for node, tree in steps(machines, told.old):
-            in_order += machines.restart(node, tree)
+        for node, tree in restart_plan(machines, options.old):
+            clean_exits += machines.restart(node, tree)
             restarts += 1
-            time.sleep(told.seconds)
+            time.sleep(options.seconds)
     finally:
         clients.stop()
         for backend in backends:
             backend.stop()
-        ended = machines.ended()
+        exited_nodes = machines.ended()
         machines.stop()
-    return report(clients, backends, restarts, in_order, ended)
+    return report(clients, backends, restarts, clean_exits, exited_nodes)
 
 
-def report(clients: Clients, backends: list[Backend], restarts: int, in_order: int, ended: list[str]) -> int:
-    ran = Counter(name for backend in backends for name in backend.ran)
-    twice = [name for name, times in ran.items() if times > 1 and name in clients.unsafe]
-    strangers = 0
+def report(clients: Clients, backends: list[Backend], restarts: int, clean_exits: int, exited_nodes: list[str]) -> int:
+    """Prints the outcome; returns the exit code."""
+    run_counts = Counter(request_id for backend in backends for request_id in backend.ran)
+    duplicates = [
+        request_id for request_id, times in run_counts.items() if times > 1 and request_id in clients.unsafe_ids
+    ]
+    misrouted = 0
     for backend in backends:
-        orders = backend.service == "book"
-        strangers += sum((name in clients.unsafe) is not orders for name in backend.ran)
-    print(f"{restarts} restarts, {in_order} in order; ended by themselves: {ended or 'none'}")
-    print("; ".join(f"{what} {count}" for what, count in sorted(clients.counts.items())))
+        is_book = backend.service == "book"
+        misrouted += sum((request_id in clients.unsafe_ids) is not is_book for request_id in backend.ran)
+    print(f"{restarts} restarts, {clean_exits} with a clean exit; exited by themselves: {exited_nodes or 'none'}")
+    print("; ".join(f"{outcome} {count}" for outcome, count in sorted(clients.outcome_counts.items())))
     print(
-        f"unsafe run twice: {len(twice)}; run at a stranger's service: {strangers}; broken off: {len(clients.unclear)}"
+        f"unsafe run twice: {len(duplicates)}; run at the wrong service: {misrouted}; "
+        f"connection lost: {len(clients.unanswered_ids)}"
     )
-    return 1 if twice or strangers or clients.unclear or ended else 0
+    return 1 if duplicates or misrouted or clients.unanswered_ids or exited_nodes else 0
 
 
 if __name__ == "__main__":
