--- a/oakvale/dataplane/process.py
+++ b/oakvale/dataplane/process.py
@@ -13,7 +13,7 @@
 from oakvale.config.settings_watch import SettingsWatch
 from oakvale.config.toml_table import BadFile
 from oakvale.dataplane.gateway import EdgeGateway
-from oakvale.dataplane.status import standing
+from oakvale.dataplane.status import status_fields
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
@@ -24,30 +24,31 @@
 
 
 class Process:
-    """All that runs on the loop, but for what the operating system tells."""
+    """Everything that runs on the event loop, except for signals and the settings file."""
 
     def __init__(self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop) -> None:
-        """Raises OSError."""
-        self.sluice = sluice = EdgeGateway(settings, listeners, loop)
-        self.shutdown = Shutdown(sluice)
-        serve_status(sluice.transport, "sluice", settings.node, lambda: standing(sluice))
-        sluice.transport.handlers["chains"] = lambda conn, body, answer: answer({"held": sluice.table.get("chains")})
-        self.know = sluice.know
-        Status(sluice.shared).begin()
-        log_event("sluice", node=settings.node, own=sluice.own, life=sluice.life)
+        """Creates the gateway and its status service. Raises OSError."""
+        self.gateway = gateway = EdgeGateway(settings, listeners, loop)
+        self.shutdown = Shutdown(gateway)
+        serve_status(gateway.transport, "sluice", settings.node, lambda: status_fields(gateway))
+        gateway.transport.handlers["chains"] = lambda conn, body, answer: answer({"held": gateway.table.get("chains")})
+        self.know = gateway.update_seeds
+        Status(gateway.shared).begin()
+        log_event("sluice", node=settings.node, own=gateway.self_address, life=gateway.incarnation)
 
     def stop(self) -> None:
+        """Begins a graceful shutdown and hands over this gateway's duties."""
         self.shutdown.begin()
-        self.sluice.rate_limiter.release()
+        self.gateway.rate_limiter.release()
 
 
 def serve(settings: Settings, signals: Signals, listeners: Mapping[str, Sock]) -> int:
-    """Raises BadFile, OSError."""
+    """Runs the gateway until it is stopped; returns the exit status. Raises BadFile, OSError."""
     if "http" not in settings.bind:
-        raise BadFile("sluice needs [network.bind] http")
+        raise BadFile("the sluice role needs an `http` address in [network.bind]")
     loop = Loop(Clock(), limits_from_settings(settings))
     process = Process(settings, listeners, loop)
-    watch = SettingsWatch(loop, os.environ, settings, lambda fresh: process.know(fresh.seeds))
+    watch = SettingsWatch(loop, os.environ, settings, lambda new_settings: process.know(new_settings.seeds))
     loop.start(signals.run(process.stop, watch.reload), signals.fileno(), Rank.DISCOVERY)
     gc.collect()
     gc.freeze()
--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -18,7 +18,7 @@
 from oakvale.base.loop import Loop
 from oakvale.config.bounds import limits_from_settings
 from oakvale.dataplane.request_router import RequestRouter
-from oakvale.dataplane.routes import Backend, Picture, configured
+from oakvale.dataplane.routes import Backend, RoutingSnapshot, parse_configuration
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.retry_budget import RetryLimits
@@ -50,7 +50,7 @@
 
 @cache
 def configured_parts(idle_timeout: str) -> dict[str, Any]:
-    return configured(json.dumps(CONFIG | {"limits": {"idle": idle_timeout}}).encode())
+    return parse_configuration(json.dumps(CONFIG | {"limits": {"idle": idle_timeout}}).encode())
 
 
 @dataclass(eq=False)
@@ -419,13 +419,13 @@
             for name, (service, (ip, port)) in BACKENDS.items()
         }
         avoid = {"t2": frozenset({"i-1"})} if self.avoid_instance else {}
-        previous = self.router.picture
-        self.router.show(
+        previous = self.router.snapshot
+        self.router.apply_snapshot(
             replace(
-                Picture(**configured_parts(self.idle_timeout)),
+                RoutingSnapshot(**configured_parts(self.idle_timeout)),
                 backends=backends,
                 avoid=avoid,
-                gen=previous.gen + 1,
+                generation=previous.generation + 1,
             )
         )
 
