--- a/oakvale/config/model.py
+++ b/oakvale/config/model.py
@@ -114,9 +114,9 @@
         raise InvalidConfiguration(f"{location}: no cols or rows")
     names = table["cols"]
     if not all(isinstance(name, str) for name in names):
-        raise InvalidConfiguration(f"{location}.cols: a name is not a text")
+        raise InvalidConfiguration(f"{location}.cols: a name is no text")
     if len(set(names)) != len(names):
-        raise InvalidConfiguration(f"{location}.cols: a name is given twice")
+        raise InvalidConfiguration(f"{location}.cols: a name is there twice")
     objects = []
     for index, row in enumerate(table["rows"]):
         if not isinstance(row, list) or len(row) != len(names):
@@ -187,7 +187,7 @@
     except orjson.JSONDecodeError as error:
         raise InvalidConfiguration(f"not JSON: {error}") from error
     if not isinstance(data, dict):
-        raise InvalidConfiguration("not an object")
+        raise InvalidConfiguration("no object")
     table_extras = {}
     for name in TABLES:
         if data.get(name) is not None:
@@ -201,7 +201,7 @@
     """Checks what concerns several fields or rows. Raises InvalidConfiguration."""
     services = {service.name for service in config.svcs}
     if len(services) != len(config.svcs):
-        raise InvalidConfiguration("svcs: two services have the same name")
+        raise InvalidConfiguration("svcs: two services have one name")
     route_by_match: dict[tuple[str, str], str] = {}
     for route in config.routes:
         where = f"routes.{route.name}"
@@ -212,10 +212,10 @@
             if name not in services:
                 raise InvalidConfiguration(f"{where}: unknown service {name!r}")
         if route.split is not None and not sum(part.wt for part in route.split) > 0:
-            raise InvalidConfiguration(f"{where}.split: the sum of the weights is not above 0")
+            raise InvalidConfiguration(f"{where}.split: no weight")
         match = (route.vhost.lower(), route.prefix)
         if match in route_by_match:
-            raise InvalidConfiguration(f"{where}: same host and prefix as {route_by_match[match]}")
+            raise InvalidConfiguration(f"{where}: host and prefix of {route_by_match[match]}")
         route_by_match[match] = route.name
         if route.deadline <= 0:
             raise InvalidConfiguration(f"{where}.deadline: not above 0")
@@ -225,4 +225,4 @@
     for tenant in config.tenants or []:
         for key in tenant.apikeys:
             if tenant_by_key.setdefault(key, tenant.name) != tenant.name:
-                raise InvalidConfiguration(f"tenants.{tenant.name}.apikeys: a key also belongs to {tenant_by_key[key]}")
+                raise InvalidConfiguration(f"tenants.{tenant.name}.apikeys: a key of {tenant_by_key[key]}")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -246,8 +246,8 @@
         (orjson.dumps(VALID)[:-1], "JSON"),
         (b"", "JSON"),
         (b"\xff", "JSON"),
-        (b"[]", "not an object"),
-        (b"null", "not an object"),
+        (b"[]", "no object"),
+        (b"null", "no object"),
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
