--- a/bench/draw.py
+++ b/bench/draw.py
@@ -192,10 +192,12 @@
 
 
 def draw_times(rng: random.Random, length_s: int, count: int) -> list[float]:
+    """Draws sorted times within the day, in seconds."""
     return sorted(round(rng.uniform(1.0, length_s - 3.0), 1) for _ in range(count))
 
 
 def at_time(at: float, entry: Entry) -> Entry:
+    """Returns the entry with its time."""
     return {"at": at, **entry}
 
 
--- a/oakvale/config/chains.py
+++ b/oakvale/config/chains.py
@@ -47,23 +47,23 @@
 def decode(data: dict[str, Any], settings: Settings | None) -> ChainSettings:
     """Checks the parsed TOML; see `load`."""
     try:
-        found = ChainsFile.model_validate(data)
+        content = ChainsFile.model_validate(data)
     except ValidationError as error:
         first = error.errors()[0]
         raise BadFile(f"{'.'.join(map(str, first['loc']))}: {first['msg']}") from error
-    for name in found.above:
+    for name in content.above:
         ancestor, seen = name, {name}
-        while ancestor in found.above:
-            ancestor = found.above[ancestor]
+        while ancestor in content.above:
+            ancestor = content.above[ancestor]
             if ancestor in seen:
                 raise BadFile(f"above.{name}: {ancestor} is its own ancestor")
             seen.add(ancestor)
     if settings is not None:
-        known_names = {*settings.zones.values(), *found.above.values()}
-        for name in found.above:
+        known_names = {*settings.zones.values(), *content.above.values()}
+        for name in content.above:
             if name not in known_names:
                 raise BadFile(f"above.{name}: neither a region of the settings nor a parent in this file")
-        for name in found.above.values():
+        for name in content.above.values():
             if name in settings.zones:
                 raise BadFile(f"above: {name} is a zone")
-    return ChainSettings(found.headroom, found.above)
+    return ChainSettings(content.headroom, content.above)
--- a/oakvale/config/check.py
+++ b/oakvale/config/check.py
@@ -27,14 +27,14 @@
 
 
 def describe_settings(path: str) -> list[str]:
+    """Summarizes a settings file, with the roles that its addresses allow."""
     loaded = settings.load({"OAKVALE_SETTINGS": path})
     role_by_bind = {"http": "sluice", "ctl": "headworks"}
     possible_roles = [role for bind, role in role_by_bind.items() if bind in loaded.bind]
     counted = "counted" if loaded.voting else "not counted"
     lines = [
         f"{loaded.node} at {loaded.ip}, zone {loaded.zone or '-'}, region {loaded.region or '-'}; {counted} "
-        "among the machines that may fail; "
-        f"fits: {', '.join(possible_roles) or 'no role'}",
+        f"among the machines that may fail; fits: {', '.join(possible_roles) or 'no role'}",
         *(f"{name}: {spelled(address)}" for name, address in loaded.bind.items()),
         f"connections between nodes: ports {loaded.ports[0]} to {loaded.ports[1]}",
         f"seeds: {', '.join(map(spelled, loaded.seeds)) or 'none'}; bootstrap: {loaded.bootstrap}",
@@ -50,19 +50,21 @@
 
 
 def describe_deployment(path: str) -> list[str]:
-    found = deploy.load(path)
+    """Summarizes a deploy file."""
+    loaded = deploy.load(path)
     return [
-        f"build: {found.build}",
-        f"packages: {', '.join(found.packages)}; {found.python}",
+        f"build: {loaded.build}",
+        f"packages: {', '.join(loaded.packages)}; {loaded.python}",
         *(
             f"{role.name} on {role.on}: {role.machines()}; serves {', '.join(role.serves) or 'no outside interface'}; "
             f"runs {' '.join(role.run)}"
-            for role in found.roles
+            for role in loaded.roles
         ),
     ]
 
 
 def describe_configuration(path: str) -> list[str]:
+    """Summarizes a configuration."""
     from oakvale.config import model  # imported late: slow to import, and no other check needs it
 
     try:
@@ -86,16 +88,17 @@
 
 
 def describe_contracts(path: str) -> list[str]:
+    """Summarizes a contracts file."""
     from oakvale.config import contracts  # imported late, as above
     from oakvale.drains.hours import DAY
 
-    found = contracts.load(path)
+    loaded = contracts.load(path)
     contract_lines = [
         f"{name}: {contract.zone}, {sum(map(len, contract.week))} time ranges a week, "
         f"{len(contract.dates)} exceptions, notice {contract.notice / DAY:g} days"
-        for name, contract in sorted(found.by_tenant.items())
+        for name, contract in sorted(loaded.by_tenant.items())
     ]
     order_lines = [
-        f"order {order.name}: {order.kind} {order.target}, by {order.by}: {order.why}" for order in found.orders
+        f"order {order.name}: {order.kind} {order.target}, by {order.by}: {order.why}" for order in loaded.orders
     ]
     return contract_lines + order_lines or ["no contracts"]
--- a/oakvale/config/contracts.py
+++ b/oakvale/config/contracts.py
@@ -25,18 +25,18 @@
 
 def parse_time_of_day(text: object) -> int:
     """Returns the minutes since midnight of a text such as `06:30`. Raises ValueError."""
-    found = TIME_PATTERN.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+    match = TIME_PATTERN.fullmatch(text) if isinstance(text, str) else None
+    if match is None:
         raise ValueError(f"not a time of day such as 06:30 or 24:00: {text!r}")
-    return hours.MINUTES if found[1] is None else int(found[1]) * 60 + int(found[2])
+    return hours.MINUTES if match[1] is None else int(match[1]) * 60 + int(match[2])
 
 
 def parse_span(text: object) -> int:
     """Returns the microseconds of a text such as `14d`. Raises ValueError."""
-    found = SPAN_PATTERN.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+    match = SPAN_PATTERN.fullmatch(text) if isinstance(text, str) else None
+    if match is None:
         raise ValueError(f"not a span such as 14d, 36h or 90m: {text!r}")
-    return int(found[1]) * SPAN_UNITS_US[found[2]]
+    return int(match[1]) * SPAN_UNITS_US[match[2]]
 
 
 Model = TypeVar("Model", bound=BaseModel)
@@ -122,7 +122,7 @@
 def decode(data: dict[str, Any]) -> Contracts:
     """Checks the parsed TOML. Raises BadFile."""
     try:
-        found = ContractsFile.model_validate(data)
+        content = ContractsFile.model_validate(data)
     except ValidationError as error:
         first = error.errors()[0]
         location = list(first["loc"])
@@ -134,7 +134,7 @@
         field = ".".join(map(str, location[1:]))
         raise BadFile(": ".join([str(location[0]), *([field] if field else []), first["msg"]])) from error
     contracts: dict[str, hours.Contract] = {}
-    for contract in found.contract:
+    for contract in content.contract:
         where = f"contract of {contract.tenant}"
         if contract.tenant in contracts:
             raise BadFile(f"{where}: tenant: is given twice")
@@ -156,10 +156,10 @@
         contracts[contract.tenant] = hours.Contract(
             contract.tenant, contract.zone, tuple(map(tuple, week)), dates, contract.notice
         )
-    names = [order.name for order in found.order]
+    names = [order.name for order in content.order]
     if duplicates := [name for name in names if names.count(name) > 1]:
         raise BadFile(f"order {duplicates[0]}: name: is given twice")
-    return Contracts(contracts, tuple(found.order))
+    return Contracts(contracts, tuple(content.order))
 
 
 def _span(where: str, field: str, time_range: TimeRange) -> hours.Span:
--- a/oakvale/config/durations.py
+++ b/oakvale/config/durations.py
@@ -10,7 +10,7 @@
 
 def parse_duration(text: object) -> int:
     """Returns the microseconds of a text such as `1500ms` or `2.5s`; raises ValueError for anything else."""
-    found = DURATION_PATTERN.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+    match = DURATION_PATTERN.fullmatch(text) if isinstance(text, str) else None
+    if match is None:
         raise ValueError(f"not a time such as 1500ms or 2.5s: {text!r}")
-    return round(float(found[1]) * UNIT_US[found[2]])
+    return round(float(match[1]) * UNIT_US[match[2]])
--- a/oakvale/config/packages.py
+++ b/oakvale/config/packages.py
@@ -157,8 +157,8 @@
 
 
 def _python_version(text: str) -> tuple[int, int] | None:
-    found = re.match(r"(?:\d+:)?(\d+)\.(\d+)", text)
-    return (int(found[1]), int(found[2])) if found else None
+    match = re.match(r"(?:\d+:)?(\d+)\.(\d+)", text)
+    return (int(match[1]), int(match[2])) if match else None
 
 
 def _dotted(version: tuple[int, int]) -> str:
--- a/oakvale/config/toml_table.py
+++ b/oakvale/config/toml_table.py
@@ -62,10 +62,10 @@
 
     def string(self, name: str) -> str:
         """Returns a required text that is not blank."""
-        found: str = self.get(name, str)
-        if not found.strip():
+        text: str = self.get(name, str)
+        if not text.strip():
             raise self.field_error(name, "is empty")
-        return found
+        return text
 
     def duration(self, name: str, default: int) -> int:
         """Returns microseconds; the default if the field is missing."""
@@ -79,17 +79,17 @@
 
     def strings(self, name: str) -> tuple[str, ...]:
         """Returns a list of texts; an empty one if the field is missing."""
-        found = self.get(name, list, [])
-        if not all(isinstance(text, str) for text in found):
-            raise self.field_error(name, f"holds what is not a text: {found!r}")
-        return tuple(found)
+        values = self.get(name, list, [])
+        if not all(isinstance(value, str) for value in values):
+            raise self.field_error(name, f"holds what is not a text: {values!r}")
+        return tuple(values)
 
     def addresses(self, name: str) -> tuple[Address, ...]:
         """Returns a list of `host:port` addresses; an empty one if the field is missing."""
-        found = tuple(parse_address(text) for text in self.get(name, list, []))
-        if None in found:
+        parsed = tuple(parse_address(text) for text in self.get(name, list, []))
+        if None in parsed:
             raise self.field_error(name, "holds what is not host:port")
-        return tuple(address for address in found if address is not None)
+        return tuple(address for address in parsed if address is not None)
 
     def keys(self) -> list[str]:
         """Returns the names of the fields and subtables."""
