--- a/bench/versions.py
+++ b/bench/versions.py
@@ -67,10 +67,12 @@
         self._threads = [threading.Thread(target=self._run, args=(n,), daemon=True) for n in range(CLIENT_COUNT)]
 
     def start(self) -> None:
+        """Starts a thread for each client."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
+        """Ends the clients and waits for their threads."""
         self.stopped.set()
         for thread in self._threads:
             thread.join(10)
--- a/tests/cpu_comparison.py
+++ b/tests/cpu_comparison.py
@@ -55,10 +55,12 @@
 
 
 def serve_backend(sock: socket.socket) -> None:
+    """Answers each request with 200 bytes."""
     serve_messages(sock, b"\r\n\r\n", lambda _: answer(body=b"x" * 200))
 
 
 def serve_counter(sock: socket.socket) -> None:
+    """Grants every request to the counter."""
     serve_messages(sock, b"\r\n", lambda line: b"ok %s\r\n" % line.split()[2])
 
 
@@ -81,6 +83,7 @@
 
 
 def send_request(sock: socket.socket, request_id: int) -> None:
+    """Sends a request and checks that it succeeds."""
     sock.sendall(request(f"{request_id:016x}", X_Customer=f"c{request_id % 20}"))
     reply = sock.recv(65536)
     assert reply.startswith(b"HTTP/1.1 200"), reply[:100]
--- a/tests/test_bench_scripts.py
+++ b/tests/test_bench_scripts.py
@@ -14,6 +14,7 @@
 
 
 def load_script(name: str) -> ModuleType:
+    """Imports a script of `bench/` as a module."""
     spec = importlib.util.spec_from_file_location(name, BENCH_FOLDER / f"{name}.py")
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
@@ -23,6 +24,7 @@
 
 
 def kinds_output(without: str = "") -> str:
+    """Returns the output of `kinds` of the newest bench, with a text removed."""
     newest = load_script("hardening").NEWEST_BENCH_VARIANTS
     lines = [f"{kind}: some; how: {' '.join(variants)}" for kind, variants in newest.items()]
     return "\n".join(line.replace(without, "") if without else line for line in lines)
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -34,6 +34,7 @@
 
 
 def configuration(**changes: Any) -> str:
+    """Returns a valid configuration with the given fields replaced."""
     route = ["r", "a.example", "/x/", "safe", "1200ms", 2, "s"]
     return json.dumps(
         {
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -49,6 +49,7 @@
 
 
 def load_settings(tmp_path: Path, text: str) -> settings.Settings:
+    """Loads settings from a file with the given text."""
     path = tmp_path / "settings.toml"
     path.write_text(text)
     return settings.load({"OAKVALE_SETTINGS": str(path)})
--- a/tests/test_packages.py
+++ b/tests/test_packages.py
@@ -21,6 +21,7 @@
 
 
 def deploy_file_with(**fields: object) -> dict[str, object]:
+    """Returns the deploy file of the system with the given fields replaced."""
     return {**DEPLOY_FILE, **fields}
 
 
