--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -9,7 +9,7 @@
 from oakvale.base.address import Address, format_address, parse_address
 from oakvale.base.loop import Loop
 from oakvale.base.net import Sock
-from oakvale.config.bounds import bounds
+from oakvale.config.bounds import limits_from_settings
 from oakvale.config.settings import Settings
 from oakvale.dataplane.drain_agent import DrainAgent
 from oakvale.dataplane.request_router import RequestRouter
@@ -76,7 +76,7 @@
 
     def __init__(self, settings: Settings, listeners: Mapping[str, Sock], loop: Loop) -> None:
         self.settings = settings
-        limits = bounds(settings)
+        limits = limits_from_settings(settings)
         self.loop = loop
         self.incarnation = loop.net.token(6)
         # a machine's control plane process has the first port
