--- a/oakvale/adapter/__init__.py
+++ b/oakvale/adapter/__init__.py
@@ -1,3 +1,3 @@
-"""Adapter: the same decisions on a simulator's wire, many instances in one process. It decodes, hosts and
-encodes, and must neither decide nor open a socket. Begin with `host`.
+"""Adapter: runs many gateway instances in one process, driven by an external simulator over standard input and
+output. It decodes events and encodes actions, and must neither make decisions nor open a socket. Begin with `host`.
 """
--- a/oakvale/dataplane/process.py
+++ b/oakvale/dataplane/process.py
@@ -6,9 +6,9 @@
 import os
 from collections.abc import Mapping
 
-from oakvale.base.loop import Clock, Loop, Rank
+from oakvale.base.loop import Clock, Loop, Priority
 from oakvale.base.net import Sock
-from oakvale.config.bounds import bounds
+from oakvale.config.bounds import limits_from_settings
 from oakvale.config.settings import Settings
 from oakvale.config.settings_watch import SettingsWatch
 from oakvale.config.toml_table import BadFile
@@ -46,10 +46,10 @@
     """Runs the gateway until it is stopped; returns the exit status. Raises BadFile, OSError."""
     if "http" not in settings.bind:
         raise BadFile("the sluice role needs an `http` address in [network.bind]")
-    loop = Loop(Clock(), bounds(settings))
+    loop = Loop(Clock(), limits_from_settings(settings))
     process = Process(settings, listeners, loop)
     watch = SettingsWatch(loop, os.environ, settings, lambda new_settings: process.know(new_settings.seeds))
-    loop.start(signals.run(process.stop, watch.again), signals.fileno(), Rank.DISCOVERY)
+    loop.start(signals.run(process.stop, watch.reload), signals.fileno(), Priority.DISCOVERY)
     gc.collect()
     gc.freeze()
     try:
--- a/oakvale/lab/simulation/works.py
+++ b/oakvale/lab/simulation/works.py
@@ -11,12 +11,12 @@
 from random import Random
 from typing import Any, cast
 
-from oakvale.base.address import Address, spelled
+from oakvale.base.address import Address, format_address
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
 from oakvale.base.net import Sock
-from oakvale.config.bounds import FILES, bounds
-from oakvale.config.durations import micros
+from oakvale.config.bounds import RESERVED_DESCRIPTORS, limits_from_settings
+from oakvale.config.durations import parse_duration
 from oakvale.config.settings import Settings, decode
 from oakvale.controlplane import process as headworks
 from oakvale.dataplane import process as sluice
@@ -26,7 +26,7 @@
 from oakvale.lab.simulation.machines import FREE, Costs, Process
 from oakvale.lab.simulation.sockets import Stream
 from oakvale.lab.simulation.wires import Machine, Wires
-from oakvale.lifecycle.eventlog import BOOK
+from oakvale.lifecycle.eventlog import EVENT_LOG
 
 MS, SECOND = 1_000, 1_000_000
 HTTP, READYZ, CTL, PORTS = 8782, 8789, 8783, (7340, 7355)
@@ -102,7 +102,7 @@
                 "self": own,
                 "network": {
                     "port-range": list(PORTS),
-                    "seeds": [spelled(seed) for seed in self._seeds],
+                    "seeds": [format_address(seed) for seed in self._seeds],
                     "bind": bind,
                     "azs": {zone: "" for zone in works.layout.zones},
                 },
@@ -124,9 +124,9 @@
         process = self.process = Process(
             self.machine,
             Random(works.rng.getrandbits(64)),
-            bounds(settings),
+            limits_from_settings(settings),
             works.costs,
-            settings.nofile - FILES,
+            settings.nofile - RESERVED_DESCRIPTORS,
             self._ended,
         )
         works.happened(Event.START if self._meant else Event.AGAIN, works.events.now, works.events.now, (self.name,))
@@ -281,7 +281,7 @@
         self.layout, self.costs = layout, costs or Costs()
         self.rng, self._chance = Random(seed), seed
         self.added: Callable[[Station], None] = _nothing  # hears of machines that come later
-        self.calm_after = micros(layout.terms.get("sync_time", "4s"))
+        self.calm_after = parse_duration(layout.terms.get("sync_time", "4s"))
         self.events = Events()
         self.wires = Wires(self.events, Random(self.rng.getrandbits(64)), layout.delay, layout.between)
         self.happened, self._noted = happened, noted
@@ -389,11 +389,11 @@
         was = root.handlers[:], root.level
         root.handlers[:] = [handler]
         root.setLevel(logging.WARNING)
-        BOOK.write = self._write  # type: ignore[method-assign]
+        EVENT_LOG.write = self._write  # type: ignore[method-assign]
         try:
             yield
         finally:
-            del BOOK.write
+            del EVENT_LOG.write
             root.handlers[:], level = was
             root.setLevel(level)
 
--- a/oakvale/lifecycle/__init__.py
+++ b/oakvale/lifecycle/__init__.py
@@ -1,3 +1,3 @@
-"""Life cycle: the start, the stop and what goes on beside the requests: accepting, signals, reload, shutdown,
-log and status lines. It must not look into a request or an attempt. Begin with `serving`.
+"""Lifecycle: startup and shutdown of a process, accepting connections, signals, reload, logging and status lines.
+It must not inspect requests or attempts. Begin with `serving`.
 """
