--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -95,7 +95,7 @@
     clients = [node.client() for _ in range(2)]
     for n, client in enumerate(clients):
         node.ask(client, f"a{n}")
-    node.came(i.Request, 2)
+    node.wait_event(i.Request, 2)
     extra = node.client()
     node.ask(extra, "a9")
     node.turns()
@@ -110,7 +110,7 @@
     node.host.dispatch(i.Timer(1))
     node.reads(clients[0], b"later\n")
     node.pass_time(node.host.limits.accept_pause)
-    assert node.came(i.Request, 3).id == "a9"
+    assert node.wait_event(i.Request, 3).id == "a9"
     node.close()
 
 
@@ -134,7 +134,7 @@
     assert failing.attempts == 1
     node.server.acceptor.listener = node.listener
     node.pass_time(node.host.limits.accept_pause)
-    node.came(i.Request)
+    node.wait_event(i.Request)
 
 
 def test_a_burst_of_clients_is_accepted_over_several_turns() -> None:
@@ -153,7 +153,7 @@
     Status(node.host.shared).begin()
     client = node.client()
     for request_id in ("a1", "a2"):
-        client.came = b""
+        client.received = b""
         node.ask(client, request_id)
         node.reads(client, b"later\n")
     for _ in range(2):
@@ -222,7 +222,7 @@
     clients = [node.client() for _ in range(3)]
     for n, client in enumerate(clients):
         node.ask(client, f"a{n}")
-    node.came(i.Request, 2)
+    node.wait_event(i.Request, 2)
     stopping.shutdown.begin()
     node.pass_time(500 * MS)
     node.script.answers[i.Timer] = lambda _: [i.Refuse("a0", 1), i.Refuse("a1", 1)]
@@ -231,7 +231,7 @@
     clients[0].close()
     node.turns()
     node.pass_time(node.host.limits.accept_pause)
-    assert node.came(i.Request, 3).id == "a2"
+    assert node.wait_event(i.Request, 3).id == "a2"
     node.pass_time(200 * MS)
     with pytest.raises(ConnectionRefusedError):
         node.client()
@@ -264,7 +264,7 @@
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 1)]
     client = node.client()
     node.ask(client)
-    backend = node.taken(node.backend)
+    backend = node.accept_from(node.backend)
     node.reads(backend)
     stopping.shutdown.begin()
     for _ in range(20):
@@ -308,7 +308,7 @@
     node = stopping.node
     node.script.answers[i.Request] = lambda r: []
     node.ask(node.client(), X_Expires_In="60000m")
-    node.came(i.Request)
+    node.wait_event(i.Request)
     stopping.shutdown.begin()
     node.pass_time(700 * MS)
     node.pass_time(node.host.limits.stop_longest)
