--- a/oakvale/cli.py
+++ b/oakvale/cli.py
@@ -121,12 +121,12 @@
     verb = "Drains." + {"account": "Show"}.get(args.what, args.what.capitalize())
     try:
         addresses = [configuration.address(text, "--ctl") for text in args.ctl.split(",")]
-        told = client.call(addresses, verb, getattr(args, "name", None) or "", body, args.timeout)
+        told = client.call_control_plane(addresses, verb, getattr(args, "name", None) or "", body, args.timeout)
     except configuration.BadConfiguration as error:
         fail(error)
-    except client.Refused as error:
+    except client.DrainRequestError as error:
         if isinstance(error.body, dict) and "plan" in error.body:
-            print("\n".join(client.lines(error.body["plan"])))
+            print("\n".join(client.format_lines(error.body["plan"])))
         fail(error, 1)
     if args.what == "account" and args.format == "csv":
         from oakvale.drains import report
@@ -135,7 +135,7 @@
     elif args.what == "account" or args.json:
         print(json.dumps(told, indent=2))
     else:
-        print("\n".join(client.lines(told)) or "kept")
+        print("\n".join(client.format_lines(told)) or "kept")
     if args.what == "plan" and told["obstacles"]:
         sys.exit(1)
 
@@ -170,7 +170,7 @@
         print(
             "\n".join(report.show(chains) if args.what == "show" else report.explain(chains, args.place, args.service))
         )
-    except report.Unknown as error:
+    except report.UnknownName as error:
         fail(error)
 
 
--- a/oakvale/config/check.py
+++ b/oakvale/config/check.py
@@ -81,12 +81,12 @@
 
 def of_contracts(path: str) -> list[str]:
     from oakvale.config import contracts  # as above
-    from oakvale.drains.hours import DAY
+    from oakvale.drains.hours import DAY_US
 
     found = contracts.load(path)
     spans = [
         f"{name}: {contract.zone}, {sum(map(len, contract.week))} spans a week, {len(contract.dates)} exceptions, "
-        f"notice {contract.notice / DAY:g} days"
+        f"notice {contract.notice / DAY_US:g} days"
         for name, contract in sorted(found.by_tenant.items())
     ]
     orders = [f"order {order.name}: {order.kind} {order.target}, by {order.by}: {order.why}" for order in found.orders]
--- a/oakvale/config/contracts.py
+++ b/oakvale/config/contracts.py
@@ -20,14 +20,14 @@
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
 TIME = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])|24:00")
 LONG = re.compile(r"([0-9]{1,5})([dhms])")
-UNITS = {"d": hours.DAY, "h": hours.DAY // 24, "m": hours.DAY // 1440, "s": hours.SECOND}
+UNITS = {"d": hours.DAY_US, "h": hours.DAY_US // 24, "m": hours.DAY_US // 1440, "s": hours.SECOND_US}
 
 
 def minute(text: object) -> int:
     found = TIME.fullmatch(text) if isinstance(text, str) else None
     if found is None:
         raise ValueError(f"not a time of day such as 06:30 or 24:00: {text!r}")
-    return hours.MINUTES if found[1] is None else int(found[1]) * 60 + int(found[2])
+    return hours.MINUTES_PER_DAY if found[1] is None else int(found[1]) * 60 + int(found[2])
 
 
 def long(text: object) -> int:
@@ -52,7 +52,7 @@
     def span(self) -> hours.Span:
         if self.begin == self.end:
             raise ValueError("from and to are the same; a whole day is 00:00 to 24:00")
-        if self.begin == hours.MINUTES:
+        if self.begin == hours.MINUTES_PER_DAY:
             raise ValueError("from is the end of a day")
         return hours.Span(self.begin, self.end)
 
@@ -69,7 +69,7 @@
 class Contract(Part):
     tenant: Annotated[str, Field(min_length=1)]
     zone: str
-    notice: Annotated[int, BeforeValidator(long)] = 31 * hours.DAY
+    notice: Annotated[int, BeforeValidator(long)] = 31 * hours.DAY_US
     hours: list[Weekly]
     exceptions: list[Exceptional] = []
 
@@ -121,7 +121,7 @@
         if contract.tenant in contracts:
             raise BadFile(f"{where}: tenant: there are two")
         try:
-            hours.zone_of(contract.zone)
+            hours.load_time_zone(contract.zone)
         except (ZoneInfoNotFoundError, ValueError, OSError) as error:
             raise BadFile(f"{where}: zone: no such time zone: {contract.zone!r}") from error
         week: list[list[hours.Span]] = [[] for _ in DAYS]
@@ -159,7 +159,7 @@
     due: AwareDatetime
 
     def due_at(self) -> int:
-        return round((self.due - datetime(1970, 1, 1, tzinfo=UTC)).total_seconds() * hours.SECOND)
+        return round((self.due - datetime(1970, 1, 1, tzinfo=UTC)).total_seconds() * hours.SECOND_US)
 
 
 class Cancelled(Part):
--- a/oakvale/controlplane/drains.py
+++ b/oakvale/controlplane/drains.py
@@ -16,10 +16,10 @@
 from oakvale.config.toml_table import BadFile
 from oakvale.controlplane.core import Core, address_of
 from oakvale.drains import report
-from oakvale.drains.agreed_clock import Agreement
-from oakvale.drains.execution import KEPT, Course, outside
+from oakvale.drains.agreed_clock import ClockAgreement
+from oakvale.drains.execution import MAX_FINISHED_ORDERS, DrainExecutor, outside_hours_record
 from oakvale.drains.hours import Contract
-from oakvale.drains.planning import PUBLIC, Facts, Hours, Plan, plan, targets
+from oakvale.drains.planning import PUBLIC_TENANT, ContractHours, DrainPlan, DrainState, plan_drain, target_nodes
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.transport.links import Answer, Connection, Transport
 
@@ -50,9 +50,9 @@
         self._wall_time = wall or (lambda: loop.net.unix_time() // 1000)
         self.contracts: contracts.Contracts | None = None
         self._serving_since: int | None = None
-        self.hours = Hours(pace_us)
-        self.course = Course(self.hours)
-        self.clock = Agreement()
+        self.hours = ContractHours(pace_us)
+        self.executor = DrainExecutor(self.hours)
+        self.clock = ClockAgreement()
         self._change_pending = False
         self._config: tuple[int, tuple[str, ...]] = (-1, ())
         # orders of the file -> obstacles and time of the latest plan
@@ -99,23 +99,23 @@
     def _send_clock(self, _: Any) -> None:
         now, wall, view = self._loop.now, self._wall_time(), self._core.view()
         self._loop.at(now + CLOCK_SEND_INTERVAL_US, self._send_clock)
-        self.clock.hear(self._core.self_id[0], wall, now)
+        self.clock.record(self._core.self_id[0], wall, now)
         if view is not None:
             for peer in view.witnesses:
                 if peer[0] != self._core.self_id[0]:
                     self._transport.tell(address_of(peer), "clock", [self._core.self_id[0], wall])
-            self.clock.look(now, len({peer[0] for peer in view.witnesses} | {self._core.self_id[0]}))
+            self.clock.update(now, len({peer[0] for peer in view.witnesses} | {self._core.self_id[0]}))
 
     def _on_clock(self, conn: Connection, body: Any, _: Answer) -> None:
-        self.clock.hear(str(body[0]), int(body[1]), self._loop.now)
+        self.clock.record(str(body[0]), int(body[1]), self._loop.now)
 
     def now(self) -> int | None:
         """The agreed time of day, or None while the clocks do not agree."""
-        return self.clock.time(self._loop.now)
+        return self.clock.agreed_time(self._loop.now)
 
     # ---- execution on the primary
 
-    def facts(self, now: int) -> Facts:
+    def facts(self, now: int) -> DrainState:
         """The control state that planning depends on."""
         table = self._core.replicated_state.table
         config = table.get("config")
@@ -124,32 +124,32 @@
             tenants = data.get("tenants") or {"cols": [], "rows": []}
             column = tenants["cols"].index("name") if "name" in tenants["cols"] else 0
             self._config = (config["gen"], tuple(sorted(str(row[column]) for row in tenants["rows"])))
-        return Facts(
+        return DrainState(
             now,
             dict(table.items("drain/")),
             dict(table.items("move/")),
             dict(table.items("backend/")),
             dict(table.items("gate/")),
-            (PUBLIC, *self._config[1]),
+            (PUBLIC_TENANT, *self._config[1]),
             self._by_tenant(),
         )
 
     def _by_tenant(self) -> dict[str, Contract]:
         return self.contracts.by_tenant if self.contracts is not None else {}
 
-    def plan(self, order: dict[str, Any], now: int) -> Plan:
+    def plan(self, order: dict[str, Any], now: int) -> DrainPlan:
         """The plan of an order under the current contracts."""
-        self.hours.use(self._by_tenant())
-        return plan(self.facts(now), self.hours, order)
+        self.hours.set_contracts(self._by_tenant())
+        return plan_drain(self.facts(now), self.hours, order)
 
     def _serving_changed(self, serves: bool) -> None:
         self._change_pending, self._serving_since = False, self._loop.now if serves else None
-        self.course = Course(self.hours)
+        self.executor = DrainExecutor(self.hours)
 
-    def order_entry(self, requested: dict[str, Any], now: int) -> tuple[dict[str, Any], Plan]:
+    def order_entry(self, requested: dict[str, Any], now: int) -> tuple[dict[str, Any], DrainPlan]:
         """The entry to store for an order, and its plan; store the entry only if the plan has no obstacles."""
         plan, facts = self.plan(requested | {"at": now}, now), self.facts(now)
-        nodes = targets(facts, requested["kind"], requested["target"])
+        nodes = target_nodes(facts, requested["kind"], requested["target"])
         incarnations = {node: facts.gates[node]["life"] for kind, node in nodes if node in facts.gates}
         return requested | {
             "at": now,
@@ -200,12 +200,12 @@
             log_event("drain ordered", order=next(iter(order_entries)), by="the file of contracts")
             return self._core.change(order_entries, self._written)
         orders, records = table.items("drain/"), table.items("outside/")
-        nothing_to_do = len(orders) <= KEPT and not any(
+        nothing_to_do = len(orders) <= MAX_FINISHED_ORDERS and not any(
             order["state"] != "done" or table.get(f"{'gate' if kind == 'gateway' else kind}/{node}") is not None
             for _, order in orders
             for kind, node in order["nodes"]
         )
-        changes = {} if nothing_to_do else self.course.step(self.facts(now))
+        changes = {} if nothing_to_do else self.executor.step(self.facts(now))
         for order in self.contracts.orders:  # a deleted order that is still in the file would be started again
             if changes.get(f"drain/{order.name}", order) is None:
                 changes = {key: value for key, value in changes.items() if value is not None}
@@ -226,13 +226,13 @@
         if self._core.serving():
             node, incarnation = str(body[0]), str(body[1])
             for key, away, began, left, ends in body[2]:
-                self.course.hear(str(key), node, incarnation, bool(away), int(began), int(left), dict(ends))
+                self.executor.record_report(str(key), node, incarnation, bool(away), int(began), int(left), dict(ends))
 
     def departure_changes(self, name: str, why: str) -> dict[str, Any]:
         """The record to write with a backend's own departure, if that is outside the contract hours of a tenant."""
         if self.contracts is None or self._core.replicated_state.latest(f"outside/{name}") is not None:
             return {}
-        record = outside(self.facts(self.now() or 0), self.hours, name, why)
+        record = outside_hours_record(self.facts(self.now() or 0), self.hours, name, why)
         if record is None:
             return {}
         log_event("moved outside hours", "warning", backend=name, why=why, tenants=",".join(record["tenants"]))
@@ -241,6 +241,6 @@
     def status(self, order: str = "") -> dict[str, Any]:
         """The account of one order, or of all."""
         table, now = self._core.replicated_state.table, self.now()
-        return {"time": report.stamp(now) if now is not None else "unknown: the clocks don't agree"} | report.told(
-            table.items("drain/"), table.items("move/"), table.items("outside/"), order
-        )
+        return {
+            "time": report.format_time(now) if now is not None else "unknown: the clocks don't agree"
+        } | report.account(table.items("drain/"), table.items("move/"), table.items("outside/"), order)
--- a/oakvale/controlplane/failover_planning.py
+++ b/oakvale/controlplane/failover_planning.py
@@ -12,8 +12,8 @@
 from oakvale.config.settings import Settings
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.resources import BackendsHandler
-from oakvale.failover.chains import Chains, Load, apart, pack, plan, unpack
-from oakvale.failover.places import hierarchy
+from oakvale.failover.chains import Chains, Load, differ_significantly, pack, plan_chains, unpack
+from oakvale.failover.places import build_hierarchy
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.transport.links import Answer, Connection, Transport
 
@@ -120,9 +120,9 @@
                 self._older_plans.append((now + OLD_PLAN_LIFETIME_US, unpack(published)))
             version, locations = (
                 published["version"] + 1 if published else 1,
-                hierarchy(zones, self._chain_settings.above),
+                build_hierarchy(zones, self._chain_settings.above),
             )
-            new_plan = plan(
+            new_plan = plan_chains(
                 version,
                 locations,
                 capacity,
@@ -132,11 +132,11 @@
                 [chains for _, chains in self._older_plans],
             )
             changes["chains"] = pack(new_plan)
-            uncovered = new_plan.short(1)
+            uncovered = new_plan.uncovered_failures(1)
             log_event(
                 "chains",
                 version=new_plan.version,
-                places=len(new_plan.hierarchy.places()),
+                places=len(new_plan.hierarchy.locations()),
                 services=len(new_plan.limits),
                 cannot_hold=len(uncovered),
             )
@@ -151,8 +151,8 @@
         previous_capacity, previous_demand, previous_gateways = self._planned
         return (
             gateways != previous_gateways
-            or apart(capacity, previous_capacity, MIN_RELATIVE_CHANGE, MIN_CHANGE_SLOTS)
-            or apart(demand, previous_demand, MIN_RELATIVE_CHANGE, MIN_CHANGE_SLOTS)
+            or differ_significantly(capacity, previous_capacity, MIN_RELATIVE_CHANGE, MIN_CHANGE_SLOTS)
+            or differ_significantly(demand, previous_demand, MIN_RELATIVE_CHANGE, MIN_CHANGE_SLOTS)
         )
 
     def _update_quiet(self, listed: dict[str, Any], silent: set[str], changes: dict[str, Any]) -> None:
--- a/oakvale/controlplane/resources.py
+++ b/oakvale/controlplane/resources.py
@@ -360,7 +360,7 @@
         if store and any(key.startswith("drain/") for key in self._core.replicated_state.pending_keys()):
             return send_reply(UNCONFIRMED)  # another order is being stored, and this plan depends on it
         entry, plan = self._drains.order_entry(requested, now)
-        plan_report = report.of_plan(plan)
+        plan_report = report.plan_report(plan)
         if not store:
             return send_reply(Reply(200, orjson.dumps(plan_report)))
         if plan.obstacles:
--- a/oakvale/dataplane/drain_agent.py
+++ b/oakvale/dataplane/drain_agent.py
@@ -13,7 +13,7 @@
 from oakvale.base.address import Address
 from oakvale.base.loop import Loop
 from oakvale.dataplane.request_router import Order, RequestRouter
-from oakvale.drains.moves import Avoid, Moves
+from oakvale.drains.moves import AvoidedBackends, MoveFollower
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.memory.requests import Answer, InHand
 from oakvale.transport.links import Transport
@@ -81,16 +81,16 @@
         self._loop, self._transport, self._router = loop, transport, router
         self._node, self._life, self._primary = node, life, primary
         self._wall = wall or (lambda: loop.net.unix_time() // 1000)
-        self._moves = Moves(node, life)
+        self._moves = MoveFollower(node, life)
         self._watches: dict[str, Watch] = {}
         self._looking = False
         self._looks = 0
 
-    def take(self, entries: list[tuple[str, dict[str, Any]]], born: bool) -> Avoid:
+    def take(self, entries: list[tuple[str, dict[str, Any]]], born: bool) -> AvoidedBackends:
         """The moves as they are now; gives who avoids what. Called before the picture with it is shown, so that
         what is in hand now is all that may still go to the node."""
         moves = dict(entries)
-        for key in self._moves.take(entries, self._wall(), born):
+        for key in self._moves.update(entries, self._wall(), born):
             move = moves[key]
             log_event("moves", tenant=move["tenant"], node=move["node"], order=move["order"])
             found = (
@@ -104,13 +104,13 @@
             )
             self._watches[key] = Watch(found, self._loop.now)
             self._look_at(key, move)
-        for key in [key for key in self._watches if key not in self._moves.away]:
+        for key in [key for key in self._watches if key not in self._moves.followed]:
             del self._watches[key]
-        self._router.leaving = self._moves.leaving
-        if self._moves.owed() and not self._looking:
+        self._router.leaving = self._moves.gateway_draining
+        if self._moves.pending_moves() and not self._looking:
             self._looking, self._looks = True, 0
             self._loop.at(self._loop.now, self._look)
-        return self._moves.avoid
+        return self._moves.avoided_backends
 
     def _concerned(self, request: InHand, move: dict[str, Any]) -> bool:
         order: Order = request.event
@@ -142,7 +142,7 @@
         return len(left)
 
     def _look(self, _: Any) -> None:
-        owed = self._moves.owed()
+        owed = self._moves.pending_moves()
         if not owed:
             self._looking = False
             return
@@ -155,7 +155,9 @@
                 # the platform passes new connections on until two of its looks have failed
                 comes = self._loop.now - watch.since < self._router.limits.stop_accepting
                 left = max(left, len(self._router.clients.all), int(comes))
-            words.append([key, key in self._moves.away, watch.began if watch else 0, left, watch.ends if watch else {}])
+            words.append(
+                [key, key in self._moves.followed, watch.began if watch else 0, left, watch.ends if watch else {}]
+            )
         primary = self._primary()
         if self._looks % TELL == 0 and words and primary is not None:
             self._transport.tell(primary, "towed", [self._node, self._life, words])
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -12,7 +12,7 @@
 from oakvale.base.address import Address, parse_address
 from oakvale.dataplane.backend_protocol import SystemDialect
 from oakvale.dataplane.routes import Backend, Picture, Route
-from oakvale.drains.moves import kept
+from oakvale.drains.moves import effective_exclusions
 from oakvale.driver import Driver
 from oakvale.loadbalancing.board_service import LoadBoards, Rejected, RequestFacts, Selection
 from oakvale.loadbalancing.load_board import BackendCandidate
@@ -149,7 +149,7 @@
 
     def learn(self, backends: list[Backend], numbers: dict[str, int]) -> None:
         if self.without:
-            off = kept({b.id: b.ready for b in backends}, self.without)
+            off = effective_exclusions({b.id: b.ready for b in backends}, self.without)
             backends = [b for b in backends if b.id not in off]
         known = {b.id: b for b in backends}
         if known == self._known and self.listed:
--- a/oakvale/drains/client.py
+++ b/oakvale/drains/client.py
@@ -8,10 +8,10 @@
 from typing import Any
 from urllib.parse import quote, urlsplit
 
-PAUSE = 0.3  # seconds between two rounds over the addresses
+RETRY_PAUSE_S = 0.3  # seconds between two rounds over the addresses
 
 
-class Refused(Exception):
+class DrainRequestError(Exception):
     """One line."""
 
     def __init__(self, why: str, body: Any = None) -> None:
@@ -19,10 +19,12 @@
         self.body = body
 
 
-def call(addresses: list[tuple[str, int]], verb: str, name: str, body: dict[str, Any] | None, timeout: float) -> Any:
+def call_control_plane(
+    addresses: list[tuple[str, int]], verb: str, name: str, body: dict[str, Any] | None, timeout: float
+) -> Any:
     """The answer's JSON. A call is sent again unchanged until its answer is clear: orders are known by their name.
 
-    Raises Refused."""
+    Raises DrainRequestError."""
     due, why = time.monotonic() + timeout, "no address was given"
     path = f"/oakvale/{verb}" + (f"/{quote(name, safe='')}" if name else "")
     while True:
@@ -30,7 +32,7 @@
             place, target = address, path
             for _ in range(3):  # the one asked, and those that it names
                 try:
-                    status, headers, text = _one(place, target, body, min(2.0, max(0.1, due - time.monotonic())))
+                    status, headers, text = _send_once(place, target, body, min(2.0, max(0.1, due - time.monotonic())))
                 except (OSError, http.client.HTTPException) as error:
                     why = f"{place[0]}:{place[1]}: {error}"
                     break
@@ -43,14 +45,14 @@
                     return found
                 why = str(found.get("error", status)).strip()
                 if status < 500:
-                    raise Refused(why, found)
+                    raise DrainRequestError(why, found)
                 break
         if time.monotonic() >= due:
-            raise Refused(why)
-        time.sleep(PAUSE)
+            raise DrainRequestError(why)
+        time.sleep(RETRY_PAUSE_S)
 
 
-def _one(
+def _send_once(
     address: tuple[str, int], path: str, body: dict[str, Any] | None, timeout: float
 ) -> tuple[int, dict[str, str], bytes]:
     connection = http.client.HTTPConnection(*address, timeout=timeout)
@@ -65,7 +67,7 @@
         connection.close()
 
 
-def lines(told: dict[str, Any]) -> list[str]:
+def format_lines(told: dict[str, Any]) -> list[str]:
     """An answer for people."""
     out = [f"time {told['time']}"] if "time" in told else []
     for order in told.get("orders", []):
--- a/oakvale/drains/execution.py
+++ b/oakvale/drains/execution.py
@@ -13,19 +13,27 @@
 from typing import Any
 from urllib.parse import quote
 
-from oakvale.drains.hours import FOREVER, SECOND, Window
-from oakvale.drains.planning import Facts, Hours, Record, Unit, last_move, missing, units
+from oakvale.drains.hours import FOREVER, SECOND_US, Window
+from oakvale.drains.planning import (
+    ContractHours,
+    DrainState,
+    MoveUnit,
+    Record,
+    capacity_obstacles,
+    last_move_time,
+    move_units,
+)
 
-FORGOTTEN = 60 * SECOND  # a gateway off the list for longer than any request lasts is not waited for
-KEPT = 50  # orders that are over, the latest
+ABSENT_GATEWAY_TIMEOUT_US = 60 * SECOND_US  # a gateway off the list for longer than any request lasts is not waited for
+MAX_FINISHED_ORDERS = 50  # orders that are over, the latest
 
 
 @lru_cache(4096)
-def key_of(order: str, node: str, tenant: str) -> str:
+def move_key(order: str, node: str, tenant: str) -> str:
     return "/".join(quote(part, safe="") for part in (order, node, tenant))
 
 
-def made(order: str, unit: Unit, tenant: str, facts: Facts, window: Window) -> Record:
+def new_move(order: str, unit: MoveUnit, tenant: str, facts: DrainState, window: Window) -> Record:
     """A move's entry: which gateways have to say that they follow it, and what they have said of it."""
     if unit.kind == "gateway":
         asked = {facts.gates[unit.node]["life"]: unit.node}
@@ -52,23 +60,25 @@
 
 
 @dataclass(slots=True)
-class Course:
+class DrainExecutor:
     """The primary's hand. What it remembers beside the tables may be lost with it: it only delays."""
 
-    hours: Hours
+    hours: ContractHours
     told: dict[str, dict[str, list[Any]]] = field(default_factory=dict)  # move -> life -> its latest word
     _off: dict[str, int] = field(default_factory=dict)  # life that is not on the list -> since when
     _written: int = -FOREVER
 
-    def hear(self, key: str, node: str, life: str, away: bool, began: int, left: int, ends: dict[str, int]) -> None:
+    def record_report(
+        self, key: str, node: str, life: str, away: bool, began: int, left: int, ends: dict[str, int]
+    ) -> None:
         """A gateway's word on a move: whether it keeps off the node, how many requests of the tenant it had there
         then, how many of its requests may still be there, how the others ended."""
         # in the record, left is whether there is any: each other count would be another entry
         self.told.setdefault(key, {})[life] = [node, away, began, min(left, 1), ends]
 
-    def step(self, facts: Facts) -> dict[str, Any]:
+    def step(self, facts: DrainState) -> dict[str, Any]:
         """The entries to write now; the next step is made once they are in force."""
-        self.hours.use(facts.contracts)
+        self.hours.set_contracts(facts.contracts)
         lives = {gate["life"] for gate in facts.gates.values()}
         self._off = {
             life: self._off.get(life, facts.now)
@@ -83,7 +93,7 @@
             if fresh != move:
                 changes[f"move/{key}"] = fresh
         moves = {**facts.moves, **{key.removeprefix("move/"): value for key, value in changes.items()}}
-        if abs(facts.now - self._written) >= SECOND:
+        if abs(facts.now - self._written) >= SECOND_US:
             self._written = facts.now
         else:  # words alone are written once a second at most
             changes = {
@@ -101,14 +111,14 @@
                     "over": order["over"] or over,
                     "empty": order["empty"] or (facts.now if state == "empty" else 0),
                 }
-        at = last_move(facts)
+        at = last_move_time(facts)
         if abs(facts.now - at) >= self.hours.pace:
             changes |= self._next(facts)
         return changes | (self._pruned(facts) if not changes else {})
 
     # ---- words of gateways
 
-    def _heard(self, key: str, move: Record, facts: Facts) -> Record:
+    def _heard(self, key: str, move: Record, facts: DrainState) -> Record:
         if move["state"] in ("moved", "returned"):
             return self._astray(key, move, facts)
         gates = {life: list(said) for life, said in move["gates"].items()}
@@ -125,7 +135,7 @@
                 done = done and (away and not left if out else not away)
             elif (away == out) and not left:
                 continue
-            elif listed is not None or facts.now - self._off.get(life, facts.now) >= FORGOTTEN:
+            elif listed is not None or facts.now - self._off.get(life, facts.now) >= ABSENT_GATEWAY_TIMEOUT_US:
                 # another life has its place, or nobody has for long: what it had there is over
                 lost = max(0, began - sum(ends.values()))
                 said[3], said[4] = 0, ends | ({"unknown": lost} if lost else {})
@@ -141,7 +151,7 @@
             fresh |= {"state": "moved", "done": facts.now} if out else {"state": "returned", "back_done": facts.now}
         return fresh
 
-    def _astray(self, key: str, move: Record, facts: Facts) -> Record:
+    def _astray(self, key: str, move: Record, facts: DrainState) -> Record:
         """One that was not waited for any longer is back, and still sends there, or still keeps away."""
         lives = {gate["life"] for gate in facts.gates.values()}
         said = self.told.pop(key, {})
@@ -158,14 +168,14 @@
 
     # ---- orders
 
-    def _node_there(self, kind: str, node: str, order: Record, facts: Facts) -> bool:
+    def _node_there(self, kind: str, node: str, order: Record, facts: DrainState) -> bool:
         if kind == "backend":
             return facts.ready(node)
         return node in facts.gates and facts.gates[node]["life"] == order["lives"].get(node)
 
-    def _standing(self, name: str, order: Record, moves: Mapping[str, Record], facts: Facts) -> tuple[str, str]:
+    def _standing(self, name: str, order: Record, moves: Mapping[str, Record], facts: DrainState) -> tuple[str, str]:
         there = [(kind, node) for kind, node in order["nodes"] if self._node_there(kind, node, order, facts)]
-        stay = [unit for unit in units(there, facts.tenants) if not self._all(name, unit, moves, ("moved",))]
+        stay = [unit for unit in move_units(there, facts.tenants) if not self._all(name, unit, moves, ("moved",))]
         if order["cancelled"]:
             return ("cancelled" if there else "done"), order["why_state"]
         if order["state"] == "done":  # it was cut off for so long that it was off the list
@@ -177,7 +187,7 @@
         if not there:
             by_itself = [
                 unit
-                for unit in units([tuple(n) for n in order["nodes"]], facts.tenants)
+                for unit in move_units([tuple(n) for n in order["nodes"]], facts.tenants)
                 if not self._all(name, unit, moves, None)
             ]
             names = sorted({tenant or "public routes" for unit in by_itself for tenant in unit.tenants})
@@ -187,14 +197,14 @@
         if not stay:
             return "empty", ""
         if facts.now > order["due"]:
-            short = missing(facts, order["kind"], there, name)
+            short = capacity_obstacles(facts, order["kind"], there, name)
             why = short or [self._reason(name, unit, moves) for unit in stay]
             return "ended", "due, and not moved: " + "; ".join(why)
         return "open", ""
 
-    def _reason(self, name: str, unit: Unit, moves: Mapping[str, Record]) -> str:
+    def _reason(self, name: str, unit: MoveUnit, moves: Mapping[str, Record]) -> str:
         names = f"{unit.node} " + (", ".join(tenant or "public routes" for tenant in unit.tenants))
-        found = [moves.get(key_of(name, unit.node, tenant)) for tenant in unit.tenants]
+        found = [moves.get(move_key(name, unit.node, tenant)) for tenant in unit.tenants]
         if any(found):
             silent = sorted(
                 {said[0] for move in found if move for said in move["gates"].values() if not said[1] or said[3]}
@@ -202,15 +212,15 @@
             return f"{names}: on its way, waits for {', '.join(silent) or 'its record'}"
         return f"{names}: its hours were not open"
 
-    def _all(self, name: str, unit: Unit, moves: Mapping[str, Record], states: tuple[str, ...] | None) -> bool:
-        found = [moves.get(key_of(name, unit.node, tenant)) for tenant in unit.tenants]
+    def _all(self, name: str, unit: MoveUnit, moves: Mapping[str, Record], states: tuple[str, ...] | None) -> bool:
+        found = [moves.get(move_key(name, unit.node, tenant)) for tenant in unit.tenants]
         return all(move is not None and (states is None or move["state"] in states) for move in found)
 
     # ---- moves
 
-    def _next(self, facts: Facts) -> dict[str, Any]:
+    def _next(self, facts: DrainState) -> dict[str, Any]:
         """One move, of all orders: the rest has time to take what comes to it."""
-        able: list[tuple[int, Unit, str, Window]] = []
+        able: list[tuple[int, MoveUnit, str, Window]] = []
         for name, order in sorted(facts.orders.items()):
             for unit in self._due(name, order, facts):
                 window = self.hours.next(unit, facts.now)
@@ -221,7 +231,7 @@
         _, unit, name, window = min(able)
         changes: dict[str, Any] = {}
         for tenant in unit.tenants:
-            key = key_of(name, unit.node, tenant)
+            key = move_key(name, unit.node, tenant)
             held = facts.moves.get(key)
             until = 0 if window.closes == FOREVER else window.closes
             if facts.orders[name]["cancelled"]:
@@ -229,43 +239,43 @@
                     at = facts.now
                     changes[f"move/{key}"] = held | {"way": "back", "state": "returning", "back_at": at, "until": until}
             elif held is None:
-                changes[f"move/{key}"] = made(name, unit, tenant, facts, window)
+                changes[f"move/{key}"] = new_move(name, unit, tenant, facts, window)
             elif held["state"] == "leaving":
                 self.told.pop(key, None)
                 changes[f"move/{key}"] = held | {"until": until, "at": facts.now, "again": held["again"] + 1}
         return changes
 
-    def _due(self, name: str, order: Record, facts: Facts) -> list[Unit]:
+    def _due(self, name: str, order: Record, facts: DrainState) -> list[MoveUnit]:
         """Units of an order that should move now, if their hours allow it."""
         nodes = [(kind, node) for kind, node in order["nodes"] if self._node_there(kind, node, order, facts)]
         state = order["state"]
         if order["cancelled"]:
-            return [unit for unit in units(nodes, facts.tenants) if self._returns(name, unit, facts)]
+            return [unit for unit in move_units(nodes, facts.tenants) if self._returns(name, unit, facts)]
         if state not in ("open", "empty", "ended"):
             return []
-        found = [unit for unit in units(nodes, facts.tenants) if self._left_behind(name, unit, facts)]
-        if state == "open" and not missing(facts, order["kind"], nodes, name):
+        found = [unit for unit in move_units(nodes, facts.tenants) if self._left_behind(name, unit, facts)]
+        if state == "open" and not capacity_obstacles(facts, order["kind"], nodes, name):
             found += [
                 unit
-                for unit in units(nodes, facts.tenants)
-                if not self._all(name, unit, facts.moves, None) and facts.now <= self.hours.lapses(unit, order)
+                for unit in move_units(nodes, facts.tenants)
+                if not self._all(name, unit, facts.moves, None) and facts.now <= self.hours.expires_at(unit, order)
             ]
         return found
 
-    def _returns(self, name: str, unit: Unit, facts: Facts) -> bool:
+    def _returns(self, name: str, unit: MoveUnit, facts: DrainState) -> bool:
         found = [
-            move for tenant in unit.tenants if (move := facts.moves.get(key_of(name, unit.node, tenant))) is not None
+            move for tenant in unit.tenants if (move := facts.moves.get(move_key(name, unit.node, tenant))) is not None
         ]
         return any(move["state"] in ("leaving", "moved") or self._late(move, facts) for move in found)
 
-    def _left_behind(self, name: str, unit: Unit, facts: Facts) -> bool:
+    def _left_behind(self, name: str, unit: MoveUnit, facts: DrainState) -> bool:
         found = [
-            move for tenant in unit.tenants if (move := facts.moves.get(key_of(name, unit.node, tenant))) is not None
+            move for tenant in unit.tenants if (move := facts.moves.get(move_key(name, unit.node, tenant))) is not None
         ]
         return any(self._late(move, facts) for move in found)
 
     @staticmethod
-    def _late(move: Record, facts: Facts) -> bool:
+    def _late(move: Record, facts: DrainState) -> bool:
         """A gateway was not reached while the move was good, and is there now: once more, in hours."""
         if move["state"] not in ("leaving", "returning") or not move["until"] or facts.now <= move["until"]:
             return False
@@ -277,7 +287,7 @@
 
     # ---- what is forgotten
 
-    def _pruned(self, facts: Facts) -> dict[str, Any]:
+    def _pruned(self, facts: DrainState) -> dict[str, Any]:
         """Orders whose node is gone or whose tenants are back, but for the latest."""
         over = sorted(
             (order["over"], name)
@@ -287,15 +297,15 @@
             and all(move["state"] == "returned" for move in facts.moves.values() if move["order"] == name)
         )
         changes: dict[str, Any] = {}
-        for _, name in over[:-KEPT]:
+        for _, name in over[:-MAX_FINISHED_ORDERS]:
             changes[f"drain/{name}"] = None
             changes |= {f"move/{key}": None for key, move in facts.moves.items() if move["order"] == name}
         return changes
 
 
-def outside(facts: Facts, hours: Hours, name: str, why: str) -> Record | None:
+def outside_hours_record(facts: DrainState, hours: ContractHours, name: str, why: str) -> Record | None:
     """The record of a backend that leaves by itself while hours are closed; None where it moves nobody outside."""
-    hours.use(facts.contracts)
+    hours.set_contracts(facts.contracts)
     moved = {move["tenant"] for move in facts.moves.values() if move["node"] == name and move["way"] == "out"}
     found = []
     for tenant in facts.tenants:
--- a/oakvale/drains/hours.py
+++ b/oakvale/drains/hours.py
@@ -13,11 +13,11 @@
 from functools import lru_cache
 from zoneinfo import ZoneInfo
 
-SECOND = 1_000_000
-DAY = 24 * 3600 * SECOND
-MINUTES = 24 * 60  # of a day by the wall clock
-AHEAD = 14  # days that are worked out at once
-HORIZON = 400  # days: hours that do not open within it are taken to open never
+SECOND_US = 1_000_000
+DAY_US = 24 * 3600 * SECOND_US
+MINUTES_PER_DAY = 24 * 60  # of a day by the wall clock
+DAYS_AHEAD = 14  # days that are worked out at once
+HORIZON_DAYS = 400  # days: hours that do not open within it are taken to open never
 FOREVER = 1 << 62
 
 
@@ -35,7 +35,7 @@
     zone: str  # IANA
     week: tuple[tuple[Span, ...], ...]  # Monday first
     dates: Mapping[date, tuple[Span, ...]] = field(default_factory=dict)  # in the place of that date's hours
-    notice: int = 31 * DAY  # an order older than this moves the tenant no longer
+    notice: int = 31 * DAY_US  # an order older than this moves the tenant no longer
 
 
 @dataclass(slots=True, frozen=True, order=True)
@@ -48,7 +48,7 @@
 
 
 @lru_cache(512)
-def zone_of(name: str) -> ZoneInfo:
+def load_time_zone(name: str) -> ZoneInfo:
     """Raises ZoneInfoNotFoundError, ValueError."""
     return ZoneInfo(name)
 
@@ -57,40 +57,40 @@
 def _calm(day: date, zone: ZoneInfo) -> int | None:
     """The instant at which a local day begins, if the clocks are not set on it or the next."""
     begins = {_reading(day, 0, zone, later) for later in (False, True)}
-    ends = {_reading(day, 2 * MINUTES, zone, later) for later in (False, True)}
-    return begins.pop() if {begin + 2 * DAY for begin in begins} == ends and len(begins) == 1 else None
+    ends = {_reading(day, 2 * MINUTES_PER_DAY, zone, later) for later in (False, True)}
+    return begins.pop() if {begin + 2 * DAY_US for begin in begins} == ends and len(begins) == 1 else None
 
 
 def _instant(day: date, minute: int, zone: ZoneInfo, later: bool) -> int:
     begins = _calm(day, zone)
-    return _reading(day, minute, zone, later) if begins is None else begins + minute * (DAY // MINUTES)
+    return _reading(day, minute, zone, later) if begins is None else begins + minute * (DAY_US // MINUTES_PER_DAY)
 
 
 def _reading(day: date, minute: int, zone: ZoneInfo, later: bool) -> int:
     wall = datetime(day.year, day.month, day.day) + timedelta(minutes=minute)
     readings = [wall.replace(tzinfo=zone, fold=fold).timestamp() for fold in (0, 1)]
-    return round((max if later else min)(readings) * SECOND)
+    return round((max if later else min)(readings) * SECOND_US)
 
 
 def windows(contract: Contract, start: int, days: int) -> list[Window]:
     """All that open on one of so many local days from the one of an instant on, and those of the day before; joined
     where they touch."""
-    zone = zone_of(contract.zone)
-    first = datetime.fromtimestamp(start // SECOND, UTC).astimezone(zone).date() - timedelta(days=1)
+    zone = load_time_zone(contract.zone)
+    first = datetime.fromtimestamp(start // SECOND_US, UTC).astimezone(zone).date() - timedelta(days=1)
     found = []
     for day in (first + timedelta(days=n) for n in range(days + 1)):
         for span in contract.dates.get(day, contract.week[day.weekday()]):
             over = span.end <= span.begin
-            closes = _instant(day, span.end + (MINUTES if over else 0), zone, False)
+            closes = _instant(day, span.end + (MINUTES_PER_DAY if over else 0), zone, False)
             if over and day + timedelta(days=1) in contract.dates:  # an exception holds for the whole of its date
-                closes = min(closes, _instant(day, MINUTES, zone, False))
+                closes = min(closes, _instant(day, MINUTES_PER_DAY, zone, False))
             opens = _instant(day, span.begin, zone, True)
             if opens < closes:
                 found.append(Window(opens, closes))
-    return joined(found)
+    return merge_windows(found)
 
 
-def joined(found: Iterable[Window]) -> list[Window]:
+def merge_windows(found: Iterable[Window]) -> list[Window]:
     out: list[Window] = []
     for window in sorted(found):
         if out and window.opens <= out[-1].closes:
@@ -115,13 +115,13 @@
         at = now
         if now < self._barren.get(lead, 0):
             return None
-        while at < now + HORIZON * DAY:
+        while at < now + HORIZON_DAYS * DAY_US:
             for window in self._around(at):
                 last = window.closes - self._margin - lead
                 if last >= max(now, window.opens + self._margin):
                     return Window(window.opens + self._margin, last)
             at = self._to
-        self._barren[lead] = now + DAY // 24
+        self._barren[lead] = now + DAY_US // 24
         return None
 
     def open(self, now: int) -> bool:
@@ -131,16 +131,16 @@
     def _around(self, at: int) -> list[Window]:
         if not self._from <= at < self._to:
             # the last day's windows may run on into one that is not worked out: it serves only to be joined to
-            self._from, self._to = at, at + (AHEAD - 3) * DAY
-            self._known = windows(self.contract, at, AHEAD)
+            self._from, self._to = at, at + (DAYS_AHEAD - 3) * DAY_US
+            self._known = windows(self.contract, at, DAYS_AHEAD)
         return self._known
 
 
-def common(nexts: Iterable[Callable[[int], Window | None]], now: int) -> Window | None:
+def first_common_window(nexts: Iterable[Callable[[int], Window | None]], now: int) -> Window | None:
     """The first window in which all are open; `nexts` give each one's first that has not closed at an instant."""
     asked = list(nexts)
     at = now
-    while at < now + HORIZON * DAY:
+    while at < now + HORIZON_DAYS * DAY_US:
         found = [ask(at) for ask in asked]
         if None in found:
             return None
--- a/oakvale/drains/moves.py
+++ b/oakvale/drains/moves.py
@@ -14,59 +14,59 @@
 
 UNSETTLED = ("leaving", "returning")
 Record = dict[str, Any]
-Avoid = Mapping[str, frozenset[str]]  # tenant -> backends
+AvoidedBackends = Mapping[str, frozenset[str]]  # tenant -> backends
 
 
-class Moves:
+class MoveFollower:
     def __init__(self, node: str, life: str) -> None:
         self._node, self._life = node, life
         self._known: dict[str, Record] = {}
-        self.away: set[str] = set()  # moves that this life follows
-        self.avoid: Avoid = {}
-        self.leaving = False
+        self.followed: set[str] = set()  # moves that this life follows
+        self.avoided_backends: AvoidedBackends = {}
+        self.gateway_draining = False
 
-    def take(self, entries: Iterable[tuple[str, Record]], wall: int, born: bool = False) -> set[str]:
+    def update(self, entries: Iterable[tuple[str, Record]], wall: int, born: bool = False) -> set[str]:
         """All moves as the news have them now; gives those that this life begins to follow. `born`: the first news."""
         fresh = {key: move for key, move in entries if self._concerns(move)}
         began = set()
         for key, move in fresh.items():
             out = move["way"] == "out"
-            if out == (key in self.away) or not (born or not move["until"] or wall <= move["until"]):
+            if out == (key in self.followed) or not (born or not move["until"] or wall <= move["until"]):
                 continue
             if out:
-                self.away.add(key)
+                self.followed.add(key)
                 began.add(key)
             else:
-                self.away.discard(key)
-        self.away &= set(fresh)
+                self.followed.discard(key)
+        self.followed &= set(fresh)
         self._known = fresh
-        self.avoid, self.leaving = self._followed()
+        self.avoided_backends, self.gateway_draining = self._followed()
         return began
 
     def _concerns(self, move: Record) -> bool:
         return move["kind"] == "backend" or move["node"] == self._node and self._life in move["gates"]
 
-    def _followed(self) -> tuple[Avoid, bool]:
+    def _followed(self) -> tuple[AvoidedBackends, bool]:
         found: dict[str, set[str]] = {}
-        for key in self.away:
+        for key in self.followed:
             move = self._known[key]
             if move["kind"] == "backend":
                 found.setdefault(move["tenant"], set()).add(move["node"])
         return (
             {tenant: frozenset(names) for tenant, names in found.items()},
-            any(self._known[key]["kind"] == "gateway" for key in self.away),
+            any(self._known[key]["kind"] == "gateway" for key in self.followed),
         )
 
-    def owed(self) -> dict[str, Record]:
+    def pending_moves(self) -> dict[str, Record]:
         """Moves of which the primary waits for this gateway's word."""
         return {
             key: move
             for key, move in self._known.items()
-            if move["state"] in UNSETTLED or (move["way"] == "out") != (key in self.away)
+            if move["state"] in UNSETTLED or (move["way"] == "out") != (key in self.followed)
         }
 
 
-def kept(ready: Mapping[str, bool], without: frozenset[str]) -> frozenset[str]:
+def effective_exclusions(ready: Mapping[str, bool], without: frozenset[str]) -> frozenset[str]:
     """Which backends of a service (name -> ready) a tenant keeps off that was moved off some: none, where no other is
     ready. A request that nobody else can serve is served where its tenant was."""
     return without if any(up for name, up in ready.items() if name not in without) else frozenset()
--- a/oakvale/drains/planning.py
+++ b/oakvale/drains/planning.py
@@ -12,19 +12,19 @@
 from dataclasses import dataclass
 from typing import Any
 
-from oakvale.drains.hours import ALWAYS, DAY, FOREVER, SECOND, Calendar, Contract, Window, common
+from oakvale.drains.hours import ALWAYS, DAY_US, FOREVER, SECOND_US, Calendar, Contract, Window, first_common_window
 
-MARGIN = 10 * SECOND  # hours open so much later and close so much earlier: clocks step by seconds
-GATEWAY_LEAD = 20 * SECOND  # the platform looks twice, then an idle connection lasts for 15 s
-PUBLIC = ""  # the tenant of requests without a key
-ANY = "*"  # the contract of those that have none of their own
-LIVE = ("open", "empty", "ended")  # an order in one of these may still have its tenants off the node
+HOURS_MARGIN_US = 10 * SECOND_US  # hours open so much later and close so much earlier: clocks step by seconds
+GATEWAY_LEAD_US = 20 * SECOND_US  # the platform looks twice, then an idle connection lasts for 15 s
+PUBLIC_TENANT = ""  # the tenant of requests without a key
+DEFAULT_CONTRACT = "*"  # the contract of those that have none of their own
+ACTIVE_ORDER_STATES = ("open", "empty", "ended")  # an order in one of these may still have its tenants off the node
 
 Record = dict[str, Any]
 
 
 @dataclass(slots=True)
-class Facts:
+class DrainState:
     """What is known when a step is decided: the tables in force."""
 
     now: int
@@ -41,29 +41,29 @@
 
 
 @dataclass(slots=True, frozen=True, order=True)
-class Unit:
+class MoveUnit:
     kind: str  # "gateway" or "backend"
     node: str
     tenants: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
-    unit: Unit
+class PlannedMove:
+    unit: MoveUnit
     window: Window | None
     moves: int | None  # when; None: not before the order's end
     why: str = ""
 
 
 @dataclass(slots=True)
-class Plan:
-    rows: list[Row]
+class DrainPlan:
+    rows: list[PlannedMove]
     empty: int | None  # when the last has moved
     obstacles: list[str]
 
 
 @dataclass(slots=True)
-class Known:
+class KnownWindows:
     """Windows of a unit, one after the other, from an instant on."""
 
     since: int
@@ -71,69 +71,69 @@
     windows: list[Window]
 
 
-class Hours:
+class ContractHours:
     """Calendars of the contracts in force, kept as long as these stay the same."""
 
     def __init__(self, pace: int) -> None:
         self.pace = pace  # between two moves, and what a backend's move takes to be in effect everywhere
         self._of: Mapping[str, Contract] = {}
         self._calendars: dict[str, Calendar] = {}
-        self._known: dict[Unit, Known] = {}
+        self._known: dict[MoveUnit, KnownWindows] = {}
 
-    def use(self, contracts: Mapping[str, Contract]) -> None:
+    def set_contracts(self, contracts: Mapping[str, Contract]) -> None:
         if contracts != self._of:
             self._of, self._calendars, self._known = contracts, {}, {}
 
     def contract(self, tenant: str) -> Contract | None:
         """Requests without a key are nobody's: no contract is theirs."""
-        return self._of.get(tenant) or (self._of.get(ANY) if tenant != PUBLIC else None)
+        return self._of.get(tenant) or (self._of.get(DEFAULT_CONTRACT) if tenant != PUBLIC_TENANT else None)
 
     def calendar(self, tenant: str) -> Calendar | None:
         contract = self.contract(tenant)
         if contract is None:
             return None
         if tenant not in self._calendars:
-            self._calendars[tenant] = Calendar(contract, MARGIN)
+            self._calendars[tenant] = Calendar(contract, HOURS_MARGIN_US)
         return self._calendars[tenant]
 
-    def next(self, unit: Unit, now: int) -> Window | None:
+    def next(self, unit: MoveUnit, now: int) -> Window | None:
         """The first window in which the unit may move; `closes` is the last moment at which a move may begin."""
         known = self._known.get(unit)
         if known is None or now < known.since:
-            known = self._known[unit] = Known(now, now, [])
+            known = self._known[unit] = KnownWindows(now, now, [])
         while known.upto <= now and (not known.windows or known.windows[-1].closes < now):
             found = self._ask(unit, now)
             if found is None:
-                known.upto = now + DAY // 24
+                known.upto = now + DAY_US // 24
             else:
                 known.windows.append(found)
         return next((window for window in known.windows if window.closes >= now), None)
 
-    def _ask(self, unit: Unit, now: int) -> Window | None:
-        lead = GATEWAY_LEAD if unit.kind == "gateway" else self.pace
+    def _ask(self, unit: MoveUnit, now: int) -> Window | None:
+        lead = GATEWAY_LEAD_US if unit.kind == "gateway" else self.pace
         nexts: list[Callable[[int], Window | None]] = []
         for calendar in (self.calendar(tenant) for tenant in unit.tenants):
             if calendar is not None:
                 nexts.append(lambda at, c=calendar: c.next(at, lead))  # type: ignore[misc]
-        return common(nexts, now) if nexts else ALWAYS
+        return first_common_window(nexts, now) if nexts else ALWAYS
 
-    def lapses(self, unit: Unit, order: Record) -> int:
+    def expires_at(self, unit: MoveUnit, order: Record) -> int:
         """From when on the order moves the unit no longer."""
         notices = [found.notice for found in map(self.contract, unit.tenants) if found is not None]
         return int(min([order["due"], *(order["at"] + notice for notice in notices)]))
 
 
-def units(nodes: Iterable[tuple[str, str]], tenants: tuple[str, ...]) -> list[Unit]:
+def move_units(nodes: Iterable[tuple[str, str]], tenants: tuple[str, ...]) -> list[MoveUnit]:
     found = []
     for kind, node in nodes:
         if kind == "gateway":
-            found.append(Unit(kind, node, tenants))
+            found.append(MoveUnit(kind, node, tenants))
         else:
-            found += [Unit(kind, node, (tenant,)) for tenant in tenants]
+            found += [MoveUnit(kind, node, (tenant,)) for tenant in tenants]
     return found
 
 
-def chosen(left: Iterable[Unit], hours: Hours, now: int) -> tuple[Unit, Window] | None:
+def choose_next(left: Iterable[MoveUnit], hours: ContractHours, now: int) -> tuple[MoveUnit, Window] | None:
     """Of those that may move now, the one whose hours close first."""
     able = [
         (window.closes, unit, window)
@@ -146,15 +146,15 @@
     return unit, window
 
 
-def schedule(left: list[Unit], hours: Hours, order: Record, now: int) -> list[Row]:
-    """What `chosen` will do from now on, if nothing changes."""
+def schedule(left: list[MoveUnit], hours: ContractHours, order: Record, now: int) -> list[PlannedMove]:
+    """What `choose_next` will do from now on, if nothing changes."""
     rows, at, first = [], now, {unit: hours.next(unit, now) for unit in left}
     while left:
-        left = [unit for unit in left if hours.lapses(unit, order) >= at]
-        found = chosen(left, hours, at)
+        left = [unit for unit in left if hours.expires_at(unit, order) >= at]
+        found = choose_next(left, hours, at)
         if found is not None:
             unit, window = found
-            rows.append(Row(unit, window, at))
+            rows.append(PlannedMove(unit, window, at))
             left = [other for other in left if other != unit]
             at += hours.pace
             continue
@@ -164,14 +164,14 @@
         at = max(at, min(coming))
     moved = {row.unit for row in rows}
     rows += [
-        Row(unit, opening, None, _why(unit, opening, hours, order))
+        PlannedMove(unit, opening, None, _why(unit, opening, hours, order))
         for unit, opening in first.items()
         if unit not in moved
     ]
     return rows
 
 
-def _why(unit: Unit, window: Window | None, hours: Hours, order: Record) -> str:
+def _why(unit: MoveUnit, window: Window | None, hours: ContractHours, order: Record) -> str:
     names = ", ".join(tenant or "public routes" for tenant in unit.tenants)
     if window is None:
         return (
@@ -179,12 +179,12 @@
             if len(unit.tenants) > 1
             else f"the hours of {names} never open for long enough"
         )
-    if hours.lapses(unit, order) < order["due"]:
+    if hours.expires_at(unit, order) < order["due"]:
         return f"the hours of {names} don't open within their longest notice"
     return f"the hours of {names} don't open before the order is due, or too late for all to move"
 
 
-def targets(facts: Facts, kind: str, target: str) -> list[tuple[str, str]]:
+def target_nodes(facts: DrainState, kind: str, target: str) -> list[tuple[str, str]]:
     """The nodes that an order names: kind and name."""
     if kind != "zone":
         return [(kind, target)]
@@ -195,21 +195,21 @@
     ]
 
 
-def left_nodes(facts: Facts, besides: str = "") -> set[str]:
+def draining_nodes(facts: DrainState, besides: str = "") -> set[str]:
     """Nodes that orders are emptying or have emptied, and those that not all have come back to after a cancel."""
     away = {move["order"] for move in facts.moves.values() if move["state"] != "returned"}
     return {
         node
         for name, order in facts.orders.items()
-        if name != besides and (order["state"] in LIVE or order["state"] == "cancelled" and name in away)
+        if name != besides and (order["state"] in ACTIVE_ORDER_STATES or order["state"] == "cancelled" and name in away)
         for _, node in order["nodes"]
     }
 
 
-def missing(facts: Facts, kind: str, nodes: list[tuple[str, str]], besides: str = "") -> list[str]:
+def capacity_obstacles(facts: DrainState, kind: str, nodes: list[tuple[str, str]], besides: str = "") -> list[str]:
     """What would be short without these nodes: why a drain of them must not be, or go on."""
     found = []
-    going = {node for _, node in nodes} | left_nodes(facts, besides)
+    going = {node for _, node in nodes} | draining_nodes(facts, besides)
     for what, node in nodes:
         if what == "backend" and facts.ready(node):
             service, zone = facts.backends[node]["svc"], facts.backends[node]["az"]
@@ -237,11 +237,11 @@
     return sorted(set(found))
 
 
-def plan(facts: Facts, hours: Hours, order: Record) -> Plan:
+def plan_drain(facts: DrainState, hours: ContractHours, order: Record) -> DrainPlan:
     """For an order that is not given yet; its `at` is now."""
-    nodes = targets(facts, order["kind"], order["target"])
+    nodes = target_nodes(facts, order["kind"], order["target"])
     obstacles = [] if nodes else [f"no node in {order['target']}"]
-    taken = left_nodes(facts)
+    taken = draining_nodes(facts)
     for kind, node in nodes:
         if node not in (facts.gates if kind == "gateway" else facts.backends):
             obstacles.append(f"no {kind} {node}")
@@ -251,13 +251,15 @@
             obstacles.append(f"{node} is under another order")
     if order["due"] <= order["at"]:
         obstacles.append("it is due before it is given")
-    obstacles += missing(facts, order["kind"], nodes)
-    rows = schedule(units(nodes, facts.tenants), hours, order, max(order["at"], last_move(facts) + hours.pace))
+    obstacles += capacity_obstacles(facts, order["kind"], nodes)
+    rows = schedule(
+        move_units(nodes, facts.tenants), hours, order, max(order["at"], last_move_time(facts) + hours.pace)
+    )
     obstacles += [row.why for row in rows if row.moves is None]
     last = max((row.moves for row in rows if row.moves is not None), default=order["at"])
-    lead = GATEWAY_LEAD if any(kind == "gateway" for kind, _ in nodes) else hours.pace
-    return Plan(rows, None if any(row.moves is None for row in rows) else last + lead, obstacles)
+    lead = GATEWAY_LEAD_US if any(kind == "gateway" for kind, _ in nodes) else hours.pace
+    return DrainPlan(rows, None if any(row.moves is None for row in rows) else last + lead, obstacles)
 
 
-def last_move(facts: Facts) -> int:
+def last_move_time(facts: DrainState) -> int:
     return max((max(move["at"], move["back_at"]) for move in facts.moves.values()), default=-FOREVER)
--- a/oakvale/drains/report.py
+++ b/oakvale/drains/report.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from oakvale.drains.hours import FOREVER, Window
-from oakvale.drains.planning import Plan
+from oakvale.drains.planning import DrainPlan
 
 ENDS = ("served", "answered", "failed", "refused", "client_gone", "unknown")
 COLUMNS = (
@@ -38,28 +38,31 @@
 Record = dict[str, Any]
 
 
-def stamp(at: int) -> str:
+def format_time(at: int) -> str:
     """Empty for what has not come, or has no bound."""
     if at <= 0 or at >= FOREVER:
         return ""
     return (datetime(1970, 1, 1, tzinfo=UTC) + timedelta(microseconds=at)).isoformat(timespec="milliseconds")
 
 
-def of_window(window: Window | None) -> dict[str, str]:
-    return {"opens": stamp(window.opens) if window else "never", "closes": stamp(window.closes) if window else "never"}
+def window_fields(window: Window | None) -> dict[str, str]:
+    return {
+        "opens": format_time(window.opens) if window else "never",
+        "closes": format_time(window.closes) if window else "never",
+    }
 
 
-def of_plan(plan: Plan) -> Record:
+def plan_report(plan: DrainPlan) -> Record:
     return {
-        "empty": stamp(plan.empty) if plan.empty is not None else "",
+        "empty": format_time(plan.empty) if plan.empty is not None else "",
         "obstacles": plan.obstacles,
         "moves": [
             {
                 "kind": row.unit.kind,
                 "node": row.unit.node,
                 "tenants": list(row.unit.tenants),
-                **of_window(row.window),
-                "moves": stamp(row.moves) if row.moves is not None else "",
+                **window_fields(row.window),
+                "moves": format_time(row.moves) if row.moves is not None else "",
                 "why": row.why,
             }
             for row in plan.rows
@@ -67,7 +70,7 @@
     }
 
 
-def row(move: Record, order: Record | None) -> Record:
+def move_row(move: Record, order: Record | None) -> Record:
     ends = {how: sum(said[4].get(how, 0) for said in move["gates"].values()) for how in ENDS}
     return {
         "order": move["order"],
@@ -75,12 +78,12 @@
         "node": move["node"],
         "tenant": move["tenant"],
         "state": move["state"],
-        "moved": stamp(move["at"]),
-        "done": stamp(move["done"]),
-        "opens": stamp(move["opens"]),
-        "closes": stamp(move["closes"]),
-        "back": stamp(move["back_at"]),
-        "back_done": stamp(move["back_done"]),
+        "moved": format_time(move["at"]),
+        "done": format_time(move["done"]),
+        "opens": format_time(move["opens"]),
+        "closes": format_time(move["closes"]),
+        "back": format_time(move["back_at"]),
+        "back_done": format_time(move["back_done"]),
         "again": move["again"],
         "in_flight": sum(said[2] for said in move["gates"].values()),
         **ends,
@@ -90,7 +93,7 @@
     }
 
 
-def told(
+def account(
     orders: Iterable[tuple[str, Record]],
     moves: Iterable[tuple[str, Record]],
     outside: Iterable[tuple[str, Record]],
@@ -99,7 +102,7 @@
     """All that the control state knows of drains, or of one order."""
     known = {name: order for name, order in orders if not only or name == only}
     rows = [
-        row(move, known.get(move["order"]))
+        move_row(move, known.get(move["order"]))
         for _, move in sorted(moves, key=lambda item: item[1]["at"])
         if not only or move["order"] == only
     ]
@@ -111,13 +114,13 @@
                 "target": order["target"],
                 "by": order["by"],
                 "why": order["why"],
-                "at": stamp(order["at"]),
-                "due": stamp(order["due"]),
+                "at": format_time(order["at"]),
+                "due": format_time(order["due"]),
                 "nodes": [node for _, node in order["nodes"]],
                 "state": order["state"],
                 "reason": order["why_state"],
-                "empty": stamp(order["empty"]),
-                "over": stamp(order["over"]),
+                "empty": format_time(order["empty"]),
+                "over": format_time(order["over"]),
             }
             for name, order in sorted(known.items(), key=lambda item: item[1]["at"])
         ],
@@ -125,7 +128,7 @@
         "outside": []
         if only
         else [
-            {"backend": name, "tenant": tenant, "at": stamp(record["at"]), "why": record["why"]}
+            {"backend": name, "tenant": tenant, "at": format_time(record["at"]), "why": record["why"]}
             for name, record in sorted(outside, key=lambda item: item[1]["at"])
             for tenant in record["tenants"]
         ],
--- a/oakvale/failover/chains.py
+++ b/oakvale/failover/chains.py
@@ -37,19 +37,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
-    parent: str
-    takes: float
+    zone: str
+    slots: float
 
 
 @dataclass(slots=True, frozen=True)
 class Chain:
     """Where one zone's load on one service goes while some zones are out."""
 
-    out: frozenset[str]
+    failed_zones: frozenset[str]
     service: str
     home: str
     steps: tuple[Step, ...]  # the nearest first
-    refused: Mapping[int, float]  # rank -> slots that no place holds
+    refused_slots: Mapping[int, float]  # rank -> slots that no place holds
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,47 +58,53 @@
     headroom: float = HEADROOM
     hierarchy: Hierarchy = field(default_factory=Hierarchy)
     limits: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # service -> zone -> slots, all together
-    keeper: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # of these, what is not set aside
-    spare: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # what each of the roster may always use
-    part: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # and what once out of the keeper's reach
-    owed: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # the largest part that one may go by
+    holder_share: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # of these, what is not set aside
+    reserved_share: Mapping[str, Mapping[str, float]] = field(
+        default_factory=dict
+    )  # what each of the roster may always use
+    autonomous_share: Mapping[str, Mapping[str, float]] = field(
+        default_factory=dict
+    )  # and what once out of the keeper's reach
+    max_autonomous_share: Mapping[str, Mapping[str, float]] = field(
+        default_factory=dict
+    )  # the largest part that one may go by
     roster: frozenset[str] = frozenset()
-    may: frozenset[str] = frozenset()  # the rosters of this version and of those that one may still go by
+    possible_roster: frozenset[str] = frozenset()  # the rosters of this version and of those that one may still go by
     loads: tuple[Load, ...] = ()
 
-    def worked_out(self, out: frozenset[str], service: str) -> list[Chain]:
+    def chains_for(self, out: frozenset[str], service: str) -> list[Chain]:
         """Of each zone whose clients ask for the service, while these zones are out."""
         loads = [load for load in self.loads if load.service == service]
         return _spread(self.hierarchy, out, service, self.limits.get(service, {}), loads)
 
-    def explain(self, place: str, service: str) -> list[Chain]:
+    def chains_without(self, place: str, service: str) -> list[Chain]:
         """What happens to a service's load when this place fails, and nothing else does."""
-        return self.worked_out(self.hierarchy.places()[place], service)
+        return self.chains_for(self.hierarchy.locations()[place], service)
 
-    def short(self, most: int = 2) -> list[tuple[frozenset[str], str, float, float]]:
+    def uncovered_failures(self, most: int = 2) -> list[tuple[frozenset[str], str, float, float]]:
         """The failures, of at most so many places, that can't be held: zones, service, slots refused, asked for."""
         found: dict[tuple[frozenset[str], str], list[float]] = {}
         for chain in (
             c
             for out in failures(self.hierarchy, most)
             for service in self.limits
-            for c in self.worked_out(out, service)
+            for c in self.chains_for(out, service)
         ):
-            sums = found.setdefault((chain.out, chain.service), [0.0, 0.0])
-            refused = sum(chain.refused.values())
+            sums = found.setdefault((chain.failed_zones, chain.service), [0.0, 0.0])
+            refused = sum(chain.refused_slots.values())
             sums[0] += refused
-            sums[1] += refused + sum(step.takes for step in chain.steps)
+            sums[1] += refused + sum(step.slots for step in chain.steps)
         return [(out, service, refused, asked) for (out, service), (refused, asked) in found.items() if refused > 1e-9]
 
 
 def failures(hierarchy: Hierarchy, most: int = 2) -> list[frozenset[str]]:
     """The zones of every place, and of every two."""
-    single = {zones for zones in hierarchy.places().values() if zones}
+    single = {zones for zones in hierarchy.locations().values() if zones}
     double = {one | other for one, other in combinations(single, 2)} if most > 1 else set()
     return sorted(single | double, key=lambda zones: (len(zones), sorted(zones)))
 
 
-def plan(
+def plan_chains(
     version: int,
     hierarchy: Hierarchy,
     capacity: Mapping[tuple[str, str], float],
@@ -124,7 +130,7 @@
             little = SPARE * limit / max(1, len(roster))
             used = dict.fromkeys(roster, little)
             for earlier in before:
-                theirs = earlier.spare.get(service, {}).get(zone, 0.0)
+                theirs = earlier.reserved_share.get(service, {}).get(zone, 0.0)
                 for gateway in earlier.roster:
                     used[gateway] = max(used.get(gateway, 0.0), theirs)
             rest = max(0.0, limit - sum(used.values()))
@@ -133,7 +139,7 @@
             keeper.setdefault(service, {})[zone] = rest
             part.setdefault(service, {})[zone] = own
             owed.setdefault(service, {})[zone] = max(
-                [own, *(earlier.part.get(service, {}).get(zone, 0.0) for earlier in before)]
+                [own, *(earlier.autonomous_share.get(service, {}).get(zone, 0.0) for earlier in before)]
             )
     may = roster.union(*(earlier.roster for earlier in before))
     return Chains(version, headroom, hierarchy, limits, keeper, spare, part, owed, roster, may, tuple(loads))
@@ -175,7 +181,7 @@
     ]
 
 
-def apart(
+def differ_significantly(
     one: Mapping[tuple[str, str], float], other: Mapping[tuple[str, str], float], by: float, least: float
 ) -> bool:
     """Whether two figures of one key differ by more than a part of the greater, and by more than the least."""
@@ -196,12 +202,12 @@
         "headroom": chains.headroom,
         "paths": {zone: list(path) for zone, path in chains.hierarchy.paths.items()},
         "limits": down(chains.limits),
-        "keeper": down(chains.keeper),
-        "spare": down(chains.spare),
-        "part": down(chains.part),
-        "owed": down(chains.owed, 1),
+        "keeper": down(chains.holder_share),
+        "spare": down(chains.reserved_share),
+        "part": down(chains.autonomous_share),
+        "owed": down(chains.max_autonomous_share, 1),
         "roster": sorted(chains.roster),
-        "more": sorted(chains.may - chains.roster),
+        "more": sorted(chains.possible_roster - chains.roster),
         "loads": [[load.home, load.service, load.rank, round(load.work, 3)] for load in chains.loads],
     }
 
--- a/oakvale/failover/places.py
+++ b/oakvale/failover/places.py
@@ -31,7 +31,7 @@
             found.setdefault(self.distance(home, zone), []).append(zone)
         return [sorted(found[steps], key=lambda zone: ring_position(f"{home} {zone}")) for steps in sorted(found)]
 
-    def places(self) -> dict[str, frozenset[str]]:
+    def locations(self) -> dict[str, frozenset[str]]:
         """Every place and the zones in it. A name above a zone that is a zone's too stands for the zone."""
         inside: dict[str, set[str]] = {}
         for zone, path in self.paths.items():
@@ -42,7 +42,7 @@
         }
 
 
-def hierarchy(zones: Mapping[str, str], above: Mapping[str, str]) -> Hierarchy:
+def build_hierarchy(zones: Mapping[str, str], above: Mapping[str, str]) -> Hierarchy:
     """From zone -> region, and name -> the name above it. Raises ValueError on a circle."""
     paths: dict[str, tuple[str, ...]] = {}
     for zone, region in zones.items():
--- a/oakvale/loadbalancing/board_service.py
+++ b/oakvale/loadbalancing/board_service.py
@@ -8,7 +8,7 @@
 
 from oakvale.base.loop import Loop
 from oakvale.failover.chains import Chains
-from oakvale.failover.spill import Ask, SpillController, Wait
+from oakvale.failover.spill import SpillController, SpillRejection, SpillRequest
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.loadbalancing.load_board import BackendCandidate, LoadBoard
 from oakvale.ratelimit.service import RateLimiter, duty_of
@@ -108,7 +108,7 @@
                 self._set_closed_zones(service, frozenset())
             return
         for spill in [*self._spills.values(), *self._local_spills.values()]:
-            spill.show(chains)
+            spill.set_chains(chains)
 
     def select(
         self,
@@ -235,34 +235,36 @@
             found = board.select(candidates, gateway, zone, now + wait, now, None, without)
             return [*found, board.idle_timeout.safe_idle_time(now)] if found else None
         spill = self._spill(service)
-        ask = Ask(gateway, zone, facts.rank, facts.tenant, facts.safe, board.request_cost(facts.route), facts.target_us)
-        way = spill.ask(
+        ask = SpillRequest(
+            gateway, zone, facts.rank, facts.tenant, facts.safe, board.request_cost(facts.route), facts.target_us
+        )
+        way = spill.admit(
             ask,
             {candidate.zone for candidate in candidates},
             board.typical_latency(),
             lambda: board.zone_load(candidates),
             now,
         )
-        for place, flow, share in spill.news():
+        for place, flow, share in spill.state_changes():
             if flow == "open":
                 self._failed_zones.discard((service, place))
             elif flow == "out" and (service, place) not in self._failed_zones:
                 # once per failure: later on, restarted backends are there
                 self._failed_zones.add((service, place))
                 board.mark_suspect((candidate.id for candidate in candidates if candidate.zone == place), now)
-            log_event("place", service=service, place=place, flow=flow, share=share, refused=spill.turned)
-        if spill.flow_due(now):
-            log_event("flow", service=service, refused=spill.turned, **spill.flow(now))
-        if isinstance(way, Wait):
-            return ["", way.micros, None, sorted(spill.closed(gateway))]
+            log_event("place", service=service, place=place, flow=flow, share=share, refused=spill.rejected_count)
+        if spill.flow_log_due(now):
+            log_event("flow", service=service, refused=spill.rejected_count, **spill.take_flow(now))
+        if isinstance(way, SpillRejection):
+            return ["", way.retry_after_us, None, sorted(spill.closed_zones(gateway))]
         found = board.select(candidates, gateway, zone, now + wait, now, way.zones, without)
         if found is None:
             return None
-        spill.sent(
+        spill.record_sent(
             next(candidate.zone for candidate in candidates if candidate.id == found[0]), ask, found[1], now + wait, now
         )
         named = [*found, board.idle_timeout.safe_idle_time(now)]
-        return [*named, sorted(spill.closed(gateway))] if spill.moves() else named
+        return [*named, sorted(spill.closed_zones(gateway))] if spill.is_active() else named
 
     def _record(self, result: AttemptResult) -> None:
         spill = self._spills.get(result.service)
@@ -286,10 +288,10 @@
         )
         if zone is not None:
             board = self._board(result.service)
-            spill.ended(
+            spill.record_end(
                 ticket,
                 zone,
-                Ask(result.gateway, result.zone, cost=board.request_cost(result.route)),
+                SpillRequest(result.gateway, result.zone, cost=board.request_cost(result.route)),
                 result.latency,
                 result.outcome,
                 board.typical_latency(),
@@ -302,7 +304,7 @@
             spill = self._spills[service] = self._new_spill(service, True)
             closed, at = self._closed.get(service, (frozenset(), -CLOSED_ZONES_VALID_US))
             if self._loop.now - at < CLOSED_ZONES_VALID_US:
-                spill.follow(closed, self._loop.now)  # as the former holder reported
+                spill.adopt_closed_zones(closed, self._loop.now)  # as the former holder reported
         return spill
 
     def _new_spill(self, service: str, is_holder: bool) -> SpillController:
@@ -315,7 +317,7 @@
             None if is_holder else lambda: self._rate_limiter.isolated_share(duty),
         )
         assert self.chains is not None
-        spill.show(self.chains)
+        spill.set_chains(self.chains)
         return spill
 
     def flows(self) -> list[list[Any]]:
@@ -323,9 +325,9 @@
         found = []
         for service, spill in self._spills.items():
             if self._rate_limiter.holds(duty_of(f"service {service}")):
-                if not spill.moves():
-                    log_event("flow", service=service, refused=spill.turned, **spill.flow(self._loop.now))
-                loads = [[load.home, load.rank, round(load.work, 3)] for load in spill.report(self._loop.now)]
+                if not spill.is_active():
+                    log_event("flow", service=service, refused=spill.rejected_count, **spill.take_flow(self._loop.now))
+                loads = [[load.home, load.rank, round(load.work, 3)] for load in spill.take_loads(self._loop.now)]
                 held = self._board(service).zone_capacity(self._candidates(service))
                 found.append([service, {zone: round(slots, 3) for zone, slots in held.items()}, loads])
         return found
@@ -366,9 +368,9 @@
             spill = self._local_spills[service] = self._new_spill(service, False)
         closed, at = self._closed.get(service, (frozenset(), -CLOSED_ZONES_VALID_US))
         if now - at < CLOSED_ZONES_VALID_US:
-            spill.follow(closed, now)
+            spill.adopt_closed_zones(closed, now)
         board = self._board(service)
-        ask = Ask(
+        ask = SpillRequest(
             self._node,
             self._zone,
             facts.rank,
@@ -377,27 +379,27 @@
             board.request_cost(facts.route),
             facts.target_us,
         )
-        way = spill.ask(ask, {candidate.zone for candidate in candidates}, board.typical_latency(), None, now)
+        way = spill.admit(ask, {candidate.zone for candidate in candidates}, board.typical_latency(), None, now)
         allowed = [
             candidate
             for candidate in candidates
-            if not isinstance(way, Wait) and way.zones and candidate.zone in way.zones
+            if not isinstance(way, SpillRejection) and way.zones and candidate.zone in way.zones
         ]
         if not allowed:
             self._apply_local_closures(service, spill, at)
-            return Rejected(way.micros) if isinstance(way, Wait) else None
+            return Rejected(way.retry_after_us) if isinstance(way, SpillRejection) else None
         # the few local attempts tell nothing better, and the service's driver may choose another
         candidate = self._loop.net.rng.choice(allowed)
         self._ticket -= 1
-        spill.sent(candidate.zone, ask, self._ticket, now + wait, now)
+        spill.record_sent(candidate.zone, ask, self._ticket, now + wait, now)
         self._apply_local_closures(service, spill, at)
         return Selection(service, candidate.id, self._ticket, "")
 
     def _apply_local_closures(self, service: str, spill: SpillController, at: int) -> None:
         """Applies the local view of closed zones, unless a holder's report of `at` is still valid."""
-        if self._loop.now - at < CLOSED_ZONES_VALID_US or not spill.moves() and service not in self._closed:
+        if self._loop.now - at < CLOSED_ZONES_VALID_US or not spill.is_active() and service not in self._closed:
             return
-        was, closed = self._closed.get(service, (frozenset(), 0))[0], spill.closed(self._node)
+        was, closed = self._closed.get(service, (frozenset(), 0))[0], spill.closed_zones(self._node)
         if was != closed:
             self._set_closed_zones(service, closed)
         if closed:
--- a/tests/drain_simulation.py
+++ b/tests/drain_simulation.py
@@ -8,15 +8,24 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from oakvale.drains.execution import Course
-from oakvale.drains.hours import MINUTES, SECOND, Contract, Span
-from oakvale.drains.moves import Moves, kept
-from oakvale.drains.planning import GATEWAY_LEAD, LIVE, PUBLIC, Facts, Hours, Plan, plan, targets
-
-TICK = 4 * SECOND
-PACE = 5 * SECOND
-MINUTE = 60 * SECOND
-NOON = 1_796_212_800 * SECOND  # 12:00 UTC on a Wednesday
+from oakvale.drains.execution import DrainExecutor
+from oakvale.drains.hours import MINUTES_PER_DAY, SECOND_US, Contract, Span
+from oakvale.drains.moves import MoveFollower, effective_exclusions
+from oakvale.drains.planning import (
+    ACTIVE_ORDER_STATES,
+    GATEWAY_LEAD_US,
+    PUBLIC_TENANT,
+    ContractHours,
+    DrainPlan,
+    DrainState,
+    plan_drain,
+    target_nodes,
+)
+
+TICK = 4 * SECOND_US
+PACE = 5 * SECOND_US
+MINUTE = 60 * SECOND_US
+NOON = 1_796_212_800 * SECOND_US  # 12:00 UTC on a Wednesday
 OFFSETS = {"UTC": 0, "Asia/Jakarta": 7 * 60, "America/Jamaica": -5 * 60}  # zones without daylight saving, in minutes
 
 
@@ -25,10 +34,11 @@
     if contract is None:
         return True
     minutes = at // MINUTE + OFFSETS[contract.zone]
-    day, minute = divmod(minutes, MINUTES)
+    day, minute = divmod(minutes, MINUTES_PER_DAY)
     weekday = (day + 3) % 7  # the first of January 1970 was a Thursday
     today = any(
-        span.begin <= minute < (span.end if span.end > span.begin else 10 * MINUTES) for span in contract.week[weekday]
+        span.begin <= minute < (span.end if span.end > span.begin else 10 * MINUTES_PER_DAY)
+        for span in contract.week[weekday]
     )
     return today or any(span.end <= span.begin and minute < span.end for span in contract.week[weekday - 1])
 
@@ -48,7 +58,7 @@
     node: str
     zone: str
     life: str
-    moves: Moves
+    moves: MoveFollower
     cut: int = 0  # since when nothing reaches it or comes from it
     skew: int = 0
     born: bool = True
@@ -60,8 +70,8 @@
 class Waterway:
     def __init__(self, seed: int, faults: bool = True) -> None:
         self.rng = rng = random.Random(seed)
-        self.faults, self.now = faults, NOON + rng.randrange(60) * SECOND
-        self.tenants = (PUBLIC, "ana", "ben", "cai")[: rng.randint(2, 4)]
+        self.faults, self.now = faults, NOON + rng.randrange(60) * SECOND_US
+        self.tenants = (PUBLIC_TENANT, "ana", "ben", "cai")[: rng.randint(2, 4)]
         self.contracts = {name: self._contract(name) for name in self.tenants[1:] if rng.random() < 0.8}
         self.orders: dict[str, Any] = {}
         self.moves: dict[str, Any] = {}
@@ -77,30 +87,30 @@
             for n in range(rng.randint(2, 3)):
                 self.start(f"gate-{zone}{n}", zone)
         self.listed = self._list()
-        self.hours = Hours(PACE)
-        self.course = Course(self.hours)
+        self.hours = ContractHours(PACE)
+        self.executor = DrainExecutor(self.hours)
         self.down = 0  # until when there is no primary
         self.requests: list[Request] = []
         self.sent = self.ended = 0
-        self.plans: dict[str, Plan] = {}
+        self.plans: dict[str, DrainPlan] = {}
         self.refused: list[list[str]] = []
         self.counted: dict[str, int] = {}
         self.tick()
 
     def _contract(self, name: str) -> Contract:
         rng, zone = self.rng, self.rng.choice(list(OFFSETS))
-        begin = (self.now // MINUTE + OFFSETS[zone] + rng.randint(-3, 5)) % MINUTES
+        begin = (self.now // MINUTE + OFFSETS[zone] + rng.randint(-3, 5)) % MINUTES_PER_DAY
         spans = []
         for _ in range(rng.choice((0, 1, 1, 2, 2))):
             length = rng.choice((1, 3, 5, 8, 600))
-            spans.append(Span(begin, (begin + length) % MINUTES or MINUTES))
-            begin = (begin + length + rng.randint(0, 3)) % MINUTES
+            spans.append(Span(begin, (begin + length) % MINUTES_PER_DAY or MINUTES_PER_DAY))
+            begin = (begin + length + rng.randint(0, 3)) % MINUTES_PER_DAY
         return Contract(name, zone, (tuple(spans),) * 7, notice=rng.choice((3, 9, 1000)) * MINUTE)
 
     def start(self, node: str, zone: str) -> None:
         self.lives += 1
         life = f"life{self.lives}"
-        self.gates[node] = Gate(node, zone, life, Moves(node, life), backends=dict(self.backends))
+        self.gates[node] = Gate(node, zone, life, MoveFollower(node, life), backends=dict(self.backends))
 
     def _list(self) -> dict[str, Any]:
         """Watchers have those taken off that are cut off for long."""
@@ -110,20 +120,20 @@
             if not gate.cut or self.now - gate.cut < 3 * TICK
         }
 
-    def facts(self) -> Facts:
-        return Facts(self.now, self.orders, self.moves, self.backends, self.listed, self.tenants, self.contracts)
+    def facts(self) -> DrainState:
+        return DrainState(self.now, self.orders, self.moves, self.backends, self.listed, self.tenants, self.contracts)
 
     # ---- what operators and faults do
 
-    def order(self, name: str, kind: str, target: str, within: int) -> Plan:
+    def order(self, name: str, kind: str, target: str, within: int) -> DrainPlan:
         given = {"kind": kind, "target": target, "by": "ana", "why": "a test", "due": self.now + within, "at": self.now}
         facts = self.facts()
-        self.hours.use(self.contracts)
-        found = plan(facts, self.hours, given)
+        self.hours.set_contracts(self.contracts)
+        found = plan_drain(facts, self.hours, given)
         if found.obstacles:
             self.refused.append(found.obstacles)
             return found
-        nodes = targets(facts, kind, target)
+        nodes = target_nodes(facts, kind, target)
         lives = {node: self.listed[node]["life"] for what, node in nodes if what == "gateway"}
         self.orders[name] = given | {
             "nodes": [list(node) for node in nodes],
@@ -138,7 +148,7 @@
         return found
 
     def cancel(self, name: str) -> None:
-        if self.orders[name]["state"] in LIVE:
+        if self.orders[name]["state"] in ACTIVE_ORDER_STATES:
             self.orders[name] |= {
                 "state": "cancelled",
                 "cancelled": True,
@@ -168,10 +178,10 @@
         elif kind == "kill":
             self.kill(gate.node)
         elif kind == "skew":
-            gate.skew = rng.choice((-6, 6)) * SECOND
+            gate.skew = rng.choice((-6, 6)) * SECOND_US
         elif kind == "primary":
             self.down = self.now + rng.choice((0, 3 * TICK))
-            self.course = Course(self.hours)
+            self.executor = DrainExecutor(self.hours)
         elif kind == "leave" and rng.random() < 0.3:
             self.leave(rng.choice(list(self.backends)))
         elif kind == "cancel" and self.orders:
@@ -196,7 +206,7 @@
     def tick(self) -> None:
         self.listed = self._list()
         if self.now >= self.down:
-            changes = self.course.step(self.facts())
+            changes = self.executor.step(self.facts())
             for key, value in changes.items():
                 table = self.orders if key.startswith("drain/") else self.moves
                 name = key.split("/", 1)[1]
@@ -209,7 +219,7 @@
                     self.judge_made(table.get(name), value)
                 table[name] = value
             if changes and self.faults and self.rng.random() < 0.05:  # killed between a move and its news
-                self.down, self.course = self.now + 2 * TICK, Course(self.hours)
+                self.down, self.executor = self.now + 2 * TICK, DrainExecutor(self.hours)
         for gate in self.gates.values():
             if not gate.cut and (self.now >= self.down or gate.born):
                 self.hear(gate)
@@ -236,9 +246,9 @@
             self.tick()
 
     def hear(self, gate: Gate) -> None:
-        before = set(gate.moves.away)
-        gate.moves.take(self.moves.items(), self.now + gate.skew, gate.born)
-        for key in before ^ gate.moves.away:
+        before = set(gate.moves.followed)
+        gate.moves.update(self.moves.items(), self.now + gate.skew, gate.born)
+        for key in before ^ gate.moves.followed:
             move = self.moves.get(key)
             if move is None:
                 continue
@@ -264,28 +274,28 @@
     def serve(self, gate: Gate) -> None:
         tenant, service = self.rng.choice(self.tenants), self.rng.choice(("book", "rate"))
         ready = {name: b["state"] == "ready" for name, b in gate.backends.items() if b["svc"] == service}
-        avoid = gate.moves.avoid.get(tenant, frozenset())
-        off = kept(ready, avoid)
+        avoid = gate.moves.avoided_backends.get(tenant, frozenset())
+        off = effective_exclusions(ready, avoid)
         able = [name for name, up in ready.items() if up and name not in off]
         if not able:
             return
         node = self.rng.choice(able)
         assert node not in avoid or set(able) <= avoid, f"{tenant} is sent to {node}, which it has left"
-        if gate.moves.leaving and self.rng.random() < 0.7:
+        if gate.moves.gateway_draining and self.rng.random() < 0.7:
             return  # its clients come back elsewhere
         self.sent += 1
         self.requests.append(Request(gate, tenant, service, node, self.now + self.rng.choice((1, 2, 9)) * TICK))
 
     def tell(self, gate: Gate) -> None:
-        for key, move in gate.moves.owed().items():
+        for key, move in gate.moves.pending_moves().items():
             watch = [request for request in gate.watch.get(key, ()) if request in self.requests]
             there = watch if move["kind"] == "backend" else [r for r in self.requests if r.gate is gate]
             began = gate.opened.get(key, 0)
-            self.course.hear(
+            self.executor.record_report(
                 key,
                 gate.node,
                 gate.life,
-                key in gate.moves.away,
+                key in gate.moves.followed,
                 began,
                 len(there),
                 {"served": began - len(watch)} if began > len(watch) else {},
@@ -296,8 +306,8 @@
     def judge_made(self, was: dict[str, Any] | None, move: dict[str, Any]) -> None:
         """Whatever one clock does by some seconds, at either end."""
         if was is None or (was["at"], was["back_at"]) != (move["at"], move["back_at"]):
-            lead = GATEWAY_LEAD if move["kind"] == "gateway" else PACE
-            for at in (self.now - 9 * SECOND, self.now, self.now + lead + 9 * SECOND):
+            lead = GATEWAY_LEAD_US if move["kind"] == "gateway" else PACE
+            for at in (self.now - 9 * SECOND_US, self.now, self.now + lead + 9 * SECOND_US):
                 assert in_hours(self.contracts.get(move["tenant"]), at), f"{move['tenant']} moves too near the edge"
 
     def judge_moved(self, move: dict[str, Any]) -> None:
@@ -315,7 +325,9 @@
         """It went back there, as no other backend of its service is ready."""
         ready = {name: b["state"] == "ready" for name, b in self.backends.items() if b["svc"] == request.service}
         return not any(
-            up for name, up in ready.items() if name not in request.gate.moves.avoid.get(request.tenant, frozenset())
+            up
+            for name, up in ready.items()
+            if name not in request.gate.moves.avoided_backends.get(request.tenant, frozenset())
         )
 
     def judge_end(self) -> None:
@@ -329,11 +341,11 @@
         for key, move in self.moves.items():
             for gate in self.gates.values() if move["state"] in ("moved", "returned") else ():
                 if move["kind"] == "backend" or gate.life in move["gates"]:
-                    assert (key in gate.moves.away) == (move["way"] == "out"), f"{gate.node} missed {key}"
+                    assert (key in gate.moves.followed) == (move["way"] == "out"), f"{gate.node} missed {key}"
         assert all(all(reasons) for reasons in self.refused)
         times = sorted({move["at"] for move in self.moves.values()} | {m["back_at"] for m in self.moves.values()} - {0})
         assert all(later - sooner >= PACE for sooner, later in zip(times, times[1:], strict=False)), "a herd"
         assert self.ended + len(self.requests) <= self.sent
 
 
-__all__ = ["GATEWAY_LEAD", "MINUTE", "NOON", "PACE", "TICK", "Waterway", "in_hours"]
+__all__ = ["GATEWAY_LEAD_US", "MINUTE", "NOON", "PACE", "TICK", "Waterway", "in_hours"]
--- a/tests/failover_simulation.py
+++ b/tests/failover_simulation.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from oakvale.failover.chains import Chains, Load, plan
-from oakvale.failover.evacuation import Flow
-from oakvale.failover.places import hierarchy
-from oakvale.failover.spill import Ask, SpillController, Wait
+from oakvale.failover.chains import Chains, Load, plan_chains
+from oakvale.failover.evacuation import EvacuationState
+from oakvale.failover.places import build_hierarchy
+from oakvale.failover.spill import SpillController, SpillRejection, SpillRequest
 
 MS, SECOND = 1_000, 1_000_000
 WORK = 200 * MS
@@ -84,7 +84,7 @@
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._order = self._ticket = 0
         self.places = {name: Place(name, n, said=said) for name, n in slots.items()}
-        self.hierarchy, self.hot, self.unsafe, self.load = hierarchy(zones, {}), hot, unsafe, load
+        self.hierarchy, self.hot, self.unsafe, self.load = build_hierarchy(zones, {}), hot, unsafe, load
         self.cuts: set[frozenset[str]] = set()  # of zones: nothing passes between them
         self.chains = self.planned(1)
         self.versions = [(self.now, self.chains)]
@@ -92,7 +92,7 @@
         self.chains = self.planned(2)
         self.versions.append((self.now, self.chains))
         for gateway in self.gateways:
-            gateway.spill.show(self.chains)
+            gateway.spill.set_chains(self.chains)
             gateway.chains = self.chains
         self.keeper: SpillController | None = None
         self.keeper_zone = next(iter(zones))
@@ -113,7 +113,7 @@
         whole = sum(p.slots for p in self.places.values())
         loads = [Load(zone, "s", rank, self.load * whole / len(zones) / 2) for zone in zones for rank in (0, 2)]
         roster = [g.name for g in getattr(self, "gateways", [])]
-        return plan(version, self.hierarchy, capacity, loads, roster, before=before)
+        return plan_chains(version, self.hierarchy, capacity, loads, roster, before=before)
 
     def renew(self, within: int = 400 * MS) -> None:
         """A new version, which comes to each gateway at another time."""
@@ -122,9 +122,9 @@
         self.versions.append((self.now, self.chains))
         made = self.chains
         if self.keeper is not None:
-            self.keeper.show(made)
+            self.keeper.set_chains(made)
         for gateway in self.gateways:
-            self.at(self.now + self.rng.randrange(within), lambda g=gateway: g.spill.show(made))  # type: ignore[misc]
+            self.at(self.now + self.rng.randrange(within), lambda g=gateway: g.spill.set_chains(made))  # type: ignore[misc]
 
     def _gateway(self, name: str, zone: str) -> Gateway:
         gateway = Gateway(name, zone, None, self.chains, self.now)  # type: ignore[arg-type]
@@ -135,7 +135,7 @@
             if self.now - gateway.contact < CUT
             else (1.0 if self.now - gateway.contact < LONG else FEW),
         )
-        gateway.spill.show(self.chains)
+        gateway.spill.set_chains(self.chains)
         return gateway
 
     # ---- the keeper
@@ -144,7 +144,9 @@
         """Another keeper: it knows what is open nowhere, and whom it hears it has yet to learn."""
         self.keeper_zone = zone or self.keeper_zone
         self.heard, begun = {}, self.now
-        self.turns: dict[str, list[tuple[int, Flow]]] = {name: [] for name in self.places}  # as this one sees them
+        self.turns: dict[str, list[tuple[int, EvacuationState]]] = {
+            name: [] for name in self.places
+        }  # as this one sees them
         self.keeper = SpillController(
             "s",
             self.rng.random,
@@ -155,10 +157,10 @@
                 if self.now - self.heard.get(g, -HEARD) >= HEARD
             ),
         )
-        self.keeper.show(self.chains)
+        self.keeper.set_chains(self.chains)
         near = [g for g in self.gateways if g.zone == self.keeper_zone and self.now - g.told_at < TOLD]
         if near:
-            self.keeper.follow(near[0].closed, self.now)
+            self.keeper.adopt_closed_zones(near[0].closed, self.now)
 
     def reaches(self, one: str, other: str) -> bool:
         return one == other or frozenset((one, other)) not in self.cuts
@@ -180,15 +182,15 @@
     def look(self) -> None:
         self.at(self.now + 100 * MS, self.look)
         spills = [g.spill for g in self.gateways] + ([self.keeper] if self.keeper is not None else [])
-        if any(spill.moves() for spill in spills):
+        if any(spill.is_active() for spill in spills):
             if self.moved and self.moved[-1][1] >= self.now - 100 * MS:
                 self.moved[-1] = (self.moved[-1][0], self.now)
             else:
                 self.moved.append((self.now, self.now))
         for name, turns in self.turns.items():
-            fall = self.keeper.falls.get(name) if self.keeper is not None else None
-            if fall is not None and (not turns or turns[-1][1] is not fall.flow):
-                turns.append((fall.since, fall.flow))
+            evacuation = self.keeper.evacuations.get(name) if self.keeper is not None else None
+            if evacuation is not None and (not turns or turns[-1][1] is not evacuation.state):
+                turns.append((evacuation.state_since, evacuation.state))
         for gateway in self.gateways:  # it greets the keeper
             if self.keeper is not None and self.reaches(gateway.zone, self.keeper_zone):
                 gateway.contact = self.heard[gateway.name] = self.now
@@ -212,16 +214,16 @@
         ask = self.asks(request)
         if self.keeper is not None and self.reaches(gateway.zone, self.keeper_zone):
             gateway.contact = self.heard[gateway.name] = self.now
-            way = self.keeper.ask(ask, self.places, WORK, self.held, self.now)
+            way = self.keeper.admit(ask, self.places, WORK, self.held, self.now)
             self.send(request, way, self.keeper)
-            return self.told(gateway, self.keeper.closed(gateway.name))
+            return self.told(gateway, self.keeper.closed_zones(gateway.name))
         if self.now - gateway.told_at < TOLD:
-            gateway.spill.follow(gateway.closed, self.now)
-        way = gateway.spill.ask(ask, self.places, WORK, None, self.now)
+            gateway.spill.adopt_closed_zones(gateway.closed, self.now)
+        way = gateway.spill.admit(ask, self.places, WORK, None, self.now)
         self.send(request, way, gateway.spill)
 
-    def asks(self, request: Request) -> Ask:
-        return Ask(
+    def asks(self, request: Request) -> SpillRequest:
+        return SpillRequest(
             request.gateway.name, request.gateway.zone, request.rank, request.tenant, request.safe, WORK / SECOND, AIM
         )
 
@@ -239,11 +241,11 @@
                 self.end(request, "502")
 
     def send(self, request: Request, way: object, spill: SpillController) -> None:
-        if isinstance(way, Wait):
-            assert way.micros > 0
+        if isinstance(way, SpillRejection):
+            assert way.retry_after_us > 0
             return self.end(request, "refused")
         zones = getattr(way, "zones", None)
-        moves = spill.moves()
+        moves = spill.is_active()
         up = [
             p
             for p in self.places.values()
@@ -252,8 +254,8 @@
         best = min(up, key=lambda p: (p.busy + len(p.queue)) / p.slots + (p.name != request.gateway.zone) * 0.5)
         self._ticket += 1
         request.ticket = self._ticket
-        spill.sent(best.name, self.asks(request), request.ticket, self.now + DEADLINE, self.now)
-        if moves and spill.falls[best.name].flow is not Flow.TRIED:
+        spill.record_sent(best.name, self.asks(request), request.ticket, self.now + DEADLINE, self.now)
+        if moves and spill.evacuations[best.name].state is not EvacuationState.PROBING:
             best.let.append((self.now, WORK / SECOND, "keeper" if spill is self.keeper else request.gateway.name))
         self.carry(request, best)
 
@@ -316,7 +318,7 @@
         ask = self.asks(request)
         for spill in (self.keeper if self.reaches(gateway.zone, self.keeper_zone) else None, gateway.spill):
             if spill is not None:
-                spill.ended(request.ticket, request.at, ask, latency, outcome, WORK, self.now)
+                spill.record_end(request.ticket, request.at, ask, latency, outcome, WORK, self.now)
 
     def end(self, request: Request, how: str) -> None:
         if not request.ends:
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from oakvale.drains.execution import Course, key_of
+from oakvale.drains.execution import DrainExecutor, move_key
 from oakvale.drains.hours import Contract, Span
-from oakvale.drains.planning import Hours
+from oakvale.drains.planning import ContractHours
 from tests.drain_simulation import MINUTE, PACE, TICK, Request, Waterway, in_hours
 
 BLOCK = 100
@@ -32,8 +32,8 @@
     seen = 0
     for seed in range(150):
         way = Waterway(seed, faults=False)
-        way.hours = Hours(2 * TICK)
-        way.course = Course(way.hours)
+        way.hours = ContractHours(2 * TICK)
+        way.executor = DrainExecutor(way.hours)
         kind, target = way.rng.choice((("backend", NODE), ("gateway", "gate-west0"), ("zone", "east")))
         plan = way.order("o", kind, target, 8 * MINUTE)
         if plan.obstacles:
@@ -43,7 +43,7 @@
         assert way.orders["o"]["state"] == "empty" and plan.empty is not None
         for row in plan.rows:
             for tenant in row.unit.tenants:
-                move = way.moves[key_of("o", row.unit.node, tenant)]
+                move = way.moves[move_key("o", row.unit.node, tenant)]
                 seen += 1
                 # the plan thinks in moments and the days here are ticks: some may be a few late, and trade places
                 assert row.moves is not None and abs(move["at"] - row.moves) <= 5 * TICK
@@ -99,7 +99,7 @@
     assert states(way)["ana"] == "leaving" and way.orders["b"]["state"] == "open"
     way.run(2 * MINUTE)
     assert states(way)["ana"] == "moved" and way.orders["b"]["state"] == "empty"
-    record = way.moves[key_of("b", NODE, "ana")]
+    record = way.moves[move_key("b", NODE, "ana")]
     assert sum(said[2] for said in record["gates"].values()) >= 1
     assert sum(said[4].get("served", 0) for said in record["gates"].values()) >= 1
 
@@ -107,7 +107,7 @@
 def test_hours_that_close_in_the_middle_stop_the_rest() -> None:
     """What has moved stays moved, the others stay where they are, and the order says why."""
     way = world(ana=(-60, 300), ben=(30, 31), cai=(0, 1))
-    way.hours.use(way.contracts)
+    way.hours.set_contracts(way.contracts)
     assert any("ben" in why for why in way.order("b", "backend", NODE, 20 * MINUTE).obstacles)
     way.contracts = {**way.contracts, "ben": way.contracts["ana"]}
     assert not way.order("b", "backend", NODE, 20 * MINUTE).obstacles
@@ -163,13 +163,13 @@
     way.order("b", "backend", NODE, 60 * MINUTE)
     gate.cut = way.now
     way.run(6 * MINUTE)
-    key = key_of("b", NODE, "ana")
-    assert key in way.moves and key not in gate.moves.away
+    key = move_key("b", NODE, "ana")
+    assert key in way.moves and key not in gate.moves.followed
     gate.cut = 0
     way.run(10 * MINUTE)
-    assert key not in gate.moves.away and way.moves[key]["state"] == "leaving"
+    assert key not in gate.moves.followed and way.moves[key]["state"] == "leaving"
     way.run(10 * MINUTE)
-    assert key in gate.moves.away and way.moves[key]["state"] == "moved" and way.moves[key]["again"] == 1
+    assert key in gate.moves.followed and way.moves[key]["state"] == "moved" and way.moves[key]["again"] == 1
 
 
 def test_a_gateway_that_is_drained_while_cut_off_is_waited_for_until_the_order_is_due() -> None:
@@ -178,17 +178,17 @@
     gate.cut = way.now
     way.order("g", "gateway", "gate-west1", 3 * MINUTE)
     way.run(2 * TICK)
-    assert not gate.moves.leaving and states(way, "gate-west1")["ana"] == "leaving"
+    assert not gate.moves.gateway_draining and states(way, "gate-west1")["ana"] == "leaving"
     way.run(5 * MINUTE)
     # off the list it is gone to all that is known here, and its order is over
     assert way.orders["g"]["state"] == "done"
     gate.cut = 0
     way.run(MINUTE)
-    assert gate.moves.leaving and states(way, "gate-west1") == {"": "moved", "ana": "moved"}
+    assert gate.moves.gateway_draining and states(way, "gate-west1") == {"": "moved", "ana": "moved"}
     assert way.orders["g"]["state"] == "ended"  # so that it can be cancelled
     way.cancel("g")
     way.run(MINUTE)
-    assert not gate.moves.leaving
+    assert not gate.moves.gateway_draining
 
 
 def test_a_cancel_brings_back_in_hours_what_has_moved() -> None:
@@ -200,7 +200,10 @@
     way.cancel("b")
     way.run(5 * MINUTE)
     assert states(way) == {"": "returned", "ana": "moved", "ben": "returned"}
-    assert all(NODE in gate.moves.avoid.get("ana", ()) and "ben" not in gate.moves.avoid for gate in way.gates.values())
+    assert all(
+        NODE in gate.moves.avoided_backends.get("ana", ()) and "ben" not in gate.moves.avoided_backends
+        for gate in way.gates.values()
+    )
 
 
 def test_a_second_order_for_a_node_is_refused_until_the_first_is_cancelled() -> None:
--- a/tests/test_drains_core.py
+++ b/tests/test_drains_core.py
@@ -11,8 +11,8 @@
 from oakvale.controlplane.drains import DrainManager
 from oakvale.controlplane.resources import BackendsHandler, DrainsHandler, Reply
 from oakvale.drains import report
-from oakvale.drains.moves import Moves
-from oakvale.drains.planning import MARGIN
+from oakvale.drains.moves import MoveFollower
+from oakvale.drains.planning import HOURS_MARGIN_US
 from tests.control_plane_simulation import Machine, World
 from tests.simulated_processes import MS, SECOND, Loop
 
@@ -40,7 +40,7 @@
         self.path, self.clock_steps = path, dict[str, int]()
         self.drains: dict[str, DrainManager] = {}
         self.backends: dict[str, BackendsHandler] = {}
-        self.gateways = {node: Moves(node, f"life-{node}") for node in ("g1", "g2")}
+        self.gateways = {node: MoveFollower(node, f"life-{node}") for node in ("g1", "g2")}
         self.followed: dict[tuple[str, str], int] = {}  # gateway and move -> when it was first followed
         super().__init__(seed, on_machine_start=self.equip)
         self.run(3 * SECOND)
@@ -115,9 +115,9 @@
             return
         entries = primary.core.replicated_state.table.items("move/")
         for node, moves in self.gateways.items():
-            for key in moves.take(entries, self.wall):
+            for key in moves.update(entries, self.wall):
                 self.followed.setdefault((node, key), self.wall)
-            reports = [[key, key in moves.away, 1, 0, {"served": 1}] for key in moves.owed()]
+            reports = [[key, key in moves.followed, 1, 0, {"served": 1}] for key in moves.pending_moves()]
             if reports:
                 primary.core.transport.handlers["towed"](
                     cast(Any, None), [node, f"life-{node}", reports], cast(Any, None)
@@ -159,7 +159,7 @@
         cores.clock_steps[cores.machines[victim].address[0]] = step
         cores.run(60 * SECOND)
         followed = [cores.followed[node, "o1/b0/ana"] for node in cores.gateways]
-        assert all(0 <= when - HOURS_OPEN_AT - MARGIN <= 3 * SECOND for when in followed)
+        assert all(0 <= when - HOURS_OPEN_AT - HOURS_MARGIN_US <= 3 * SECOND for when in followed)
         assert ("g1", "o1/b0/ben") not in cores.followed
 
 
@@ -169,7 +169,7 @@
     the gateways followed."""
     cores = Cores(7, tmp_path / "contracts.toml")
     cores.order("o1")
-    while cores.wall < HOURS_OPEN_AT + MARGIN + 5 * SECOND:
+    while cores.wall < HOURS_OPEN_AT + HOURS_MARGIN_US + 5 * SECOND:
         cores.run(MS)
         found = cores.serving()
         if (
@@ -185,8 +185,11 @@
     moves = [move for move in cores.ask("show", "o1")[1]["moves"] if move["tenant"] == "ana"]
     assert len(moves) == 1 and moves[0]["state"] == "moved" and moves[0]["again"] == 0
     followed = [cores.followed[node, "o1/b0/ana"] for node in cores.gateways]
-    assert all(0 <= when - HOURS_OPEN_AT - MARGIN <= 8 * SECOND for when in followed)
-    assert moves[0]["moved"] <= report.stamp(min(followed)) or min(followed) - HOURS_OPEN_AT - MARGIN < SECOND
+    assert all(0 <= when - HOURS_OPEN_AT - HOURS_MARGIN_US <= 8 * SECOND for when in followed)
+    assert (
+        moves[0]["moved"] <= report.format_time(min(followed))
+        or min(followed) - HOURS_OPEN_AT - HOURS_MARGIN_US < SECOND
+    )
 
 
 def test_a_backend_that_leaves_by_itself_is_recorded_once_per_tenant_outside_hours(tmp_path: Path) -> None:
@@ -236,5 +239,5 @@
     for drains in cores.drains.values():
         drains.reload()
         drains.clock._offset = None
-        drains.clock.look = lambda now, machines: None  # type: ignore[method-assign]
+        drains.clock.update = lambda now, machines: None  # type: ignore[method-assign]
     assert cores.order("o1")[0] == 503
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -18,11 +18,11 @@
 from oakvale.controlplane.failover_planning import FailoverPlanner
 from oakvale.controlplane.replicated_state import ReplicatedState
 from oakvale.failover import report
-from oakvale.failover.chains import Chains, Load, pack, plan, unpack
-from oakvale.failover.evacuation import HOLD, Evacuation, Flow
+from oakvale.failover.chains import Chains, Load, pack, plan_chains, unpack
+from oakvale.failover.evacuation import MIN_EVACUATION_US, Evacuation, EvacuationState
 from oakvale.failover.failure_detector import FailureDetector
-from oakvale.failover.places import hierarchy
-from oakvale.failover.spill import Ask, SpillController, Wait, Way
+from oakvale.failover.places import build_hierarchy
+from oakvale.failover.spill import AllowedZones, SpillController, SpillRejection, SpillRequest
 from oakvale.failover.spill_limit import SpillLimit
 from oakvale.transport import status_service
 from tests.failover_simulation import AIM, DEADLINE, MS, SECOND, WORK, Basin, Request
@@ -36,7 +36,7 @@
 
 
 def out(world: Basin, name: str) -> list[int]:
-    return [at for at, flow in world.turns[name] if flow is Flow.OUT]
+    return [at for at, flow in world.turns[name] if flow is EvacuationState.EVACUATED]
 
 
 def how(world: Basin, since: int = 0) -> Counter[str]:
@@ -52,25 +52,25 @@
     for seed in range(300):
         rng = random.Random(seed)
         zones = {f"z{n}": f"r{rng.randrange(3)}" for n in range(rng.randrange(1, 6))}
-        tree = hierarchy(zones, {"r0": "north", "r1": "north"})
+        tree = build_hierarchy(zones, {"r0": "north", "r1": "north"})
         capacity = {(zone, "s"): rng.choice([0.0, 2.0, 5.5]) for zone in zones}
         loads = [Load(zone, "s", rank, rng.uniform(0, 3)) for zone in zones for rank in (0, 1, 2)]
-        made = plan(1, tree, capacity, loads, ["g1", "g2"])
-        for failed in [zones for zones in tree.places().values()] + [frozenset(rng.sample(sorted(zones), 1))]:
-            chains, limits = made.worked_out(failed, "s"), made.limits.get("s", {})
+        made = plan_chains(1, tree, capacity, loads, ["g1", "g2"])
+        for failed in [zones for zones in tree.locations().values()] + [frozenset(rng.sample(sorted(zones), 1))]:
+            chains, limits = made.chains_for(failed, "s"), made.limits.get("s", {})
             used = Counter[str]()
             for chain in chains:
                 asked = sum(x.work for x in loads if x.home == chain.home)
-                assert sum(s.takes for s in chain.steps) + sum(chain.refused.values()) == pytest.approx(asked)
-                used.update({s.parent: s.takes for s in chain.steps})
+                assert sum(s.slots for s in chain.steps) + sum(chain.refused_slots.values()) == pytest.approx(asked)
+                used.update({s.zone: s.slots for s in chain.steps})
             room = {zone: limit - used[zone] for zone, limit in limits.items() if zone not in failed}
             assert set(used) <= set(room) and all(left > -1e-9 for left in room.values())
             for chain in chains:
-                far = max((tree.distance(chain.home, s.parent) for s in chain.steps), default=-1)
+                far = max((tree.distance(chain.home, s.zone) for s in chain.steps), default=-1)
                 free = [zone for zone, left in room.items() if left > 1e-6]
                 assert not any(tree.distance(chain.home, zone) < far for zone in free)
-                assert not (chain.refused and free)
-            refused = {rank for chain in chains for rank in chain.refused}
+                assert not (chain.refused_slots and free)
+            refused = {rank for chain in chains for rank in chain.refused_slots}
             assert not refused or all(
                 rank in refused
                 for rank in range(min(refused), 3)
@@ -80,23 +80,26 @@
 
 def test_parts_of_gateways_and_the_keepers_rest_stay_under_the_limit_over_mixed_versions() -> None:
     """A gateway that goes by an old chain while others have the new: at worst each uses the larger part."""
-    tree, roster = hierarchy(ZONES, {}), [f"g{n}" for n in range(4)]
-    old = plan(1, tree, {("a", "s"): 10.0}, [], roster[:2])
-    new = plan(2, tree, {("a", "s"): 9.0}, [], roster, before=[old])
+    tree, roster = build_hierarchy(ZONES, {}), [f"g{n}" for n in range(4)]
+    old = plan_chains(1, tree, {("a", "s"): 10.0}, [], roster[:2])
+    new = plan_chains(2, tree, {("a", "s"): 9.0}, [], roster, before=[old])
     limit = new.limits["s"]["a"]
-    for away in range(len(new.may) + 1):
-        keeper = max(0.0, new.keeper["s"]["a"] - away * new.owed["s"]["a"])
+    for away in range(len(new.possible_roster) + 1):
+        keeper = max(0.0, new.holder_share["s"]["a"] - away * new.max_autonomous_share["s"]["a"])
         worst = (
             sorted(
                 [
-                    max(old.part["s"]["a"] if g in old.roster else 0, new.part["s"]["a"] if g in new.roster else 0)
-                    for g in new.may
+                    max(
+                        old.autonomous_share["s"]["a"] if g in old.roster else 0,
+                        new.autonomous_share["s"]["a"] if g in new.roster else 0,
+                    )
+                    for g in new.possible_roster
                 ]
             )[-away:]
             if away
             else []
         )
-        spare = sum(max(c.spare["s"]["a"] for c in (old, new) if g in c.roster) for g in new.may)
+        spare = sum(max(c.reserved_share["s"]["a"] for c in (old, new) if g in c.roster) for g in new.possible_roster)
         # two of an old roster hold half each: one of them fits, and of both only so much is over as they were given
         assert keeper + sum(worst) + spare <= limit + (1e-9 if away < 2 else old.limits["s"]["a"] - keeper)
     assert unpack(cbor2.loads(cbor2.dumps(pack(new)))).roster == new.roster
@@ -104,12 +107,12 @@
 
 def test_what_an_operator_is_told() -> None:
     loads = [Load(zone, "s", rank, 1.0) for zone in ZONES for rank in (0, 2)]
-    made = unpack(pack(plan(3, hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, loads, ["g"])))
+    made = unpack(pack(plan_chains(3, build_hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, loads, ["g"])))
     assert report.check(made)[0] == "a and b out: s lacks 3.0 of 6.0 slots (50 %)"
     assert report.explain(made, "b", "s")[0] == "b (b) out, s, version 3"
     assert "nothing is left" in report.explain(made, "r", "s")[-1]
     assert any("fails: " in line for line in report.show(made))
-    with pytest.raises(report.Unknown, match="there are a, b, c, r"):
+    with pytest.raises(report.UnknownName, match="there are a, b, c, r"):
         report.explain(made, "x", "s")
 
 
@@ -134,32 +137,32 @@
 
 
 def test_a_place_that_one_gateway_cannot_see_has_not_failed_and_one_cut_off_says_nothing() -> None:
-    sight, usual = FailureDetector(), 100 * MS
+    detector, usual = FailureDetector(), 100 * MS
     for at in range(0, 3_000, 50):
         now = SECOND + at * MS
-        sight.sent("p", "far", "b", now)  # never answered, though q answers it
-        sight.served("q", "far", "b", now)
-        sight.sent("p", "near", "a", now)
-        sight.served("p", "near", "a", now)
+        detector.record_sent("p", "far", "b", now)  # never answered, though q answers it
+        detector.record_answer("q", "far", "b", now)
+        detector.record_sent("p", "near", "a", now)
+        detector.record_answer("p", "near", "a", now)
         for alone in ("x1", "x2", "x3"):  # nobody answers these
-            sight.sent("q", alone, "c", now)
-            sight.sent("p", alone, "c", now)
-        assert not sight.failed("p", usual, (), now) and not sight.failed("q", usual, (), now)
+            detector.record_sent("q", alone, "c", now)
+            detector.record_sent("p", alone, "c", now)
+        assert not detector.has_failed("p", usual, (), now) and not detector.has_failed("q", usual, (), now)
     for at in range(3_000, 3_700, 50):
         now = SECOND + at * MS
         for gateway, zone in (("far", "b"), ("near", "a")):
-            sight.sent("p", gateway, zone, now)
-            sight.served("q", gateway, zone, now)
-    assert sight.failed("p", usual, (), now)
+            detector.record_sent("p", gateway, zone, now)
+            detector.record_answer("q", gateway, zone, now)
+    assert detector.has_failed("p", usual, (), now)
 
 
 def test_one_observer_of_another_kind_speaks_for_a_second() -> None:
-    sight = FailureDetector()
+    detector = FailureDetector()
     for at in range(3):
-        sight.sent("p", "g", "a", SECOND + at)
-        sight.served("q", "g", "a", SECOND + at + 1)
-    assert not sight.failed("p", 100 * MS, (), 2 * SECOND)
-    assert sight.failed("p", 100 * MS, ("beats",), 2 * SECOND)
+        detector.record_sent("p", "g", "a", SECOND + at)
+        detector.record_answer("q", "g", "a", SECOND + at + 1)
+    assert not detector.has_failed("p", 100 * MS, (), 2 * SECOND)
+    assert detector.has_failed("p", 100 * MS, ("beats",), 2 * SECOND)
 
 
 # ---- moving
@@ -199,7 +202,7 @@
     assert out(world, "b") and not out(world, "a") and not out(world, "c")
     world.join()
     world.run(8).judge()
-    assert world.keeper is not None and not world.keeper.closed("")
+    assert world.keeper is not None and not world.keeper.closed_zones("")
 
 
 def test_beats_tell_of_twice_the_slots_that_are_there() -> None:
@@ -208,7 +211,7 @@
     world.fail("b")
     world.run(9).judge()
     assert world.keeper is not None
-    holds = [world.keeper._weirs[name].hold for name in "ac"]
+    holds = [world.keeper._weirs[name].capacity_factor for name in "ac"]
     assert max(holds) < 0.85
     began = [at for name in "ac" for at in world.places[name].began if at > world.now - 3 * SECOND]
     assert len(began) > 0.8 * 6 * 3 * SECOND / WORK  # and what is there is used
@@ -224,37 +227,51 @@
         world.run(4)
         world.heal("b")
         for _ in range(400):
-            if world.keeper is not None and world.keeper.falls["b"].flow in (Flow.FILLING, Flow.OPEN):
+            if world.keeper is not None and world.keeper.evacuations["b"].state in (
+                EvacuationState.RAMPING_UP,
+                EvacuationState.IN_SERVICE,
+            ):
                 break
             world.run(0.1)
         world.run(0.3)
     world.judge()
     turns = world.turns["b"]
-    came_back = [at for at, flow in turns if flow is Flow.FILLING]
-    failures = [next(at for at, flow in turns if flow is Flow.OUT and at > back) for back in came_back[:-1]]
-    holds = [next(at for at, flow in turns if flow is Flow.TRIED and at > fell) - fell for fell in failures]
+    came_back = [at for at, flow in turns if flow is EvacuationState.RAMPING_UP]
+    failures = [
+        next(at for at, flow in turns if flow is EvacuationState.EVACUATED and at > back) for back in came_back[:-1]
+    ]
+    holds = [
+        next(at for at, flow in turns if flow is EvacuationState.PROBING and at > fell) - fell for fell in failures
+    ]
     assert len(holds) >= 2 and all(later > 1.5 * earlier for earlier, later in pairwise(holds))
     assert not out(world, "a") and not out(world, "c")
 
 
 def test_a_fall_never_opens_without_answers_and_forgives_in_time() -> None:
-    fall, flows = Evacuation(), []
-    fall.failed(0)
-    for now, ends in ((HOLD - 1, None), (HOLD, None), (100 * SECOND, None), (100 * SECOND, False)):
-        fall.tick(True, now)
+    evacuation, flows = Evacuation(), []
+    evacuation.record_failure(0)
+    for now, ends in (
+        (MIN_EVACUATION_US - 1, None),
+        (MIN_EVACUATION_US, None),
+        (100 * SECOND, None),
+        (100 * SECOND, False),
+    ):
+        evacuation.tick(True, now)
         if ends is not None:
-            fall.ended(ends, now)
-        flows.append(fall.flow.value)
-    assert flows == ["out", "tried", "tried", "out"] and fall.strikes == 1  # nobody answered; then one was lost
+            evacuation.record_result(ends, now)
+        flows.append(evacuation.state.value)
+    assert (
+        flows == ["out", "tried", "tried", "out"] and evacuation.recent_failures == 1
+    )  # nobody answered; then one was lost
     now = 200 * SECOND
     for _ in range(40):
-        fall.tick(True, now)
-        if fall.flow is not Flow.OUT:
-            fall.ended(True, now)
+        evacuation.tick(True, now)
+        if evacuation.state is not EvacuationState.EVACUATED:
+            evacuation.record_result(True, now)
         now += 300 * MS
-    assert fall.flow is Flow.OPEN
-    fall.tick(True, now + 61 * SECOND)
-    assert fall.strikes == 0
+    assert evacuation.state is EvacuationState.IN_SERVICE
+    evacuation.tick(True, now + 61 * SECOND)
+    assert evacuation.recent_failures == 0
 
 
 def test_the_version_changes_in_the_middle_and_what_is_spent_stays_spent() -> None:
@@ -268,7 +285,7 @@
     spill = world.keeper
     assert spill is not None
     older = world.versions[0][1]
-    spill.show(older)
+    spill.set_chains(older)
     assert spill.chains.version > older.version  # a late, older one changes nothing
 
 
@@ -344,11 +361,11 @@
         for _ in range(400):
             now += int(rng.expovariate(40) * SECOND)
             cost, low = rng.uniform(0.05, 0.4), rng.choice([0.0, 0.5, 1.0])
-            if weir.passes(0.5, low, now):
-                weir.take(cost)
+            if weir.admits(0.5, low, now):
+                weir.consume(cost)
                 let.append((now, cost))
             else:
-                assert weir.wait(0.5, low) > 0
+                assert weir.wait_us(0.5, low) > 0
         for n, (first, _) in enumerate(let):  # every span, plainly
             total = 0.0
             for at, cost in let[n:]:
@@ -358,28 +375,28 @@
 
 def test_a_place_that_fills_gets_its_step_though_others_would_be_chosen_before_it() -> None:
     """Its backends are cold and distrusted: named next to warm ones they got nothing, and it never came back."""
-    chains = plan(1, hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, [], ["g"])
+    chains = plan_chains(1, build_hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, [], ["g"])
     spill, ask = (
         SpillController("s", random.Random(1).random, away=lambda may: 0),
-        Ask("g", "a", safe=True, cost=0.2, aim=AIM),
+        SpillRequest("g", "a", safe=True, cost=0.2, aim=AIM),
     )
-    spill.show(chains)
-    spill.falls["b"] = Evacuation(Flow.FILLING, since=SECOND)
-    ways = Counter(spill.ask(ask, ZONES, WORK, None, SECOND + at * 20 * MS) for at in range(100))
-    assert ways[Way(frozenset("b"))] == 100  # nothing was sent there: its step waits
-    spill.sent("b", ask, 1, 9 * SECOND, 3 * SECOND)
-    spill.sent("b", ask, 2, 9 * SECOND, 3 * SECOND)
-    assert spill.ask(ask, ZONES, WORK, None, 3 * SECOND + 100 * MS) == Way(frozenset("ac"))
+    spill.set_chains(chains)
+    spill.evacuations["b"] = Evacuation(EvacuationState.RAMPING_UP, state_since=SECOND)
+    ways = Counter(spill.admit(ask, ZONES, WORK, None, SECOND + at * 20 * MS) for at in range(100))
+    assert ways[AllowedZones(frozenset("b"))] == 100  # nothing was sent there: its step waits
+    spill.record_sent("b", ask, 1, 9 * SECOND, 3 * SECOND)
+    spill.record_sent("b", ask, 2, 9 * SECOND, 3 * SECOND)
+    assert spill.admit(ask, ZONES, WORK, None, 3 * SECOND + 100 * MS) == AllowedZones(frozenset("ac"))
 
 
 def test_a_crest_says_nothing_while_all_is_well_and_never_closes_the_last_place() -> None:
     spill = SpillController("s", random.Random(1).random)
-    ask = Ask("g", "a", cost=0.1, aim=AIM)
-    assert spill.ask(ask, ["a"], WORK, None, SECOND) == Way(None)
+    ask = SpillRequest("g", "a", cost=0.1, aim=AIM)
+    assert spill.admit(ask, ["a"], WORK, None, SECOND) == AllowedZones(None)
     for at in range(40):
-        spill.sent("a", ask, at + 1, 90 * SECOND, SECOND + at * 50 * MS)
-        assert not isinstance(spill.ask(ask, ["a"], WORK, None, SECOND + at * 50 * MS), Wait)
-    assert not spill.closed("") and spill.chains == Chains()
+        spill.record_sent("a", ask, at + 1, 90 * SECOND, SECOND + at * 50 * MS)
+        assert not isinstance(spill.admit(ask, ["a"], WORK, None, SECOND + at * 50 * MS), SpillRejection)
+    assert not spill.closed_zones("") and spill.chains == Chains()
 
 
 # ---- drawn schedules
@@ -424,7 +441,7 @@
             world.run(rng.uniform(0.2, 1.5))
         world.run(1).judge()
         for turns in world.turns.values():
-            fell = [at for at, flow in turns if flow is Flow.OUT]
+            fell = [at for at, flow in turns if flow is EvacuationState.EVACUATED]
             kept = [later - earlier for earlier, later in pairwise(fell)]
             assert all(span >= SECOND for span in kept)
 
@@ -523,7 +540,7 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     loads = [Load("a", "s", 0, 5.0)]
-    held = pack(plan(3, hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, loads, ["g"]))
+    held = pack(plan_chains(3, build_hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, loads, ["g"]))
     answers: list[Any] = [held, held, held, None]
     monkeypatch.setattr(status_service, "query_status", lambda address, timeout, kind: {"held": answers.pop(0)})
     ends = []
--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -11,8 +11,8 @@
 
 from oakvale.config import contracts
 from oakvale.config.toml_table import BadFile
-from oakvale.drains.agreed_clock import HEARD, SECOND, SETTLE, Agreement
-from oakvale.drains.hours import DAY, MINUTES, Calendar, Contract, Span, windows
+from oakvale.drains.agreed_clock import READING_LIFETIME_US, SECOND_US, STEP_SETTLE_US, ClockAgreement
+from oakvale.drains.hours import DAY_US, MINUTES_PER_DAY, Calendar, Contract, Span, windows
 
 ZONES = (
     "UTC",
@@ -23,17 +23,17 @@
     "Australia/Lord_Howe",
     "Asia/Kathmandu",
 )
-MINUTE = 60 * SECOND
+MINUTE = 60 * SECOND_US
 
 
 def at(text: str, zone: str = "UTC") -> int:
-    return round(datetime.fromisoformat(text).replace(tzinfo=ZoneInfo(zone)).timestamp()) * SECOND
+    return round(datetime.fromisoformat(text).replace(tzinfo=ZoneInfo(zone)).timestamp()) * SECOND_US
 
 
 def is_open(contract: Contract, now: int) -> bool:
     """Span by span: every reading of its beginning is over, no reading of its end is reached. Readings are made with
     each offset that the zone has within a day."""
-    zone, when = ZoneInfo(contract.zone), datetime.fromtimestamp(now / SECOND, UTC)
+    zone, when = ZoneInfo(contract.zone), datetime.fromtimestamp(now / SECOND_US, UTC)
     offsets = {(when + timedelta(hours=h)).astimezone(zone).utcoffset() for h in range(-60, 61, 6)}
 
     def readings(day: date, minute: int) -> list[datetime]:
@@ -46,9 +46,9 @@
         day = when.astimezone(zone).date() - timedelta(days=back)
         for span in contract.dates.get(day, contract.week[day.weekday()]):
             over = span.end <= span.begin
-            ends = readings(day, span.end + (MINUTES if over else 0))
+            ends = readings(day, span.end + (MINUTES_PER_DAY if over else 0))
             if over and day + timedelta(days=1) in contract.dates:
-                ends += readings(day, MINUTES)
+                ends += readings(day, MINUTES_PER_DAY)
             if when >= max(readings(day, span.begin)) and when < min(ends):
                 return True
     return False
@@ -60,11 +60,11 @@
     for _ in range(12):
 
         def spans() -> tuple[Span, ...]:
-            marks = [rng.randrange(0, MINUTES, 15) for _ in range(2)]
+            marks = [rng.randrange(0, MINUTES_PER_DAY, 15) for _ in range(2)]
             return (Span(marks[0], marks[1]),) * (marks[0] != marks[1] and rng.random() < 0.8)
 
         start = at(rng.choice(("2026-03-07", "2026-03-28", "2026-10-03", "2026-10-24", "2026-10-31", "2026-06-10")))
-        days = [datetime.fromtimestamp(start / SECOND, UTC).date() + timedelta(days=n) for n in range(3)]
+        days = [datetime.fromtimestamp(start / SECOND_US, UTC).date() + timedelta(days=n) for n in range(3)]
         contract = Contract(
             "t",
             rng.choice(ZONES),
@@ -73,7 +73,7 @@
         )
         calendar, found = Calendar(contract), windows(contract, start, 8)
         for _ in range(40):
-            now = start + rng.randrange(0, 4 * DAY, 15 * MINUTE // 2)
+            now = start + rng.randrange(0, 4 * DAY_US, 15 * MINUTE // 2)
             told = is_open(contract, now)
             assert any(window.opens <= now < window.closes for window in found) == told, (contract, now)
             assert calendar.open(now) == told
@@ -87,11 +87,11 @@
         contract = Contract("t", "America/New_York", week)
         return [
             (
-                f"{datetime.fromtimestamp(w.opens / SECOND, UTC):%dT%H:%M}",
-                f"{datetime.fromtimestamp(w.closes / SECOND, UTC):%dT%H:%M}",
+                f"{datetime.fromtimestamp(w.opens / SECOND_US, UTC):%dT%H:%M}",
+                f"{datetime.fromtimestamp(w.closes / SECOND_US, UTC):%dT%H:%M}",
             )
             for w in windows(contract, at(f"{day}T12:00"), 1)
-            if datetime.fromtimestamp(w.opens / SECOND, UTC).date() == date.fromisoformat(day)
+            if datetime.fromtimestamp(w.opens / SECOND_US, UTC).date() == date.fromisoformat(day)
         ]
 
     assert of(150, 240, "2026-03-08") == [("08T07:30", "08T08:00")]  # 02:30 is 03:30 EDT, not 01:30 EST
@@ -102,12 +102,15 @@
 
 def test_a_margin_and_a_lead_shorten_each_window_and_may_leave_nothing() -> None:
     contract = Contract("t", "UTC", (((Span(60, 62),),) * 7))
-    calendar = Calendar(contract, 10 * SECOND)
+    calendar = Calendar(contract, 10 * SECOND_US)
     now = at("2026-06-10T00:00")
-    found = calendar.next(now, 20 * SECOND)
+    found = calendar.next(now, 20 * SECOND_US)
     assert found is not None
-    assert (found.opens, found.closes) == (at("2026-06-10T01:00") + 10 * SECOND, at("2026-06-10T01:02") - 30 * SECOND)
-    assert calendar.next(now, 101 * SECOND) is None
+    assert (found.opens, found.closes) == (
+        at("2026-06-10T01:00") + 10 * SECOND_US,
+        at("2026-06-10T01:02") - 30 * SECOND_US,
+    )
+    assert calendar.next(now, 101 * SECOND_US) is None
     assert Calendar(Contract("t", "UTC", ((),) * 7)).next(now) is None
 
 
@@ -137,10 +140,10 @@
     path.write_text(GOOD)
     found = contracts.load(str(path))
     north = found.by_tenant["north"]
-    assert north.week[0] == (Span(22 * 60, 5 * 60 + 30),) and north.week[6] == (Span(0, MINUTES),)
+    assert north.week[0] == (Span(22 * 60, 5 * 60 + 30),) and north.week[6] == (Span(0, MINUTES_PER_DAY),)
     assert north.dates == {date(2026, 12, 25): (), date(2026, 12, 26): (Span(60, 120),)}
-    assert north.notice == 14 * DAY and found.by_tenant["*"].week == ((),) * 7
-    assert found.orders[0].within == DAY // 12
+    assert north.notice == 14 * DAY_US and found.by_tenant["*"].week == ((),) * 7
+    assert found.orders[0].within == DAY_US // 12
 
 
 @pytest.mark.parametrize(
@@ -172,18 +175,18 @@
 
 def agreed(offsets: list[dict[str, int]], machines: int = 3) -> list[int | None]:
     """Offsets of each machine's clock from the true time, a second each; the agreed time's offset after each."""
-    agreement, out = Agreement(), []
+    agreement, out = ClockAgreement(), []
     for second, said in enumerate(offsets):
-        now = 1_000 * SECOND + second * SECOND
+        now = 1_000 * SECOND_US + second * SECOND_US
         for machine, offset in said.items():
-            agreement.hear(machine, now + 5_000 * SECOND + offset, now)
-        agreement.look(now, machines)
-        found = agreement.time(now)
-        out.append(None if found is None else found - now - 5_000 * SECOND)
+            agreement.record(machine, now + 5_000 * SECOND_US + offset, now)
+        agreement.update(now, machines)
+        found = agreement.agreed_time(now)
+        out.append(None if found is None else found - now - 5_000 * SECOND_US)
     return out
 
 
-@pytest.mark.parametrize("step", [-30 * SECOND, -3 * SECOND, 3 * SECOND, 30 * SECOND])
+@pytest.mark.parametrize("step", [-30 * SECOND_US, -3 * SECOND_US, 3 * SECOND_US, 30 * SECOND_US])
 @pytest.mark.parametrize("machines", [2, 3, 4, 5])
 def test_a_step_of_one_clock_changes_nothing(step: int, machines: int) -> None:
     """At any moment, for however long, also where two machines are all there are."""
@@ -194,14 +197,14 @@
 
 
 def test_clocks_that_step_together_change_nothing_until_they_have_stood_so() -> None:
-    calm, off = {"a": 0, "b": 0, "c": 0}, {"a": 0, "b": 2 * SECOND, "c": 2 * SECOND}
+    calm, off = {"a": 0, "b": 0, "c": 0}, {"a": 0, "b": 2 * SECOND_US, "c": 2 * SECOND_US}
     assert set(agreed([calm] * 5 + [off] * 10 + [calm] * 5)) == {0}
-    found = agreed([calm] * 5 + [off] * (SETTLE // SECOND + 5))
-    assert found[SETTLE // SECOND] == 0 and found[-1] == 2 * SECOND
+    found = agreed([calm] * 5 + [off] * (STEP_SETTLE_US // SECOND_US + 5))
+    assert found[STEP_SETTLE_US // SECOND_US] == 0 and found[-1] == 2 * SECOND_US
 
 
 def test_no_time_is_known_before_more_than_half_agree() -> None:
     assert set(agreed([{"a": 0}] * 10)) == {None}
-    assert set(agreed([{"a": 0, "b": 5 * SECOND}] * 10)) == {None}
-    lost = agreed([{"a": 0, "b": 0, "c": 0}] * 3 + [{"a": 7 * SECOND}] * (2 * HEARD // SECOND))
+    assert set(agreed([{"a": 0, "b": 5 * SECOND_US}] * 10)) == {None}
+    lost = agreed([{"a": 0, "b": 0, "c": 0}] * 3 + [{"a": 7 * SECOND_US}] * (2 * READING_LIFETIME_US // SECOND_US))
     assert set(lost) == {0}  # the others fell silent: the time goes on by the steady clock
