--- a/oakvale/drains/__init__.py
+++ b/oakvale/drains/__init__.py
@@ -1,4 +1,4 @@
-"""Towpath: contract hours and drains, as decisions on what is told it: when hours are open, what a plan says,
-which tenant moves next, what a gateway does about it. It must read no clock and do no I/O (but for `client`, the
-command line's side). Begin with `planning`, then `execution` and `moves`.
+"""Contract hours and drains: when traffic may be moved, what a drain plan contains, which tenant moves next, and how a
+gateway follows a move. Pure decisions without clock or I/O, except `client`, which the command line uses. Start with
+`planning`, then read `execution` and `moves`.
 """
--- a/oakvale/drains/moves.py
+++ b/oakvale/drains/moves.py
@@ -1,10 +1,10 @@
-"""What one life of a gateway does about the moves that the news tell: whose requests keep off which backends, and
-whether the gateway itself is being left.
+"""How one incarnation of a gateway follows the moves of drains: which backends it avoids for which tenant, and whether
+the gateway itself is being drained.
 
-No I/O and no clock. A move is followed when it is heard while it is good (`until`), so that one that a cut held up
-until the hours had closed moves nobody; the primary makes it once more when they open. The time of day here only ever
-holds a move back, and hours are shorter by a margin that a step of this clock keeps within. What a life finds moved at
-its start it follows in any case: it had sent nothing there.
+No I/O and no clock. A move is followed only if it arrives before it expires (`until`): a move that was delayed until
+the contract hours closed has no effect, and the primary issues it again when they open. The local clock can only hold
+a move back; a step of it stays within the margin by which the hours are shortened. Moves in the first state update
+are always followed, since this incarnation has not yet sent any request to those nodes.
 """
 
 from __future__ import annotations
@@ -12,61 +12,63 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-UNSETTLED = ("leaving", "returning")
+UNSETTLED_STATES = ("leaving", "returning")
 Record = dict[str, Any]
 AvoidedBackends = Mapping[str, frozenset[str]]  # tenant -> backends
 
 
 class MoveFollower:
-    def __init__(self, node: str, life: str) -> None:
-        self._node, self._life = node, life
+    """The moves that this incarnation of a gateway knows and follows."""
+
+    def __init__(self, node: str, incarnation: str) -> None:
+        self._node, self._incarnation = node, incarnation
         self._known: dict[str, Record] = {}
-        self.followed: set[str] = set()  # moves that this life follows
+        self.followed: set[str] = set()  # keys of the moves away from a node that are in effect here
         self.avoided_backends: AvoidedBackends = {}
         self.gateway_draining = False
 
-    def update(self, entries: Iterable[tuple[str, Record]], wall: int, born: bool = False) -> set[str]:
-        """All moves as the news have them now; gives those that this life begins to follow. `born`: the first news."""
-        fresh = {key: move for key, move in entries if self._concerns(move)}
-        began = set()
-        for key, move in fresh.items():
-            out = move["way"] == "out"
-            if out == (key in self.followed) or not (born or not move["until"] or wall <= move["until"]):
+    def update(self, entries: Iterable[tuple[str, Record]], wall: int, first_update: bool = False) -> set[str]:
+        """Takes all current moves; returns the keys of the moves that this gateway begins to follow."""
+        current = {key: move for key, move in entries if self._concerns(move)}
+        started = set()
+        for key, move in current.items():
+            outward = move["way"] == "out"
+            if outward == (key in self.followed) or not (first_update or not move["until"] or wall <= move["until"]):
                 continue
-            if out:
+            if outward:
                 self.followed.add(key)
-                began.add(key)
+                started.add(key)
             else:
                 self.followed.discard(key)
-        self.followed &= set(fresh)
-        self._known = fresh
-        self.avoided_backends, self.gateway_draining = self._followed()
-        return began
+        self.followed &= set(current)
+        self._known = current
+        self.avoided_backends, self.gateway_draining = self._effects()
+        return started
 
     def _concerns(self, move: Record) -> bool:
-        return move["kind"] == "backend" or move["node"] == self._node and self._life in move["gates"]
+        return move["kind"] == "backend" or move["node"] == self._node and self._incarnation in move["gates"]
 
-    def _followed(self) -> tuple[AvoidedBackends, bool]:
-        found: dict[str, set[str]] = {}
+    def _effects(self) -> tuple[AvoidedBackends, bool]:
+        avoided: dict[str, set[str]] = {}
         for key in self.followed:
             move = self._known[key]
             if move["kind"] == "backend":
-                found.setdefault(move["tenant"], set()).add(move["node"])
+                avoided.setdefault(move["tenant"], set()).add(move["node"])
         return (
-            {tenant: frozenset(names) for tenant, names in found.items()},
+            {tenant: frozenset(names) for tenant, names in avoided.items()},
             any(self._known[key]["kind"] == "gateway" for key in self.followed),
         )
 
     def pending_moves(self) -> dict[str, Record]:
-        """Moves of which the primary waits for this gateway's word."""
+        """Moves for which the primary waits for this gateway's report."""
         return {
             key: move
             for key, move in self._known.items()
-            if move["state"] in UNSETTLED or (move["way"] == "out") != (key in self.followed)
+            if move["state"] in UNSETTLED_STATES or (move["way"] == "out") != (key in self.followed)
         }
 
 
-def effective_exclusions(ready: Mapping[str, bool], without: frozenset[str]) -> frozenset[str]:
-    """Which backends of a service (name -> ready) a tenant keeps off that was moved off some: none, where no other is
-    ready. A request that nobody else can serve is served where its tenant was."""
-    return without if any(up for name, up in ready.items() if name not in without) else frozenset()
+def effective_exclusions(ready: Mapping[str, bool], excluded: frozenset[str]) -> frozenset[str]:
+    """The backends of a service that are excluded for a tenant, or none if no other backend is ready: the tenant is
+    then served where it was. `ready`: name of each backend -> whether it is ready."""
+    return excluded if any(is_ready for name, is_ready in ready.items() if name not in excluded) else frozenset()
