--- a/oakvale/controlplane/drains.py
+++ b/oakvale/controlplane/drains.py
@@ -150,7 +150,7 @@
         """The entry to store for an order, and its plan; store the entry only if the plan has no obstacles."""
         plan, facts = self.plan(requested | {"at": now}, now), self.facts(now)
         nodes = target_nodes(facts, requested["kind"], requested["target"])
-        incarnations = {node: facts.gates[node]["life"] for kind, node in nodes if node in facts.gates}
+        incarnations = {node: facts.gateways[node]["life"] for kind, node in nodes if node in facts.gateways}
         return requested | {
             "at": now,
             "nodes": [list(node) for node in nodes],
--- a/oakvale/drains/execution.py
+++ b/oakvale/drains/execution.py
@@ -1,8 +1,8 @@
-"""The course of drains: which moves the primary makes next, and what it makes of the gateways' words.
+"""Executes drains: which move the primary makes next, and when the reports of the gateways complete a move.
 
-No I/O and no clock. The state is what the control state holds: orders (`drain/ID`) and moves (`move/ID/NODE/TENANT`),
-plain tables that are written whole. A move is made by its entry being in force, so that there is no moment between a
-move and its record. Times are the agreed ones, microseconds since 1970.
+No I/O and no clock. The input is the replicated state: orders (`drain/ID`) and moves (`move/ID/NODE/TENANT`), whose
+records are always written whole. A move takes effect when its record does, so no move exists without a record. Times
+are agreed times in microseconds since 1970.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from typing import Any
 from urllib.parse import quote
 
-from oakvale.drains.hours import FOREVER, SECOND_US, Window
+from oakvale.drains.hours import FOREVER_US, SECOND_US, Window
 from oakvale.drains.planning import (
     ContractHours,
     DrainState,
@@ -24,21 +24,22 @@
     move_units,
 )
 
-ABSENT_GATEWAY_TIMEOUT_US = 60 * SECOND_US  # a gateway off the list for longer than any request lasts is not waited for
-MAX_FINISHED_ORDERS = 50  # orders that are over, the latest
+ABSENT_GATEWAY_TIMEOUT_US = 60 * SECOND_US  # longer than any request lasts
+MAX_FINISHED_ORDERS = 50  # older ones are deleted
 
 
 @lru_cache(4096)
 def move_key(order: str, node: str, tenant: str) -> str:
+    """The key of a move, without the prefix `move/`."""
     return "/".join(quote(part, safe="") for part in (order, node, tenant))
 
 
 def new_move(order: str, unit: MoveUnit, tenant: str, facts: DrainState, window: Window) -> Record:
-    """A move's entry: which gateways have to say that they follow it, and what they have said of it."""
+    """The record of a new move; `gates` holds the report of each gateway that must follow it."""
     if unit.kind == "gateway":
-        asked = {facts.gates[unit.node]["life"]: unit.node}
+        required = {facts.gateways[unit.node]["life"]: unit.node}
     else:
-        asked = {gate["life"]: node for node, gate in facts.gates.items()}
+        required = {gate["life"]: node for node, gate in facts.gateways.items()}
     return {
         "order": order,
         "kind": unit.kind,
@@ -47,7 +48,7 @@
         "way": "out",
         "state": "leaving",
         "at": facts.now,
-        "until": 0 if window.closes == FOREVER else window.closes,
+        "until": 0 if window.closes == FOREVER_US else window.closes,
         "done": 0,
         "opens": window.opens,
         "closes": window.closes,
@@ -55,241 +56,264 @@
         "back_done": 0,
         "again": 0,
         "unheard": [],
-        "gates": {life: [node, False, 0, 0, {}] for life, node in asked.items()},
+        "gates": {incarnation: [node, False, 0, 0, {}] for incarnation, node in required.items()},
     }
 
 
 @dataclass(slots=True)
 class DrainExecutor:
-    """The primary's hand. What it remembers beside the tables may be lost with it: it only delays."""
+    """Decides the next changes on the primary. Losing its memory in a failover only delays moves."""
 
     hours: ContractHours
-    told: dict[str, dict[str, list[Any]]] = field(default_factory=dict)  # move -> life -> its latest word
-    _off: dict[str, int] = field(default_factory=dict)  # life that is not on the list -> since when
-    _written: int = -FOREVER
+    reports: dict[str, dict[str, list[Any]]] = field(default_factory=dict)  # move key -> incarnation -> latest report
+    _absent_since: dict[str, int] = field(default_factory=dict)  # incarnation missing in the gateway list -> since when
+    _reports_written_at: int = -FOREVER_US
 
     def record_report(
-        self, key: str, node: str, life: str, away: bool, began: int, left: int, ends: dict[str, int]
+        self, key: str, node: str, incarnation: str, away: bool, began: int, left: int, ends: dict[str, int]
     ) -> None:
-        """A gateway's word on a move: whether it keeps off the node, how many requests of the tenant it had there
-        then, how many of its requests may still be there, how the others ended."""
-        # in the record, left is whether there is any: each other count would be another entry
-        self.told.setdefault(key, {})[life] = [node, away, began, min(left, 1), ends]
+        """Records a gateway's report on a move: whether it avoids the node (`away`), how many requests of the tenant
+        were in flight there at that moment (`began`), how many may still be (`left`), and how the others ended."""
+        # the exact number of requests left is not stored: each change of it would be a write
+        self.reports.setdefault(key, {})[incarnation] = [node, away, began, min(left, 1), ends]
 
     def step(self, facts: DrainState) -> dict[str, Any]:
-        """The entries to write now; the next step is made once they are in force."""
+        """The records to write now. The next step must wait until they are in effect."""
         self.hours.set_contracts(facts.contracts)
-        lives = {gate["life"] for gate in facts.gates.values()}
-        self._off = {
-            life: self._off.get(life, facts.now)
+        incarnations = {gate["life"] for gate in facts.gateways.values()}
+        self._absent_since = {
+            incarnation: self._absent_since.get(incarnation, facts.now)
             for move in facts.moves.values()
-            for life in move["gates"]
-            if life not in lives
+            for incarnation in move["gates"]
+            if incarnation not in incarnations
         }
-        self.told = {key: said for key, said in self.told.items() if key in facts.moves}
+        self.reports = {key: reports for key, reports in self.reports.items() if key in facts.moves}
         changes: dict[str, Any] = {}
         for key, move in facts.moves.items():
-            fresh = self._heard(key, move, facts)
-            if fresh != move:
-                changes[f"move/{key}"] = fresh
+            updated = self._apply_reports(key, move, facts)
+            if updated != move:
+                changes[f"move/{key}"] = updated
         moves = {**facts.moves, **{key.removeprefix("move/"): value for key, value in changes.items()}}
-        if abs(facts.now - self._written) >= SECOND_US:
-            self._written = facts.now
-        else:  # words alone are written once a second at most
+        if abs(facts.now - self._reports_written_at) >= SECOND_US:
+            self._reports_written_at = facts.now
+        else:  # changes by reports alone are written at most once a second
             changes = {
                 key: value
                 for key, value in changes.items()
                 if value["state"] != facts.moves[key.removeprefix("move/")]["state"]
             }
         for name, order in facts.orders.items():
-            state, why = self._standing(name, order, moves, facts)
-            if (state, why) != (order["state"], order["why_state"]):
-                over = facts.now if state not in ("open", "empty") else 0
+            state, reason = self._order_state(name, order, moves, facts)
+            if (state, reason) != (order["state"], order["why_state"]):
+                finished_at = facts.now if state not in ("open", "empty") else 0
                 changes[f"drain/{name}"] = order | {
                     "state": state,
-                    "why_state": why,
-                    "over": order["over"] or over,
+                    "why_state": reason,
+                    "over": order["over"] or finished_at,
                     "empty": order["empty"] or (facts.now if state == "empty" else 0),
                 }
-        at = last_move_time(facts)
-        if abs(facts.now - at) >= self.hours.pace:
-            changes |= self._next(facts)
-        return changes | (self._pruned(facts) if not changes else {})
+        last_move_at = last_move_time(facts)
+        if abs(facts.now - last_move_at) >= self.hours.pace:
+            changes |= self._next_move(facts)
+        return changes | (self._old_orders(facts) if not changes else {})
 
-    # ---- words of gateways
+    # ---- reports of gateways
 
-    def _heard(self, key: str, move: Record, facts: DrainState) -> Record:
+    def _apply_reports(self, key: str, move: Record, facts: DrainState) -> Record:
         if move["state"] in ("moved", "returned"):
-            return self._astray(key, move, facts)
-        gates = {life: list(said) for life, said in move["gates"].items()}
-        for life, said in self.told.get(key, {}).items():
-            if move["kind"] == "backend" or life in gates:
-                gates[life] = list(said)
+            return self._reopen(key, move, facts)
+        reports = {incarnation: list(report) for incarnation, report in move["gates"].items()}
+        for incarnation, report in self.reports.get(key, {}).items():
+            if move["kind"] == "backend" or incarnation in reports:
+                reports[incarnation] = list(report)
         unheard = set(move["unheard"])
-        out = move["way"] == "out"
-        done = True
-        for life, said in gates.items():
-            node, away, began, left, ends = said
-            listed = facts.gates.get(node)
-            if listed is not None and listed["life"] == life:
-                done = done and (away and not left if out else not away)
-            elif (away == out) and not left:
+        outward = move["way"] == "out"
+        settled = True
+        for incarnation, report in reports.items():
+            node, avoiding, began, left, ends = report
+            listed = facts.gateways.get(node)
+            if listed is not None and listed["life"] == incarnation:
+                settled = settled and (avoiding and not left if outward else not avoiding)
+            elif (avoiding == outward) and not left:
                 continue
-            elif listed is not None or facts.now - self._off.get(life, facts.now) >= ABSENT_GATEWAY_TIMEOUT_US:
-                # another life has its place, or nobody has for long: what it had there is over
-                lost = max(0, began - sum(ends.values()))
-                said[3], said[4] = 0, ends | ({"unknown": lost} if lost else {})
+            elif (
+                listed is not None
+                or facts.now - self._absent_since.get(incarnation, facts.now) >= ABSENT_GATEWAY_TIMEOUT_US
+            ):
+                # it restarted or has been absent for long: its requests at the node are over
+                unknown = max(0, began - sum(ends.values()))
+                report[3], report[4] = 0, ends | ({"unknown": unknown} if unknown else {})
                 if listed is None:
                     unheard.add(node)
-                said[1] = out
+                report[1] = outward
             else:
-                done = False
+                settled = False
         if move["kind"] == "backend":
-            done = done and all(gate["life"] in gates for gate in facts.gates.values())
-        fresh = move | {"gates": gates, "unheard": sorted(unheard)}
-        if done:
-            fresh |= {"state": "moved", "done": facts.now} if out else {"state": "returned", "back_done": facts.now}
-        return fresh
-
-    def _astray(self, key: str, move: Record, facts: DrainState) -> Record:
-        """One that was not waited for any longer is back, and still sends there, or still keeps away."""
-        lives = {gate["life"] for gate in facts.gates.values()}
-        said = self.told.pop(key, {})
-        back = {
-            life: list(word)
-            for life, word in said.items()
-            if life in lives
-            and word[1] != (move["way"] == "out")
-            and (move["kind"] == "backend" or life in move["gates"])
+            settled = settled and all(gate["life"] in reports for gate in facts.gateways.values())
+        updated = move | {"gates": reports, "unheard": sorted(unheard)}
+        if settled:
+            updated |= (
+                {"state": "moved", "done": facts.now} if outward else {"state": "returned", "back_done": facts.now}
+            )
+        return updated
+
+    def _reopen(self, key: str, move: Record, facts: DrainState) -> Record:
+        """Reopens a settled move if a gateway that was no longer waited for is back and has not followed it."""
+        incarnations = {gate["life"] for gate in facts.gateways.values()}
+        reports = self.reports.pop(key, {})
+        deviating = {
+            incarnation: list(report)
+            for incarnation, report in reports.items()
+            if incarnation in incarnations
+            and report[1] != (move["way"] == "out")
+            and (move["kind"] == "backend" or incarnation in move["gates"])
         }
-        if not back:
+        if not deviating:
             return move
-        return move | {"state": "leaving" if move["way"] == "out" else "returning", "gates": move["gates"] | back}
+        return move | {"state": "leaving" if move["way"] == "out" else "returning", "gates": move["gates"] | deviating}
 
     # ---- orders
 
-    def _node_there(self, kind: str, node: str, order: Record, facts: DrainState) -> bool:
+    def _node_present(self, kind: str, node: str, order: Record, facts: DrainState) -> bool:
         if kind == "backend":
             return facts.ready(node)
-        return node in facts.gates and facts.gates[node]["life"] == order["lives"].get(node)
+        return node in facts.gateways and facts.gateways[node]["life"] == order["lives"].get(node)
 
-    def _standing(self, name: str, order: Record, moves: Mapping[str, Record], facts: DrainState) -> tuple[str, str]:
-        there = [(kind, node) for kind, node in order["nodes"] if self._node_there(kind, node, order, facts)]
-        stay = [unit for unit in move_units(there, facts.tenants) if not self._all(name, unit, moves, ("moved",))]
+    def _order_state(self, name: str, order: Record, moves: Mapping[str, Record], facts: DrainState) -> tuple[str, str]:
+        present = [(kind, node) for kind, node in order["nodes"] if self._node_present(kind, node, order, facts)]
+        unmoved = [
+            unit for unit in move_units(present, facts.tenants) if not self._all_moves_in(name, unit, moves, ("moved",))
+        ]
         if order["cancelled"]:
-            return ("cancelled" if there else "done"), order["why_state"]
-        if order["state"] == "done":  # it was cut off for so long that it was off the list
+            return ("cancelled" if present else "done"), order["why_state"]
+        if order["state"] == "done":  # an isolated gateway had been taken off the list
             return (
                 ("ended", "its node is back: cancel the order, or end the node")
-                if there
+                if present
                 else ("done", order["why_state"])
             )
-        if not there:
-            by_itself = [
+        if not present:
+            never_moved = [
                 unit
                 for unit in move_units([tuple(n) for n in order["nodes"]], facts.tenants)
-                if not self._all(name, unit, moves, None)
+                if not self._all_moves_in(name, unit, moves, None)
             ]
-            names = sorted({tenant or "public routes" for unit in by_itself for tenant in unit.tenants})
+            names = sorted({tenant or "public routes" for unit in never_moved for tenant in unit.tenants})
             return "done", "the node ended before these had moved: " + ", ".join(names) if names else ""
         if order["state"] == "ended":
             return "ended", order["why_state"]
-        if not stay:
+        if not unmoved:
             return "empty", ""
         if facts.now > order["due"]:
-            short = capacity_obstacles(facts, order["kind"], there, name)
-            why = short or [self._reason(name, unit, moves) for unit in stay]
-            return "ended", "due, and not moved: " + "; ".join(why)
+            obstacles = capacity_obstacles(facts, order["kind"], present, name)
+            reasons = obstacles or [self._unfinished_reason(name, unit, moves) for unit in unmoved]
+            return "ended", "due, and not moved: " + "; ".join(reasons)
         return "open", ""
 
-    def _reason(self, name: str, unit: MoveUnit, moves: Mapping[str, Record]) -> str:
+    def _unfinished_reason(self, name: str, unit: MoveUnit, moves: Mapping[str, Record]) -> str:
         names = f"{unit.node} " + (", ".join(tenant or "public routes" for tenant in unit.tenants))
-        found = [moves.get(move_key(name, unit.node, tenant)) for tenant in unit.tenants]
-        if any(found):
-            silent = sorted(
-                {said[0] for move in found if move for said in move["gates"].values() if not said[1] or said[3]}
+        unit_moves = [moves.get(move_key(name, unit.node, tenant)) for tenant in unit.tenants]
+        if any(unit_moves):
+            waiting_for = sorted(
+                {
+                    report[0]
+                    for move in unit_moves
+                    if move
+                    for report in move["gates"].values()
+                    if not report[1] or report[3]
+                }
             )
-            return f"{names}: on its way, waits for {', '.join(silent) or 'its record'}"
+            return f"{names}: on its way, waits for {', '.join(waiting_for) or 'its record'}"
         return f"{names}: its hours were not open"
 
-    def _all(self, name: str, unit: MoveUnit, moves: Mapping[str, Record], states: tuple[str, ...] | None) -> bool:
-        found = [moves.get(move_key(name, unit.node, tenant)) for tenant in unit.tenants]
-        return all(move is not None and (states is None or move["state"] in states) for move in found)
+    def _all_moves_in(
+        self, name: str, unit: MoveUnit, moves: Mapping[str, Record], states: tuple[str, ...] | None
+    ) -> bool:
+        unit_moves = [moves.get(move_key(name, unit.node, tenant)) for tenant in unit.tenants]
+        return all(move is not None and (states is None or move["state"] in states) for move in unit_moves)
 
     # ---- moves
 
-    def _next(self, facts: DrainState) -> dict[str, Any]:
-        """One move, of all orders: the rest has time to take what comes to it."""
-        able: list[tuple[int, MoveUnit, str, Window]] = []
+    def _next_move(self, facts: DrainState) -> dict[str, Any]:
+        """At most one move over all orders, so that the other nodes can absorb the load."""
+        candidates: list[tuple[int, MoveUnit, str, Window]] = []
         for name, order in sorted(facts.orders.items()):
-            for unit in self._due(name, order, facts):
-                window = self.hours.next(unit, facts.now)
+            for unit in self._due_units(name, order, facts):
+                window = self.hours.next_window(unit, facts.now)
                 if window is not None and window.opens <= facts.now:
-                    able.append((window.closes, unit, name, window))
-        if not able:
+                    candidates.append((window.closes, unit, name, window))
+        if not candidates:
             return {}
-        _, unit, name, window = min(able)
+        _, unit, name, window = min(candidates)
         changes: dict[str, Any] = {}
         for tenant in unit.tenants:
             key = move_key(name, unit.node, tenant)
-            held = facts.moves.get(key)
-            until = 0 if window.closes == FOREVER else window.closes
+            existing = facts.moves.get(key)
+            until = 0 if window.closes == FOREVER_US else window.closes
             if facts.orders[name]["cancelled"]:
-                if held is not None and held["state"] in ("leaving", "moved", "returning"):
+                if existing is not None and existing["state"] in ("leaving", "moved", "returning"):
                     at = facts.now
-                    changes[f"move/{key}"] = held | {"way": "back", "state": "returning", "back_at": at, "until": until}
-            elif held is None:
+                    changes[f"move/{key}"] = existing | {
+                        "way": "back",
+                        "state": "returning",
+                        "back_at": at,
+                        "until": until,
+                    }
+            elif existing is None:
                 changes[f"move/{key}"] = new_move(name, unit, tenant, facts, window)
-            elif held["state"] == "leaving":
-                self.told.pop(key, None)
-                changes[f"move/{key}"] = held | {"until": until, "at": facts.now, "again": held["again"] + 1}
+            elif existing["state"] == "leaving":
+                self.reports.pop(key, None)
+                changes[f"move/{key}"] = existing | {"until": until, "at": facts.now, "again": existing["again"] + 1}
         return changes
 
-    def _due(self, name: str, order: Record, facts: DrainState) -> list[MoveUnit]:
-        """Units of an order that should move now, if their hours allow it."""
-        nodes = [(kind, node) for kind, node in order["nodes"] if self._node_there(kind, node, order, facts)]
+    def _due_units(self, name: str, order: Record, facts: DrainState) -> list[MoveUnit]:
+        """Units of an order that are to be moved as soon as their hours are open."""
+        nodes = [(kind, node) for kind, node in order["nodes"] if self._node_present(kind, node, order, facts)]
         state = order["state"]
         if order["cancelled"]:
-            return [unit for unit in move_units(nodes, facts.tenants) if self._returns(name, unit, facts)]
+            return [unit for unit in move_units(nodes, facts.tenants) if self._must_return(name, unit, facts)]
         if state not in ("open", "empty", "ended"):
             return []
-        found = [unit for unit in move_units(nodes, facts.tenants) if self._left_behind(name, unit, facts)]
+        due = [unit for unit in move_units(nodes, facts.tenants) if self._must_repeat(name, unit, facts)]
         if state == "open" and not capacity_obstacles(facts, order["kind"], nodes, name):
-            found += [
+            due += [
                 unit
                 for unit in move_units(nodes, facts.tenants)
-                if not self._all(name, unit, facts.moves, None) and facts.now <= self.hours.expires_at(unit, order)
+                if not self._all_moves_in(name, unit, facts.moves, None)
+                and facts.now <= self.hours.expires_at(unit, order)
             ]
-        return found
+        return due
 
-    def _returns(self, name: str, unit: MoveUnit, facts: DrainState) -> bool:
-        found = [
+    def _must_return(self, name: str, unit: MoveUnit, facts: DrainState) -> bool:
+        unit_moves = [
             move for tenant in unit.tenants if (move := facts.moves.get(move_key(name, unit.node, tenant))) is not None
         ]
-        return any(move["state"] in ("leaving", "moved") or self._late(move, facts) for move in found)
+        return any(
+            move["state"] in ("leaving", "moved") or self._expired_unfollowed(move, facts) for move in unit_moves
+        )
 
-    def _left_behind(self, name: str, unit: MoveUnit, facts: DrainState) -> bool:
-        found = [
+    def _must_repeat(self, name: str, unit: MoveUnit, facts: DrainState) -> bool:
+        unit_moves = [
             move for tenant in unit.tenants if (move := facts.moves.get(move_key(name, unit.node, tenant))) is not None
         ]
-        return any(self._late(move, facts) for move in found)
+        return any(self._expired_unfollowed(move, facts) for move in unit_moves)
 
     @staticmethod
-    def _late(move: Record, facts: DrainState) -> bool:
-        """A gateway was not reached while the move was good, and is there now: once more, in hours."""
+    def _expired_unfollowed(move: Record, facts: DrainState) -> bool:
+        """Whether the move expired before a gateway that is present now followed it; it is then repeated in hours."""
         if move["state"] not in ("leaving", "returning") or not move["until"] or facts.now <= move["until"]:
             return False
-        out = move["way"] == "out"
+        outward = move["way"] == "out"
         return any(
-            said[1] != out and said[0] in facts.gates and facts.gates[said[0]]["life"] == life
-            for life, said in move["gates"].items()
+            report[1] != outward and report[0] in facts.gateways and facts.gateways[report[0]]["life"] == incarnation
+            for incarnation, report in move["gates"].items()
         )
 
-    # ---- what is forgotten
+    # ---- deletion of old orders
 
-    def _pruned(self, facts: DrainState) -> dict[str, Any]:
-        """Orders whose node is gone or whose tenants are back, but for the latest."""
-        over = sorted(
+    def _old_orders(self, facts: DrainState) -> dict[str, Any]:
+        """Deletes the oldest finished orders: those whose nodes are gone or whose tenants have all returned."""
+        finished = sorted(
             (order["over"], name)
             for name, order in facts.orders.items()
             if order["state"] == "done"
@@ -297,21 +321,21 @@
             and all(move["state"] == "returned" for move in facts.moves.values() if move["order"] == name)
         )
         changes: dict[str, Any] = {}
-        for _, name in over[:-MAX_FINISHED_ORDERS]:
+        for _, name in finished[:-MAX_FINISHED_ORDERS]:
             changes[f"drain/{name}"] = None
             changes |= {f"move/{key}": None for key, move in facts.moves.items() if move["order"] == name}
         return changes
 
 
 def outside_hours_record(facts: DrainState, hours: ContractHours, name: str, why: str) -> Record | None:
-    """The record of a backend that leaves by itself while hours are closed; None where it moves nobody outside."""
+    """The record of a backend that leaves without an order, or None if that moves no tenant outside its hours."""
     hours.set_contracts(facts.contracts)
-    moved = {move["tenant"] for move in facts.moves.values() if move["node"] == name and move["way"] == "out"}
-    found = []
+    moved_in_hours = {move["tenant"] for move in facts.moves.values() if move["node"] == name and move["way"] == "out"}
+    affected = []
     for tenant in facts.tenants:
         calendar = hours.calendar(tenant)
-        if tenant not in moved and calendar is not None and not (facts.now and calendar.open(facts.now)):
-            found.append(tenant)
-    if not found:
+        if tenant not in moved_in_hours and calendar is not None and not (facts.now and calendar.is_open(facts.now)):
+            affected.append(tenant)
+    if not affected:
         return None
-    return {"at": facts.now, "why": why, "tenants": found}
+    return {"at": facts.now, "why": why, "tenants": affected}
--- a/oakvale/drains/hours.py
+++ b/oakvale/drains/hours.py
@@ -1,8 +1,8 @@
-"""A contract's hours: the windows of time in which a tenant's traffic may be moved.
+"""Contract hours: the windows of time in which a tenant's traffic may be moved.
 
-No I/O and no clock. Instants are microseconds since 1970 (UTC). A wall time that comes twice, or never, on the odd
-days of daylight saving has two readings: hours open at the later of the two and close at the earlier, so that
-nobody who reads the contract either way finds a move outside it.
+No I/O and no clock. Instants are microseconds since 1970 (UTC). At a change of daylight saving, a wall time that
+occurs twice or never can be read in two ways. Hours open at the later instant and close at the earlier one, so a move
+is inside the contract hours in either reading.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 SECOND_US = 1_000_000
 DAY_US = 24 * 3600 * SECOND_US
-MINUTES_PER_DAY = 24 * 60  # of a day by the wall clock
-DAYS_AHEAD = 14  # days that are worked out at once
-HORIZON_DAYS = 400  # days: hours that do not open within it are taken to open never
-FOREVER = 1 << 62
+MINUTES_PER_DAY = 24 * 60  # by the wall clock
+DAYS_AHEAD = 14  # computed at once
+HORIZON_DAYS = 400  # hours that do not open within it count as never open
+FOREVER_US = 1 << 62
 
 
 @dataclass(slots=True, frozen=True)
 class Span:
-    """Minutes of the local day on which it begins; one that ends at or before its beginning runs over midnight."""
+    """In minutes of the local day on which it begins. If `end` is not after `begin`, it ends on the next day."""
 
     begin: int
     end: int
@@ -31,121 +31,131 @@
 
 @dataclass(slots=True, frozen=True)
 class Contract:
+    """The hours of a tenant's contract, by the wall clock of its time zone."""
+
     tenant: str
-    zone: str  # IANA
+    zone: str  # IANA time zone
     week: tuple[tuple[Span, ...], ...]  # Monday first
-    dates: Mapping[date, tuple[Span, ...]] = field(default_factory=dict)  # in the place of that date's hours
-    notice: int = 31 * DAY_US  # an order older than this moves the tenant no longer
+    dates: Mapping[date, tuple[Span, ...]] = field(default_factory=dict)  # replaces the weekly hours of that date
+    notice: int = 31 * DAY_US  # microseconds; an older order no longer moves the tenant
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Window:
+    """An interval between two instants."""
+
     opens: int
     closes: int
 
 
-ALWAYS = Window(0, FOREVER)  # of those without a contract
+ALWAYS = Window(0, FOREVER_US)  # for tenants without a contract
 
 
 @lru_cache(512)
 def load_time_zone(name: str) -> ZoneInfo:
-    """Raises ZoneInfoNotFoundError, ValueError."""
+    """Raises ZoneInfoNotFoundError or ValueError."""
     return ZoneInfo(name)
 
 
 @lru_cache(16384)
-def _calm(day: date, zone: ZoneInfo) -> int | None:
-    """The instant at which a local day begins, if the clocks are not set on it or the next."""
-    begins = {_reading(day, 0, zone, later) for later in (False, True)}
-    ends = {_reading(day, 2 * MINUTES_PER_DAY, zone, later) for later in (False, True)}
+def _day_start_if_regular(day: date, zone: ZoneInfo) -> int | None:
+    """The instant at which a local day begins, or None if the UTC offset changes on it or on the next day."""
+    begins = {_wall_to_instant(day, 0, zone, later) for later in (False, True)}
+    ends = {_wall_to_instant(day, 2 * MINUTES_PER_DAY, zone, later) for later in (False, True)}
     return begins.pop() if {begin + 2 * DAY_US for begin in begins} == ends and len(begins) == 1 else None
 
 
 def _instant(day: date, minute: int, zone: ZoneInfo, later: bool) -> int:
-    begins = _calm(day, zone)
-    return _reading(day, minute, zone, later) if begins is None else begins + minute * (DAY_US // MINUTES_PER_DAY)
+    """Like `_wall_to_instant`, but faster on days without a change of the UTC offset."""
+    begins = _day_start_if_regular(day, zone)
+    return (
+        _wall_to_instant(day, minute, zone, later) if begins is None else begins + minute * (DAY_US // MINUTES_PER_DAY)
+    )
 
 
-def _reading(day: date, minute: int, zone: ZoneInfo, later: bool) -> int:
+def _wall_to_instant(day: date, minute: int, zone: ZoneInfo, later: bool) -> int:
+    """The instant of a minute of a local day; `later` chooses among two readings."""
     wall = datetime(day.year, day.month, day.day) + timedelta(minutes=minute)
-    readings = [wall.replace(tzinfo=zone, fold=fold).timestamp() for fold in (0, 1)]
-    return round((max if later else min)(readings) * SECOND_US)
+    candidates = [wall.replace(tzinfo=zone, fold=fold).timestamp() for fold in (0, 1)]
+    return round((max if later else min)(candidates) * SECOND_US)
 
 
 def windows(contract: Contract, start: int, days: int) -> list[Window]:
-    """All that open on one of so many local days from the one of an instant on, and those of the day before; joined
-    where they touch."""
+    """The windows that open on the local day of `start`, the day before it, or the following `days` - 1 days; windows
+    that touch are merged."""
     zone = load_time_zone(contract.zone)
-    first = datetime.fromtimestamp(start // SECOND_US, UTC).astimezone(zone).date() - timedelta(days=1)
-    found = []
-    for day in (first + timedelta(days=n) for n in range(days + 1)):
+    first_day = datetime.fromtimestamp(start // SECOND_US, UTC).astimezone(zone).date() - timedelta(days=1)
+    opening = []
+    for day in (first_day + timedelta(days=n) for n in range(days + 1)):
         for span in contract.dates.get(day, contract.week[day.weekday()]):
-            over = span.end <= span.begin
-            closes = _instant(day, span.end + (MINUTES_PER_DAY if over else 0), zone, False)
-            if over and day + timedelta(days=1) in contract.dates:  # an exception holds for the whole of its date
+            past_midnight = span.end <= span.begin
+            closes = _instant(day, span.end + (MINUTES_PER_DAY if past_midnight else 0), zone, False)
+            if past_midnight and day + timedelta(days=1) in contract.dates:  # an exception applies to its whole date
                 closes = min(closes, _instant(day, MINUTES_PER_DAY, zone, False))
             opens = _instant(day, span.begin, zone, True)
             if opens < closes:
-                found.append(Window(opens, closes))
-    return merge_windows(found)
+                opening.append(Window(opens, closes))
+    return merge_windows(opening)
 
 
-def merge_windows(found: Iterable[Window]) -> list[Window]:
-    out: list[Window] = []
-    for window in sorted(found):
-        if out and window.opens <= out[-1].closes:
-            out[-1] = Window(out[-1].opens, max(out[-1].closes, window.closes))
+def merge_windows(unsorted: Iterable[Window]) -> list[Window]:
+    """Sorts windows and merges those that overlap or touch."""
+    merged: list[Window] = []
+    for window in sorted(unsorted):
+        if merged and window.opens <= merged[-1].closes:
+            merged[-1] = Window(merged[-1].opens, max(merged[-1].closes, window.closes))
         else:
-            out.append(window)
-    return out
+            merged.append(window)
+    return merged
 
 
 class Calendar:
-    """A contract's windows, less `margin` at each end, worked out as they are asked for."""
+    """The windows of a contract, each shortened by `margin` at both ends; computed on demand."""
 
     def __init__(self, contract: Contract, margin: int = 0) -> None:
         self.contract, self._margin = contract, margin
         self._known: list[Window] = []
-        self._from = self._to = 0
-        self._barren: dict[int, int] = {}  # lead -> until when nothing is looked for again
+        self._known_from = self._known_to = 0
+        self._no_window_until: dict[int, int] = {}  # lead -> when to search again after an unsuccessful search
 
-    def next(self, now: int, lead: int = 0) -> Window | None:
-        """The first window that leaves `lead` from now, or from its opening, to its close; `closes` is less the
-        lead. None where there is none within the horizon."""
+    def next_window(self, now: int, lead: int = 0) -> Window | None:
+        """The first window that stays open for `lead` after now or after its opening, or None within the horizon.
+        Its `closes` is the last instant at which a move with this lead may begin."""
         at = now
-        if now < self._barren.get(lead, 0):
+        if now < self._no_window_until.get(lead, 0):
             return None
         while at < now + HORIZON_DAYS * DAY_US:
-            for window in self._around(at):
+            for window in self._windows_near(at):
                 last = window.closes - self._margin - lead
                 if last >= max(now, window.opens + self._margin):
                     return Window(window.opens + self._margin, last)
-            at = self._to
-        self._barren[lead] = now + DAY_US // 24
+            at = self._known_to
+        self._no_window_until[lead] = now + DAY_US // 24
         return None
 
-    def open(self, now: int) -> bool:
-        found = self.next(now)
-        return found is not None and found.opens <= now < found.closes
+    def is_open(self, now: int) -> bool:
+        window = self.next_window(now)
+        return window is not None and window.opens <= now < window.closes
 
-    def _around(self, at: int) -> list[Window]:
-        if not self._from <= at < self._to:
-            # the last day's windows may run on into one that is not worked out: it serves only to be joined to
-            self._from, self._to = at, at + (DAYS_AHEAD - 3) * DAY_US
+    def _windows_near(self, at: int) -> list[Window]:
+        if not self._known_from <= at < self._known_to:
+            # windows of the last computed days may be incomplete: they serve only for merging
+            self._known_from, self._known_to = at, at + (DAYS_AHEAD - 3) * DAY_US
             self._known = windows(self.contract, at, DAYS_AHEAD)
         return self._known
 
 
-def first_common_window(nexts: Iterable[Callable[[int], Window | None]], now: int) -> Window | None:
-    """The first window in which all are open; `nexts` give each one's first that has not closed at an instant."""
-    asked = list(nexts)
+def first_common_window(searches: Iterable[Callable[[int], Window | None]], now: int) -> Window | None:
+    """The first window that is common to several calendars. Each of `searches` returns the first window of its calendar
+    that is not closed at an instant."""
+    all_searches = list(searches)
     at = now
     while at < now + HORIZON_DAYS * DAY_US:
-        found = [ask(at) for ask in asked]
-        if None in found:
+        candidates = [search(at) for search in all_searches]
+        if None in candidates:
             return None
-        opens = max((window.opens for window in found if window), default=0)
-        closes = min((window.closes for window in found if window), default=FOREVER)
+        opens = max((window.opens for window in candidates if window), default=0)
+        closes = min((window.closes for window in candidates if window), default=FOREVER_US)
         if opens <= closes:
             return Window(opens, closes)
         at = opens
--- a/oakvale/drains/report.py
+++ b/oakvale/drains/report.py
@@ -1,6 +1,6 @@
-"""The account of drains: what moved when, what was in flight and how each ended, as rows for people and programs.
+"""Reports on drains: what moved when, what was in flight and how it ended, as tables for people and programs.
 
-No I/O and no clock. It is told from the control state alone, so it is the same after any restart.
+No I/O and no clock. A report depends only on the replicated state, so it is the same after any restart.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
-from oakvale.drains.hours import FOREVER, Window
+from oakvale.drains.hours import FOREVER_US, Window
 from oakvale.drains.planning import DrainPlan
 
 ENDS = ("served", "answered", "failed", "refused", "client_gone", "unknown")
@@ -39,13 +39,14 @@
 
 
 def format_time(at: int) -> str:
-    """Empty for what has not come, or has no bound."""
-    if at <= 0 or at >= FOREVER:
+    """ISO 8601 in UTC; empty for an instant that has not come or has no bound."""
+    if at <= 0 or at >= FOREVER_US:
         return ""
     return (datetime(1970, 1, 1, tzinfo=UTC) + timedelta(microseconds=at)).isoformat(timespec="milliseconds")
 
 
 def window_fields(window: Window | None) -> dict[str, str]:
+    """The columns `opens` and `closes` of a window."""
     return {
         "opens": format_time(window.opens) if window else "never",
         "closes": format_time(window.closes) if window else "never",
@@ -53,6 +54,7 @@
 
 
 def plan_report(plan: DrainPlan) -> Record:
+    """The response to a plan or an order."""
     return {
         "empty": format_time(plan.empty) if plan.empty is not None else "",
         "obstacles": plan.obstacles,
@@ -62,8 +64,8 @@
                 "node": row.unit.node,
                 "tenants": list(row.unit.tenants),
                 **window_fields(row.window),
-                "moves": format_time(row.moves) if row.moves is not None else "",
-                "why": row.why,
+                "moves": format_time(row.moves_at) if row.moves_at is not None else "",
+                "why": row.reason,
             }
             for row in plan.rows
         ],
@@ -71,7 +73,8 @@
 
 
 def move_row(move: Record, order: Record | None) -> Record:
-    ends = {how: sum(said[4].get(how, 0) for said in move["gates"].values()) for how in ENDS}
+    """A move as a row of the report."""
+    ends = {how: sum(report[4].get(how, 0) for report in move["gates"].values()) for how in ENDS}
     return {
         "order": move["order"],
         "kind": move["kind"],
@@ -85,7 +88,7 @@
         "back": format_time(move["back_at"]),
         "back_done": format_time(move["back_done"]),
         "again": move["again"],
-        "in_flight": sum(said[2] for said in move["gates"].values()),
+        "in_flight": sum(report[2] for report in move["gates"].values()),
         **ends,
         "unheard": " ".join(move["unheard"]),
         "by": order["by"] if order else "",
@@ -99,10 +102,10 @@
     outside: Iterable[tuple[str, Record]],
     only: str = "",
 ) -> Record:
-    """All that the control state knows of drains, or of one order."""
-    known = {name: order for name, order in orders if not only or name == only}
+    """The report on all drains, or on one order (`only`)."""
+    selected = {name: order for name, order in orders if not only or name == only}
     rows = [
-        move_row(move, known.get(move["order"]))
+        move_row(move, selected.get(move["order"]))
         for _, move in sorted(moves, key=lambda item: item[1]["at"])
         if not only or move["order"] == only
     ]
@@ -122,7 +125,7 @@
                 "empty": format_time(order["empty"]),
                 "over": format_time(order["over"]),
             }
-            for name, order in sorted(known.items(), key=lambda item: item[1]["at"])
+            for name, order in sorted(selected.items(), key=lambda item: item[1]["at"])
         ],
         "moves": rows,
         "outside": []
@@ -135,21 +138,22 @@
     }
 
 
-def as_csv(account: Record) -> str:
-    """A line for each tenant's move, and for each that a backend made by itself outside hours (state `outside`)."""
+def as_csv(drain_report: Record) -> str:
+    """One line for each move of a tenant, and one (state `outside`) for each tenant of a backend that left on its own
+    outside the contract hours."""
     out = io.StringIO()
     writer = csv.DictWriter(out, COLUMNS, restval="", lineterminator="\n")
     writer.writeheader()
-    writer.writerows(account["moves"])
-    for found in account["outside"]:
+    writer.writerows(drain_report["moves"])
+    for departure in drain_report["outside"]:
         writer.writerow(
             {
                 "kind": "backend",
-                "node": found["backend"],
-                "tenant": found["tenant"],
+                "node": departure["backend"],
+                "tenant": departure["tenant"],
                 "state": "outside",
-                "moved": found["at"],
-                "why": f"the backend: {found['why']}",
+                "moved": departure["at"],
+                "why": f"the backend: {departure['why']}",
             }
         )
     return out.getvalue()
--- a/tests/test_drains.py
+++ b/tests/test_drains.py
@@ -46,7 +46,7 @@
                 move = way.moves[move_key("o", row.unit.node, tenant)]
                 seen += 1
                 # the plan thinks in moments and the days here are ticks: some may be a few late, and trade places
-                assert row.moves is not None and abs(move["at"] - row.moves) <= 5 * TICK
+                assert row.moves_at is not None and abs(move["at"] - row.moves_at) <= 5 * TICK
     assert seen > 300
 
 
--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -76,7 +76,7 @@
             now = start + rng.randrange(0, 4 * DAY_US, 15 * MINUTE // 2)
             told = is_open(contract, now)
             assert any(window.opens <= now < window.closes for window in found) == told, (contract, now)
-            assert calendar.open(now) == told
+            assert calendar.is_open(now) == told
 
 
 def test_the_two_odd_days() -> None:
@@ -104,14 +104,14 @@
     contract = Contract("t", "UTC", (((Span(60, 62),),) * 7))
     calendar = Calendar(contract, 10 * SECOND_US)
     now = at("2026-06-10T00:00")
-    found = calendar.next(now, 20 * SECOND_US)
+    found = calendar.next_window(now, 20 * SECOND_US)
     assert found is not None
     assert (found.opens, found.closes) == (
         at("2026-06-10T01:00") + 10 * SECOND_US,
         at("2026-06-10T01:02") - 30 * SECOND_US,
     )
-    assert calendar.next(now, 101 * SECOND_US) is None
-    assert Calendar(Contract("t", "UTC", ((),) * 7)).next(now) is None
+    assert calendar.next_window(now, 101 * SECOND_US) is None
+    assert Calendar(Contract("t", "UTC", ((),) * 7)).next_window(now) is None
 
 
 GOOD = """
