--- a/oakvale/failover/__init__.py
+++ b/oakvale/failover/__init__.py
@@ -1,4 +1,4 @@
-"""Spillway: where a failed place's load goes, worked out before anything fails, and how much of it each other place
-takes. It must never hold a socket or a clock, nor choose a backend: it says which places may be chosen from, and
-what is refused. Begin with `places`, then `chains`, then `spill`.
+"""Failover: where the load of a failed location goes. The distribution is computed before anything fails and limits how
+much each other location takes. This package has no sockets and no clock and does not select backends: it decides which
+locations may be selected from and which requests are refused. Start with `places`, then `chains`, then `spill`.
 """
--- a/oakvale/failover/chains.py
+++ b/oakvale/failover/chains.py
@@ -1,15 +1,16 @@
-"""Chains, worked out before anything fails: for the failure of every place, and of every two, who takes how much.
-
-No I/O and no clock. What is delivered are the figures; each chain follows from them alone, so that everyone works
-out the same, as with the tree of relays: written out for every two places they would be a thousand times as long.
-Work is counted in **slots**: a request takes its route's mean time of one slot of mean speed,
-and a place holds as many as its backends' slots, each at the speed that answers were measured at. `plan` is a pure
-function of what is known; what it gives is one entry of the control state (`pack`, `unpack`).
-
-Of what a place may take, a little is set aside for gateways that get no answer from the keeper of a service: each of
-the roster may use its even share of it at any time. The keeper hands out the rest, but for the even shares of
-gateways that it reckons to be out of its reach, and these use theirs. Whoever may go by an earlier version is reckoned
-with the larger share of the two. So all of them together stay under the limit, however little they know.
+"""Failover chains, computed before anything fails: for each location and each pair of locations, which other zones take
+how much load when they fail.
+
+No I/O and no clock. Only the figures are distributed; every process derives the same chains from them, as the chains of
+all pairs would be about a thousand times as long. Load is counted in **slots** kept busy: a request takes one slot of
+mean speed for the mean time of its route, and a zone holds the slots of its backends, weighted by their measured speed.
+`plan_chains` is a pure function; its result is one entry of the replicated state (`pack`, `unpack`).
+
+A small part of each zone's limit is reserved for gateways that get no response from the board holder of a service: each
+gateway of the roster may use its even share of the reserve at any time. The holder hands out the rest, minus the
+autonomous shares of the gateways that it cannot reach, which use these themselves. A gateway that may still use an
+earlier version is counted with the larger of its two shares. So all of them together stay below the limit, whatever
+each of them knows.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 
 from oakvale.failover.places import Hierarchy
 
-HEADROOM = 1.0  # of what a place holds: the queue that is borne and the spare already keep answers within their aims
-SPARE = 0.03  # of a limit: what a gateway may send while it is not known yet whether the keeper is out of its reach
+HEADROOM = 1.0  # share of the capacity of a zone that is planned with
+RESERVED_SHARE = 0.03  # of a limit; for gateways that do not know yet whether they can reach the holder
 
 
 @dataclass(slots=True, frozen=True)
 class Load:
-    """What the clients of a zone ask of a service, in slots kept busy."""
+    """The load of the clients of a zone on a service, in slots kept busy."""
 
     home: str
     service: str
@@ -37,71 +38,78 @@
 
 @dataclass(slots=True, frozen=True)
 class Step:
+    """The slots that a zone takes of the load of another."""
+
     zone: str
     slots: float
 
 
 @dataclass(slots=True, frozen=True)
 class Chain:
-    """Where one zone's load on one service goes while some zones are out."""
+    """Where the load of one zone on one service goes while some zones have failed."""
 
     failed_zones: frozenset[str]
     service: str
     home: str
-    steps: tuple[Step, ...]  # the nearest first
-    refused_slots: Mapping[int, float]  # rank -> slots that no place holds
+    steps: tuple[Step, ...]  # nearest first
+    refused_slots: Mapping[int, float]  # rank -> slots for which no zone has capacity
 
 
 @dataclass(slots=True, frozen=True)
 class Chains:
+    """A version of the failover plan. The shares are tables service -> zone -> slots."""
+
     version: int = 0
     headroom: float = HEADROOM
     hierarchy: Hierarchy = field(default_factory=Hierarchy)
-    limits: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # service -> zone -> slots, all together
-    holder_share: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # of these, what is not set aside
-    reserved_share: Mapping[str, Mapping[str, float]] = field(
-        default_factory=dict
-    )  # what each of the roster may always use
-    autonomous_share: Mapping[str, Mapping[str, float]] = field(
-        default_factory=dict
-    )  # and what once out of the keeper's reach
-    max_autonomous_share: Mapping[str, Mapping[str, float]] = field(
-        default_factory=dict
-    )  # the largest part that one may go by
+    limits: Mapping[str, Mapping[str, float]] = field(default_factory=dict)  # of all gateways together
+    # what the board holder hands out
+    holder_share: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
+    # what each gateway of the roster may always use
+    reserved_share: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
+    # what each gateway may use besides while it cannot reach the holder
+    autonomous_share: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
+    # the largest autonomous share over the versions that may be in use
+    max_autonomous_share: Mapping[str, Mapping[str, float]] = field(default_factory=dict)
     roster: frozenset[str] = frozenset()
-    possible_roster: frozenset[str] = frozenset()  # the rosters of this version and of those that one may still go by
+    possible_roster: frozenset[str] = frozenset()  # of all versions that may be in use
     loads: tuple[Load, ...] = ()
 
-    def chains_for(self, out: frozenset[str], service: str) -> list[Chain]:
-        """Of each zone whose clients ask for the service, while these zones are out."""
+    def chains_for(self, failed_zones: frozenset[str], service: str) -> list[Chain]:
+        """The chains of all zones whose clients use the service, while some zones have failed."""
         loads = [load for load in self.loads if load.service == service]
-        return _spread(self.hierarchy, out, service, self.limits.get(service, {}), loads)
+        return _spread(self.hierarchy, failed_zones, service, self.limits.get(service, {}), loads)
 
-    def chains_without(self, place: str, service: str) -> list[Chain]:
-        """What happens to a service's load when this place fails, and nothing else does."""
-        return self.chains_for(self.hierarchy.locations()[place], service)
+    def chains_without(self, location: str, service: str) -> list[Chain]:
+        """The chains of a service when this location alone fails."""
+        return self.chains_for(self.hierarchy.locations()[location], service)
 
-    def uncovered_failures(self, most: int = 2) -> list[tuple[frozenset[str], str, float, float]]:
-        """The failures, of at most so many places, that can't be held: zones, service, slots refused, asked for."""
-        found: dict[tuple[frozenset[str], str], list[float]] = {}
+    def uncovered_failures(self, max_locations: int = 2) -> list[tuple[frozenset[str], str, float, float]]:
+        """The failures of at most `max_locations` locations without enough capacity: zones, service, slots refused, and
+        slots of load."""
+        totals: dict[tuple[frozenset[str], str], list[float]] = {}
         for chain in (
-            c
-            for out in failures(self.hierarchy, most)
+            candidate
+            for failed_zones in failures(self.hierarchy, max_locations)
             for service in self.limits
-            for c in self.chains_for(out, service)
+            for candidate in self.chains_for(failed_zones, service)
         ):
-            sums = found.setdefault((chain.failed_zones, chain.service), [0.0, 0.0])
+            sums = totals.setdefault((chain.failed_zones, chain.service), [0.0, 0.0])
             refused = sum(chain.refused_slots.values())
             sums[0] += refused
             sums[1] += refused + sum(step.slots for step in chain.steps)
-        return [(out, service, refused, asked) for (out, service), (refused, asked) in found.items() if refused > 1e-9]
+        return [
+            (failed_zones, service, refused, demanded)
+            for (failed_zones, service), (refused, demanded) in totals.items()
+            if refused > 1e-9
+        ]
 
 
-def failures(hierarchy: Hierarchy, most: int = 2) -> list[frozenset[str]]:
-    """The zones of every place, and of every two."""
-    single = {zones for zones in hierarchy.locations().values() if zones}
-    double = {one | other for one, other in combinations(single, 2)} if most > 1 else set()
-    return sorted(single | double, key=lambda zones: (len(zones), sorted(zones)))
+def failures(hierarchy: Hierarchy, max_locations: int = 2) -> list[frozenset[str]]:
+    """The zones of each location and, with `max_locations` above 1, of each pair."""
+    of_one = {zones for zones in hierarchy.locations().values() if zones}
+    of_two = {one | other for one, other in combinations(of_one, 2)} if max_locations > 1 else set()
+    return sorted(of_one | of_two, key=lambda zones: (len(zones), sorted(zones)))
 
 
 def plan_chains(
@@ -113,85 +121,106 @@
     headroom: float = HEADROOM,
     before: Iterable[Chains] = (),
 ) -> Chains:
-    """`capacity`: (zone, service) -> slots of mean speed; `before`: versions that some gateway may still go by."""
+    """Computes a new version. `capacity`: (zone, service) -> slots of mean speed; `before`: earlier versions that a
+    gateway may still use."""
     if not 0 < headroom <= 1:
-        raise ValueError("headroom does not lie between 0 and 1")
+        raise ValueError("headroom must be greater than 0 and at most 1")
     loads, roster, before = list(loads), frozenset(roster), list(before)
     limits: dict[str, dict[str, float]] = {}
     for (zone, service), slots in sorted(capacity.items()):
         if slots > 0:
             limits.setdefault(service, {})[zone] = headroom * slots
-    keeper: dict[str, dict[str, float]] = {}
-    spare: dict[str, dict[str, float]] = {}
-    part: dict[str, dict[str, float]] = {}
-    owed: dict[str, dict[str, float]] = {}
+    holder_share: dict[str, dict[str, float]] = {}
+    reserved_share: dict[str, dict[str, float]] = {}
+    autonomous_share: dict[str, dict[str, float]] = {}
+    max_autonomous_share: dict[str, dict[str, float]] = {}
     for service, zones in limits.items():
         for zone, limit in zones.items():
-            little = SPARE * limit / max(1, len(roster))
-            used = dict.fromkeys(roster, little)
+            reserved = RESERVED_SHARE * limit / max(1, len(roster))
+            reserved_by_gateway = dict.fromkeys(roster, reserved)
             for earlier in before:
-                theirs = earlier.reserved_share.get(service, {}).get(zone, 0.0)
+                earlier_reserved = earlier.reserved_share.get(service, {}).get(zone, 0.0)
                 for gateway in earlier.roster:
-                    used[gateway] = max(used.get(gateway, 0.0), theirs)
-            rest = max(0.0, limit - sum(used.values()))
-            own = rest / max(1, len(roster))
-            spare.setdefault(service, {})[zone] = little
-            keeper.setdefault(service, {})[zone] = rest
-            part.setdefault(service, {})[zone] = own
-            owed.setdefault(service, {})[zone] = max(
-                [own, *(earlier.autonomous_share.get(service, {}).get(zone, 0.0) for earlier in before)]
+                    reserved_by_gateway[gateway] = max(reserved_by_gateway.get(gateway, 0.0), earlier_reserved)
+            unreserved = max(0.0, limit - sum(reserved_by_gateway.values()))
+            autonomous = unreserved / max(1, len(roster))
+            reserved_share.setdefault(service, {})[zone] = reserved
+            holder_share.setdefault(service, {})[zone] = unreserved
+            autonomous_share.setdefault(service, {})[zone] = autonomous
+            max_autonomous_share.setdefault(service, {})[zone] = max(
+                [autonomous, *(earlier.autonomous_share.get(service, {}).get(zone, 0.0) for earlier in before)]
             )
-    may = roster.union(*(earlier.roster for earlier in before))
-    return Chains(version, headroom, hierarchy, limits, keeper, spare, part, owed, roster, may, tuple(loads))
+    possible_roster = roster.union(*(earlier.roster for earlier in before))
+    return Chains(
+        version,
+        headroom,
+        hierarchy,
+        limits,
+        holder_share,
+        reserved_share,
+        autonomous_share,
+        max_autonomous_share,
+        roster,
+        possible_roster,
+        tuple(loads),
+    )
 
 
 def _spread(
-    hierarchy: Hierarchy, out: frozenset[str], service: str, limits: Mapping[str, float], loads: list[Load]
+    hierarchy: Hierarchy, failed_zones: frozenset[str], service: str, limits: Mapping[str, float], loads: list[Load]
 ) -> list[Chain]:
-    """The highest rank first; within it, who is at home goes before who comes from elsewhere, or a failed place
-    would push out its neighbours' clients to places still farther away."""
-    room = {zone: limit for zone, limit in limits.items() if zone not in out}
-    asked = [load for load in loads if load.service == service and load.work > 0]
-    taken: dict[str, dict[str, float]] = {load.home: {} for load in asked}
-    refused: dict[str, dict[int, float]] = {load.home: {} for load in asked}
-    for rank in sorted({load.rank for load in asked}):
-        left: list[tuple[str, float]] = []
-        for load in sorted((x for x in asked if x.rank == rank), key=lambda x: x.home):
-            own = min(load.work, room.get(load.home, 0.0))
-            if own:
-                room[load.home] -= own
-                taken[load.home][load.home] = taken[load.home].get(load.home, 0.0) + own
-            left.append((load.home, load.work - own))
-        for home, work in left:
-            for tier in hierarchy.tiers(home, room):
-                free = sum(room[zone] for zone in tier)
-                moved = min(work, free)
-                for zone in tier if moved > 0 else []:
-                    share = moved * room[zone] / free
-                    taken[home][zone] = taken[home].get(zone, 0.0) + share
-                for zone in tier if moved > 0 else []:
-                    room[zone] -= moved * room[zone] / free
-                work -= moved
+    """Distributes the load of a service. Higher ranks come first; within a rank, each zone serves its own clients
+    before those of failed zones, which would otherwise displace them to zones farther away."""
+    free_slots = {zone: limit for zone, limit in limits.items() if zone not in failed_zones}
+    demands = [load for load in loads if load.service == service and load.work > 0]
+    assigned: dict[str, dict[str, float]] = {load.home: {} for load in demands}
+    refused: dict[str, dict[int, float]] = {load.home: {} for load in demands}
+    for rank in sorted({load.rank for load in demands}):
+        unserved: list[tuple[str, float]] = []
+        for load in sorted((x for x in demands if x.rank == rank), key=lambda x: x.home):
+            local = min(load.work, free_slots.get(load.home, 0.0))
+            if local:
+                free_slots[load.home] -= local
+                assigned[load.home][load.home] = assigned[load.home].get(load.home, 0.0) + local
+            unserved.append((load.home, load.work - local))
+        for home, work in unserved:
+            for tier in hierarchy.tiers(home, free_slots):
+                tier_slots = sum(free_slots[zone] for zone in tier)
+                placed = min(work, tier_slots)
+                for zone in tier if placed > 0 else []:
+                    share = placed * free_slots[zone] / tier_slots
+                    assigned[home][zone] = assigned[home].get(zone, 0.0) + share
+                for zone in tier if placed > 0 else []:
+                    free_slots[zone] -= placed * free_slots[zone] / tier_slots
+                work -= placed
             if work > 1e-9:
                 refused[home][rank] = refused[home].get(rank, 0.0) + work
-    order = {home: [zone for tier in hierarchy.tiers(home, taken[home]) for zone in tier] for home in taken}
+    zone_order = {home: [zone for tier in hierarchy.tiers(home, assigned[home]) for zone in tier] for home in assigned}
     return [
-        Chain(out, service, home, tuple(Step(zone, taken[home][zone]) for zone in order[home]), refused[home])
-        for home in sorted(taken)
+        Chain(
+            failed_zones,
+            service,
+            home,
+            tuple(Step(zone, assigned[home][zone]) for zone in zone_order[home]),
+            refused[home],
+        )
+        for home in sorted(assigned)
     ]
 
 
 def differ_significantly(
     one: Mapping[tuple[str, str], float], other: Mapping[tuple[str, str], float], by: float, least: float
 ) -> bool:
-    """Whether two figures of one key differ by more than a part of the greater, and by more than the least."""
+    """Whether the values of any key differ by more than both `least` and the share `by` of the greater value."""
     both = [(one.get(key, 0.0), other.get(key, 0.0)) for key in one.keys() | other.keys()]
     return any(abs(a - b) > max(by * max(a, b), least) for a, b in both)
 
 
 def pack(chains: Chains) -> dict[str, Any]:
-    def down(table: Mapping[str, Mapping[str, float]], up: int = 0) -> dict[str, dict[str, float]]:
-        """What may be used is never rounded upwards, nor what is reckoned with downwards."""
+    """The entry of the replicated state."""
+
+    def rounded(table: Mapping[str, Mapping[str, float]], up: int = 0) -> dict[str, dict[str, float]]:
+        """Rounds down what may be used, and with `up` = 1 rounds up what others must be assumed to use."""
         return {
             name: {zone: (int(value * 10_000) + up) / 10_000 for zone, value in row.items()}
             for name, row in table.items()
@@ -201,11 +230,11 @@
         "version": chains.version,
         "headroom": chains.headroom,
         "paths": {zone: list(path) for zone, path in chains.hierarchy.paths.items()},
-        "limits": down(chains.limits),
-        "keeper": down(chains.holder_share),
-        "spare": down(chains.reserved_share),
-        "part": down(chains.autonomous_share),
-        "owed": down(chains.max_autonomous_share, 1),
+        "limits": rounded(chains.limits),
+        "keeper": rounded(chains.holder_share),
+        "spare": rounded(chains.reserved_share),
+        "part": rounded(chains.autonomous_share),
+        "owed": rounded(chains.max_autonomous_share, 1),
         "roster": sorted(chains.roster),
         "more": sorted(chains.possible_roster - chains.roster),
         "loads": [[load.home, load.service, load.rank, round(load.work, 3)] for load in chains.loads],
@@ -213,6 +242,8 @@
 
 
 def unpack(data: Any) -> Chains:
+    """The inverse of `pack`."""
+
     def table(name: str) -> dict[str, dict[str, float]]:
         return {str(key): {str(zone): float(value) for zone, value in row.items()} for key, row in data[name].items()}
 
--- a/oakvale/failover/places.py
+++ b/oakvale/failover/places.py
@@ -1,7 +1,7 @@
-"""Places: zones, the regions that hold them, and above these what the operator names.
+"""Locations: zones, the regions that contain them, and larger areas that the operator names.
 
-No I/O and no clock. Each zone has a path of names upwards; how far two zones lie apart is the number of steps up
-to the first name that both paths have. What has no name in common lies farthest.
+No I/O and no clock. Each zone has a path of names from its region upwards. The distance of two zones is the number of
+steps to the first name that is on both paths; zones without a common name are farthest apart.
 """
 
 from __future__ import annotations
@@ -14,36 +14,41 @@
 
 @dataclass(slots=True, frozen=True)
 class Hierarchy:
-    paths: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # zone -> its region, and what is above
+    """All zones with the locations that contain them."""
+
+    paths: Mapping[str, tuple[str, ...]] = field(default_factory=dict)  # zone -> its region and the areas above
 
     def distance(self, one: str, other: str) -> int:
         """0 for the same zone."""
         if one == other:
             return 0
-        theirs = set(self.paths.get(other, ()))
-        mine = self.paths.get(one, ())
-        return next((steps + 1 for steps, name in enumerate(mine) if name in theirs), len(mine) + 1)
-
-    def tiers(self, home: str, among: Iterable[str]) -> list[list[str]]:
-        """The nearest first; those that lie equally far stand together, in an order of the home's own."""
-        found: dict[int, list[str]] = {}
-        for zone in among:
-            found.setdefault(self.distance(home, zone), []).append(zone)
-        return [sorted(found[steps], key=lambda zone: ring_position(f"{home} {zone}")) for steps in sorted(found)]
+        other_path = set(self.paths.get(other, ()))
+        one_path = self.paths.get(one, ())
+        return next((steps + 1 for steps, name in enumerate(one_path) if name in other_path), len(one_path) + 1)
+
+    def tiers(self, home: str, zones: Iterable[str]) -> list[list[str]]:
+        """The zones grouped by distance from `home`, nearest first; the order within a group depends on `home`."""
+        by_distance: dict[int, list[str]] = {}
+        for zone in zones:
+            by_distance.setdefault(self.distance(home, zone), []).append(zone)
+        return [
+            sorted(by_distance[steps], key=lambda zone: ring_position(f"{home} {zone}"))
+            for steps in sorted(by_distance)
+        ]
 
     def locations(self) -> dict[str, frozenset[str]]:
-        """Every place and the zones in it. A name above a zone that is a zone's too stands for the zone."""
-        inside: dict[str, set[str]] = {}
+        """Every location with its zones. A name that is used for both a zone and an area stands for the zone."""
+        zones_of: dict[str, set[str]] = {}
         for zone, path in self.paths.items():
             for name in path:
-                inside.setdefault(name, set()).add(zone)
-        return {name: frozenset(zones) for name, zones in inside.items()} | {
+                zones_of.setdefault(name, set()).add(zone)
+        return {name: frozenset(zones) for name, zones in zones_of.items()} | {
             zone: frozenset({zone}) for zone in self.paths
         }
 
 
 def build_hierarchy(zones: Mapping[str, str], above: Mapping[str, str]) -> Hierarchy:
-    """From zone -> region, and name -> the name above it. Raises ValueError on a circle."""
+    """Builds the hierarchy from zone -> region and name -> containing area. Raises ValueError on a cycle."""
     paths: dict[str, tuple[str, ...]] = {}
     for zone, region in zones.items():
         path = [region] if region else []
