--- a/oakvale/failover/spill.py
+++ b/oakvale/failover/spill.py
@@ -1,8 +1,8 @@
-"""Crest: one service's places, as the keeper of its board or a gateway on its own sees and fills them.
+"""Directs the load of one service to its locations, on the board holder or on a gateway that acts alone.
 
-No I/O and no clock; times are microseconds. While all places are open it counts what is asked and says nothing
-else. Once one has failed, each request is let to the nearest places that have room for it, or refused at once with
-a time to come back: the lowest rank first, and before it a tenant that alone takes more than all others.
+No I/O and no clock; times are in microseconds. While all locations are in service, it only counts the load. After one
+has failed, each request may go to the nearest locations with capacity, or is refused at once with a time to retry:
+first those of a tenant that alone uses more than all others, then those of the lowest rank.
 """
 
 from __future__ import annotations
@@ -15,99 +15,106 @@
 from oakvale.failover.failure_detector import ANSWER_TIMEOUT_FACTOR, FailureDetector
 from oakvale.failover.spill_limit import SECOND_US, SpillLimit, max_queue_wait_s
 
-TICK = 50_000  # between two looks at the places
-GIVEN_UP = 1.5  # usual times after which an attempt that was called off tells of its place
-COLD = 2.5  # times as long as usual, that answers of a place may take while it comes back
-CROWDED = 1.5  # open attempts for each slot, besides those that the weir lets wait: half as many again
-SPREAD = 0.5  # seconds, or their aim, that those who are told to come back are spread over: they would come together
-FLOW = 500_000  # between two notes of what goes where, while load moves
-BUSIEST = 1.5
-WHILE = 5_000_000  # a route that nobody asked for twice as long is reckoned with no longer
-LEAST_WAIT = 50_000
+TICK_INTERVAL_US = 50_000
+GIVEN_UP_FACTOR = 1.5  # times the typical latency after which a cancelled attempt counts as a failure
+COLD_LATENCY_FACTOR = 2.5  # times the typical latency that a returning location may take
+OVERLOAD_ATTEMPTS_PER_SLOT = 1.5  # open attempts, besides those that the limit lets wait
+MIN_RETRY_SPREAD_S = 0.5  # spreads the retries of refused requests, which would otherwise arrive together
+FLOW_LOG_INTERVAL_US = 500_000
+BUSIEST_TENANT_POSITION = 1.5  # beyond 1, the position of the lowest rank
+QUEUE_WAIT_PERIOD_US = 5_000_000  # a route without requests for two periods no longer counts
+MIN_RETRY_DELAY_US = 50_000
 
-Missing = Callable[[str], frozenset[str]]  # place -> kinds of observers, besides gateways, that miss it
-Away = Callable[[frozenset[str]], float]  # of these gateways, even shares that some out of reach may use
-Held = Callable[[], Mapping[str, tuple[int, float]]]  # place -> open attempts and slots of its backends
+MissingObservers = Callable[[str], frozenset[str]]  # location -> kinds of observers, besides gateways, that miss it
+UnreachableShares = Callable[[frozenset[str]], float]  # gateways -> how many autonomous shares unreachable ones may use
+OpenAttempts = Callable[[], Mapping[str, tuple[int, float]]]  # location -> (open attempts, slots of its backends)
 
 
 @dataclass(slots=True, frozen=True)
 class SpillRequest:
-    """A request's first attempt, as its gateway tells of it."""
+    """The first attempt of a request, as reported by its gateway."""
 
     gateway: str
     home: str  # the gateway's zone
     rank: int = 0
     tenant: str = ""
-    safe: bool = False
+    safe: bool = False  # may be sent a second time
     cost: float = 0.0  # slot-seconds
-    aim: int = 0  # microseconds
+    target_us: int = 0  # latency target
 
 
 @dataclass(slots=True, frozen=True)
 class AllowedZones:
-    zones: frozenset[str] | None  # None: wherever it likes
+    """The request may be sent to these zones."""
+
+    zones: frozenset[str] | None  # None: all zones
 
 
 @dataclass(slots=True, frozen=True)
 class SpillRejection:
-    """It is refused; it never ran."""
+    """The request is refused and was not sent anywhere."""
 
     retry_after_us: int
 
 
 @dataclass(slots=True, frozen=True)
-class Sent:
+class SentAttempt:
+    """An attempt without a known result; it is dropped after `until`."""
+
     zone: str
-    ask: SpillRequest
+    request: SpillRequest
     at: int
     until: int
 
 
-def _nothing(_: str) -> frozenset[str]:
+def _no_observers(_: str) -> frozenset[str]:
     return frozenset()
 
 
 class SpillController:
+    """One service with all its locations."""
+
     def __init__(
         self,
         service: str,
         draw: Callable[[], float],
-        missing: Missing = _nothing,
-        away: Away | None = None,
-        cut: Callable[[], float] | None = None,
+        missing_observers: MissingObservers = _no_observers,
+        unreachable_shares: UnreachableShares | None = None,
+        usable_share: Callable[[], float] | None = None,
     ) -> None:
-        """`away`: as the keeper. `cut`: as a gateway by itself; what it may use of its even share."""
-        self.service, self._draw, self._missing = service, draw, missing
-        self._away, self._cut = away, cut
+        """`draw` returns a random number below 1. The board holder passes `unreachable_shares`; a gateway that acts
+        alone passes `usable_share`, the part of its autonomous share that it may use."""
+        self.service, self._draw, self._missing_observers = service, draw, missing_observers
+        self._unreachable_shares, self._usable_share = unreachable_shares, usable_share
         self.chains = Chains()
         self.failure_detector = FailureDetector()
         self.evacuations: dict[str, Evacuation] = {}
-        self._weirs: dict[str, SpillLimit] = {}
-        self._sent: dict[int, Sent] = {}
-        self._tried: dict[str, int] = {}  # place -> ticket of the request that tries it
+        self._limiters: dict[str, SpillLimit] = {}
+        self._open: dict[int, SentAttempt] = {}
+        self._probes: dict[str, int] = {}  # location -> ticket of the request that probes it
         self._ranks: list[int] = []
-        # of tenants, in slot-seconds: this second's, and the last's
-        self._used: tuple[dict[str, float], dict[str, float]] = ({}, {})
-        self._used_at = self._ticked = 0
-        self._asked: dict[tuple[str, int], float] = {}
-        self._counted_at = 0
-        self._gone = 0.0  # parts that gateways out of reach may use
-        self._noted: dict[str, tuple[str, float]] = {}  # place -> its flow and share, as last told
-        self._least = (0.0, 0.0)  # the least patience of requests, in seconds: of this while, of the last
-        self._least_at = 0
-        self._let: dict[str, float] = {}  # place -> slot-seconds that went there
-        self._let_at = 0
-        self.rejected_count = 0  # refused
-
-    # ---- what is known
+        # slot-seconds of each tenant: in this second, in the one before
+        self._tenant_use: tuple[dict[str, float], dict[str, float]] = ({}, {})
+        self._tenant_use_since = self._ticked_at = 0
+        self._demand: dict[tuple[str, int], float] = {}
+        self._demand_since = 0
+        self._shares_given_up = 0.0  # autonomous shares that unreachable gateways may use
+        self._logged_states: dict[str, tuple[str, float]] = {}  # location -> state and share, as last logged
+        self._shortest_wait = (0.0, 0.0)  # shortest acceptable queue wait in seconds: of this period, of the last
+        self._shortest_wait_since = 0
+        self._admitted: dict[str, float] = {}  # location -> slot-seconds sent there
+        self._admitted_since = 0
+        self.rejected_count = 0
+
+    # ---- state
 
     def set_chains(self, chains: Chains) -> None:
-        """Another version: what has been spent stays spent."""
+        """Takes another version; older ones are ignored. The levels of the limits are kept."""
         if chains.version >= self.chains.version:
             self.chains = chains
 
     def adopt_closed_zones(self, closed: Iterable[str], now: int) -> None:
-        """Another's word, who sees more."""
+        """Takes the closed zones from an instance that knows more."""
         closed = set(closed)
         for zone in closed:
             evacuation = self.evacuations.setdefault(zone, Evacuation())
@@ -118,250 +125,288 @@
                 self.evacuations[zone] = Evacuation()
 
     def closed_zones(self, gateway: str) -> frozenset[str]:
-        """What is out for a gateway: also a place that is tried, but for the gateway whose request tries it."""
-        tries = {zone for zone, ticket in self._tried.items() if self._sent[ticket].ask.gateway == gateway}
+        """The zones that a gateway must not use: evacuated ones, and those that a request of another gateway probes."""
+        probed_by_gateway = {
+            zone for zone, ticket in self._probes.items() if self._open[ticket].request.gateway == gateway
+        }
         return frozenset(
             zone
             for zone, evacuation in self.evacuations.items()
             if evacuation.state is EvacuationState.EVACUATED
             or evacuation.state is EvacuationState.PROBING
-            and zone not in tries
+            and zone not in probed_by_gateway
         )
 
     def take_flow(self, now: int) -> dict[str, str]:
-        """Since the last call: place -> slots' worth of work that went there, of its limit."""
-        span = max(1, now - self._let_at) / SECOND_US
-        let, self._let, self._let_at = self._let, {}, now
+        """The load since the last call: location -> slots used, of its limit."""
+        elapsed_s = max(1, now - self._admitted_since) / SECOND_US
+        admitted, self._admitted, self._admitted_since = self._admitted, {}, now
         limits = self.chains.limits.get(self.service, {})
-        return {zone: f"{let.get(zone, 0.0) / span:.2f}/{limit:.2f}" for zone, limit in sorted(limits.items())}
+        return {
+            zone: f"{admitted.get(zone, 0.0) / elapsed_s:.2f}/{limit:.2f}" for zone, limit in sorted(limits.items())
+        }
 
     def flow_log_due(self, now: int) -> bool:
-        return self.is_active() and now - self._let_at >= FLOW
+        """Whether the load is to be logged, which is done regularly while `is_active`."""
+        return self.is_active() and now - self._admitted_since >= FLOW_LOG_INTERVAL_US
 
     def state_changes(self) -> list[tuple[str, str, float]]:
-        """Places whose flow has changed since the last call: how they stand, and the share that they take."""
-        now = {
+        """Locations whose state has changed since the last call, with state and capacity share."""
+        current = {
             zone: (evacuation.state.value, evacuation.capacity_share())
             for zone, evacuation in self.evacuations.items()
-            if evacuation.state is not EvacuationState.IN_SERVICE or zone in self._noted
+            if evacuation.state is not EvacuationState.IN_SERVICE or zone in self._logged_states
+        }
+        changes = [(zone, *state) for zone, state in current.items() if self._logged_states.get(zone) != state]
+        self._logged_states = {
+            zone: state for zone, state in current.items() if state[0] != EvacuationState.IN_SERVICE.value
         }
-        told = [(zone, *state) for zone, state in now.items() if self._noted.get(zone) != state]
-        self._noted = {zone: state for zone, state in now.items() if state[0] != EvacuationState.IN_SERVICE.value}
-        return told
+        return changes
 
     def is_active(self) -> bool:
-        """Some place is out, or on its way back."""
+        """Whether any location is not fully in service."""
         return any(evacuation.state is not EvacuationState.IN_SERVICE for evacuation in self.evacuations.values())
 
     # ---- requests
 
     def admit(
-        self, ask: SpillRequest, places: Iterable[str], usual: int, held: Held | None, now: int
+        self,
+        request: SpillRequest,
+        zones: Iterable[str],
+        typical_latency: int,
+        open_attempts: OpenAttempts | None,
+        now: int,
     ) -> AllowedZones | SpillRejection:
-        """`places`: the zones with backends that may be named; `usual`: microseconds that an answer takes."""
-        places = set(places)
-        self._count(ask, now)
-        self._tick(places, usual, now)
+        """Decides where a request may go. `zones`: those with usable backends; `typical_latency`: in microseconds;
+        `open_attempts`: None if unknown."""
+        zones = set(zones)
+        self._count_demand(request, now)
+        self._tick(zones, typical_latency, now)
         if not self.is_active():
             return AllowedZones(None)
-        here = {zone: self.evacuations.setdefault(zone, Evacuation()) for zone in places}
-        for zone, evacuation in here.items():
-            tries = ask.safe or evacuation.probe_overdue(now) and "beats" not in self._missing(zone)
-            if evacuation.state is EvacuationState.PROBING and tries and zone not in self._tried:
+        evacuations = {zone: self.evacuations.setdefault(zone, Evacuation()) for zone in zones}
+        for zone, evacuation in evacuations.items():
+            may_probe = request.safe or evacuation.probe_overdue(now) and "beats" not in self._missing_observers(zone)
+            if evacuation.state is EvacuationState.PROBING and may_probe and zone not in self._probes:
                 return AllowedZones(frozenset({zone}))
-        up = [
+        usable = [
             zone
-            for zone, evacuation in here.items()
+            for zone, evacuation in evacuations.items()
             if evacuation.state in (EvacuationState.IN_SERVICE, EvacuationState.RAMPING_UP)
         ]
-        if not up:
-            return AllowedZones(None)  # nothing is better known than all being out
-        may = self._bears(ask, now)
-        crowd = self._crowded(held, usual, now)
-        low, wait = self._low(ask), SECOND_US
-        for tier in self._tiers(ask.home, up):
-            passing = set()
+        if not usable:
+            return AllowedZones(None)  # with all zones out, none is better than another
+        max_wait_s = self._common_queue_wait_s(request, now)
+        overloaded = self._overloaded_zones(open_attempts, typical_latency, now)
+        rank_position, delay_us = self._rank_position(request), SECOND_US
+        for tier in self._preferred_tiers(request.home, usable):
+            admitting = set()
             for zone in tier:
-                weir = self._weir(zone, now)
-                if weir is None or zone not in crowd and weir.admits(may, low, now):
-                    passing.add(zone)
-                elif weir.effective_limit() > 0:
-                    wait = min(wait, weir.wait_us(may, low))
-            fills = {zone for zone in passing if here[zone].state is EvacuationState.RAMPING_UP}
-            if passing:  # what fills gets its step, or a cold place, next to others, would never stand one
-                return AllowedZones(frozenset(fills or passing))
+                limiter = self._zone_limiter(zone, now)
+                if limiter is None or zone not in overloaded and limiter.admits(max_wait_s, rank_position, now):
+                    admitting.add(zone)
+                elif limiter.effective_limit() > 0:
+                    delay_us = min(delay_us, limiter.wait_us(max_wait_s, rank_position))
+            ramping_up = {zone for zone in admitting if evacuations[zone].state is EvacuationState.RAMPING_UP}
+            # returning zones come first: next to warm zones they would get too little load to complete a step
+            if admitting:
+                return AllowedZones(frozenset(ramping_up or admitting))
         self.rejected_count += 1
-        return SpillRejection(max(LEAST_WAIT, wait) + int(max(SPREAD * SECOND_US, ask.aim) * self._draw()))
+        return SpillRejection(
+            max(MIN_RETRY_DELAY_US, delay_us)
+            + int(max(MIN_RETRY_SPREAD_S * SECOND_US, request.target_us) * self._draw())
+        )
 
-    def record_sent(self, zone: str, ask: SpillRequest, ticket: int, until: int, now: int) -> None:
-        self.failure_detector.record_sent(zone, ask.gateway, ask.home, now)
-        self._sent[ticket] = Sent(zone, ask, now, until)
+    def record_sent(self, zone: str, request: SpillRequest, ticket: int, until: int, now: int) -> None:
+        """Records that an attempt was sent; `until`: when it ends at the latest."""
+        self.failure_detector.record_sent(zone, request.gateway, request.home, now)
+        self._open[ticket] = SentAttempt(zone, request, now, until)
         evacuation = self.evacuations.get(zone)
         if evacuation is not None and evacuation.state is EvacuationState.PROBING:
-            self._tried[zone] = ticket
-        self._spend(zone, ask.tenant, ask.cost, now)
+            self._probes[zone] = ticket
+        self._consume(zone, request.tenant, request.cost, now)
 
     def record_end(
-        self, ticket: int, zone: str, ask: SpillRequest, latency: int, outcome: str, usual: int, now: int
+        self, ticket: int, zone: str, request: SpillRequest, latency: int, outcome: str, typical_latency: int, now: int
     ) -> None:
-        """`ticket` 0: nobody asked here before that attempt; it weighs on the place all the same."""
+        """Records the result of an attempt. `ticket` 0: the attempt was not admitted here, but still uses the zone."""
         evacuation = self.evacuations.get(zone)
-        known = self._sent.pop(ticket, None)
-        if self._tried.get(zone) == ticket and known is not None:
-            del self._tried[zone]
-        slow = (
-            COLD
+        sent = self._open.pop(ticket, None)
+        if self._probes.get(zone) == ticket and sent is not None:
+            del self._probes[zone]
+        latency_factor = (
+            COLD_LATENCY_FACTOR
             if evacuation is not None and evacuation.state in (EvacuationState.PROBING, EvacuationState.RAMPING_UP)
             else 1.0
         )
-        if outcome == "none" and latency < GIVEN_UP * slow * usual:
-            if known is not None and latency == 0:
-                self._spend(zone, ask.tenant, -known.ask.cost, now)  # it was not made
+        if outcome == "none" and latency < GIVEN_UP_FACTOR * latency_factor * typical_latency:
+            if sent is not None and latency == 0:
+                self._consume(zone, request.tenant, -sent.request.cost, now)  # it was not sent
             return
-        if known is None:
-            self._spend(zone, ask.tenant, ask.cost, now)
+        if sent is None:
+            self._consume(zone, request.tenant, request.cost, now)
         if outcome == "full":
-            weir = (
-                self._weir(zone, now)
+            limiter = (
+                self._zone_limiter(zone, now)
                 if evacuation is not None and evacuation.state is EvacuationState.IN_SERVICE and self.is_active()
                 else None
             )
-            return weir.reduce_for_overload(now) if weir is not None else None
-        served = outcome in ("served", "error")  # its own error is an answer
-        if served:
-            self.failure_detector.record_answer(zone, ask.gateway, ask.home, now)
+            return limiter.reduce_for_overload(now) if limiter is not None else None
+        answered = outcome in ("served", "error")  # an error response of the backend is a response
+        if answered:
+            self.failure_detector.record_answer(zone, request.gateway, request.home, now)
         else:
-            self.failure_detector.record_failure(zone, ask.gateway, ask.home, now - latency, now)
-        lately = known is None or served or now - latency >= (evacuation.state_since if evacuation is not None else 0)
+            self.failure_detector.record_failure(zone, request.gateway, request.home, now - latency, now)
+        in_current_state = (
+            sent is None or answered or now - latency >= (evacuation.state_since if evacuation is not None else 0)
+        )
         if (
             evacuation is not None
             and evacuation.state in (EvacuationState.PROBING, EvacuationState.RAMPING_UP)
-            and lately
+            and in_current_state
         ):
-            evacuation.record_result(served, now)
+            evacuation.record_result(answered, now)
 
     def take_loads(self, now: int) -> list[Load]:
-        """What was asked since the last report, in slots kept busy."""
-        span = max(1, now - self._counted_at) / SECOND_US
-        asked, self._asked, self._counted_at = self._asked, {}, now
-        return [Load(home, self.service, rank, work / span) for (home, rank), work in sorted(asked.items())]
-
-    # ---- inside
-
-    def _count(self, ask: SpillRequest, now: int) -> None:
-        if not self._counted_at:
-            self._counted_at = now
-        key = (ask.home, ask.rank)
-        self._asked[key] = self._asked.get(key, 0.0) + ask.cost
-        if ask.rank not in self._ranks:
-            self._ranks = sorted([*self._ranks, ask.rank])
-
-    def _tick(self, places: set[str], usual: int, now: int) -> None:
-        if now - self._ticked < TICK:
+        """The load since the last call, in slots kept busy."""
+        elapsed_s = max(1, now - self._demand_since) / SECOND_US
+        demand, self._demand, self._demand_since = self._demand, {}, now
+        return [Load(home, self.service, rank, work / elapsed_s) for (home, rank), work in sorted(demand.items())]
+
+    # ---- internals
+
+    def _count_demand(self, request: SpillRequest, now: int) -> None:
+        if not self._demand_since:
+            self._demand_since = now
+        key = (request.home, request.rank)
+        self._demand[key] = self._demand.get(key, 0.0) + request.cost
+        if request.rank not in self._ranks:
+            self._ranks = sorted([*self._ranks, request.rank])
+
+    def _tick(self, zones: set[str], typical_latency: int, now: int) -> None:
+        if now - self._ticked_at < TICK_INTERVAL_US:
             return
-        self._ticked = now
-        self._gone = self._away(self.chains.possible_roster) if self._away is not None else 0.0
-        for ticket in [ticket for ticket, sent in self._sent.items() if sent.until <= now]:
-            sent = self._sent.pop(ticket)  # it was never handed back
-            if self._tried.get(sent.zone) == ticket:
-                del self._tried[sent.zone]
-        for zone, ticket in list(self._tried.items()):
-            if now - self._sent[ticket].at >= max(ANSWER_TIMEOUT_FACTOR * COLD * usual, PROBE_INTERVAL_US):
-                del self._tried[zone]
+        self._ticked_at = now
+        self._shares_given_up = (
+            self._unreachable_shares(self.chains.possible_roster) if self._unreachable_shares is not None else 0.0
+        )
+        for ticket in [ticket for ticket, sent in self._open.items() if sent.until <= now]:
+            sent = self._open.pop(ticket)  # its result was never reported
+            if self._probes.get(sent.zone) == ticket:
+                del self._probes[sent.zone]
+        for zone, ticket in list(self._probes.items()):
+            if now - self._open[ticket].at >= max(
+                ANSWER_TIMEOUT_FACTOR * COLD_LATENCY_FACTOR * typical_latency, PROBE_INTERVAL_US
+            ):
+                del self._probes[zone]
                 self.evacuations[zone].record_result(False, now)
-        for zone in [zone for zone in self.evacuations if zone not in places]:
+        for zone in [zone for zone in self.evacuations if zone not in zones]:
             if self.evacuations[zone].state is not EvacuationState.EVACUATED:
-                self.evacuations.pop(zone)  # it has no backend any more: the list says so
-                self._tried.pop(zone, None)
-        for zone in places:
+                self.evacuations.pop(zone)  # it has no backends any more
+                self._probes.pop(zone, None)
+        for zone in zones:
             evacuation = self.evacuations.setdefault(zone, Evacuation(state_since=now))
-            evacuation.tick("beats" not in self._missing(zone), now)
-            others = [
-                other
-                for other in places
-                if other != zone
-                and self.evacuations.setdefault(other, Evacuation(state_since=now)).state
+            evacuation.tick("beats" not in self._missing_observers(zone), now)
+            other_zones = [
+                other_zone
+                for other_zone in zones
+                if other_zone != zone
+                and self.evacuations.setdefault(other_zone, Evacuation(state_since=now)).state
                 is not EvacuationState.EVACUATED
             ]
-            slow = COLD if evacuation.state is EvacuationState.RAMPING_UP else 1.0
+            latency_factor = COLD_LATENCY_FACTOR if evacuation.state is EvacuationState.RAMPING_UP else 1.0
             if (
                 evacuation.state in (EvacuationState.IN_SERVICE, EvacuationState.RAMPING_UP)
-                and others
-                and self.failure_detector.has_failed(zone, int(slow * usual), self._missing(zone), now)
+                and other_zones
+                and self.failure_detector.has_failed(
+                    zone, int(latency_factor * typical_latency), self._missing_observers(zone), now
+                )
             ):
                 evacuation.record_failure(now)
             if evacuation.state is EvacuationState.EVACUATED:
-                self._weirs.pop(zone, None)  # what it was like before says nothing of what comes back
+                self._limiters.pop(zone, None)  # earlier observations do not apply to its return
                 self.failure_detector.reset(zone)
-                self._tried.pop(zone, None)
+                self._probes.pop(zone, None)
 
-    def _tiers(self, home: str, zones: Iterable[str]) -> list[list[str]]:
-        """Within a region a free slot next door is better than a wait at home; beyond, the nearest first."""
+    def _preferred_tiers(self, home: str, zones: Iterable[str]) -> list[list[str]]:
+        """First all zones of the region, as a free slot nearby is better than a wait at home; then by distance."""
         hierarchy = self.chains.hierarchy
         tiers = hierarchy.tiers(home, zones)
-        near = [zone for tier in tiers for zone in tier if hierarchy.distance(home, zone) <= 1]
-        return ([near] if near else []) + [tier for tier in tiers if hierarchy.distance(home, tier[0]) > 1]
+        nearby = [zone for tier in tiers for zone in tier if hierarchy.distance(home, zone) <= 1]
+        return ([nearby] if nearby else []) + [tier for tier in tiers if hierarchy.distance(home, tier[0]) > 1]
 
-    def _weir(self, zone: str, now: int) -> SpillLimit | None:
-        """None: nothing is known of what it holds."""
-        limit = self._limit(zone)
+    def _zone_limiter(self, zone: str, now: int) -> SpillLimit | None:
+        """The limiter of a zone, up to date; None if its limit is unknown."""
+        limit = self._zone_limit(zone)
         if limit is None:
             return None
-        weir = self._weirs.get(zone)
-        if weir is None:
-            weir = self._weirs[zone] = SpillLimit(now)
+        limiter = self._limiters.get(zone)
+        if limiter is None:
+            limiter = self._limiters[zone] = SpillLimit(now)
         evacuation = self.evacuations.get(zone)
-        weir.refill(now)
-        weir.limit = limit * (evacuation.capacity_share() if evacuation is not None else 1.0)
-        weir.level = min(weir.level, weir.max_level())
-        return weir
+        limiter.refill(now)
+        limiter.limit = limit * (evacuation.capacity_share() if evacuation is not None else 1.0)
+        limiter.level = min(limiter.level, limiter.max_level())
+        return limiter
 
-    def _limit(self, zone: str) -> float | None:
+    def _zone_limit(self, zone: str) -> float | None:
         chains, service = self.chains, self.service
         if zone not in chains.limits.get(service, {}):
             return None
-        if self._away is not None:
+        if self._unreachable_shares is not None:
             return max(
-                0.0, chains.holder_share[service][zone] - self._gone * chains.max_autonomous_share[service][zone]
+                0.0,
+                chains.holder_share[service][zone] - self._shares_given_up * chains.max_autonomous_share[service][zone],
             )
-        part = self._cut() if self._cut is not None else 0.0
-        return chains.reserved_share[service][zone] + part * chains.autonomous_share[service][zone]
-
-    def _crowded(self, held: Held | None, usual: int, now: int) -> set[str]:
-        most = CROWDED + min(x for x in self._least if x) * SECOND_US / max(usual, 1) if any(self._least) else CROWDED
-        up = {zone for zone, evacuation in self.evacuations.items() if evacuation.state is EvacuationState.IN_SERVICE}
-        there = held() if held is not None else {}
-        found = {zone for zone, (out, slots) in there.items() if zone in up and out > most * slots + 1}
-        for zone in found:
-            weir = self._weir(zone, now)
-            if weir is not None:
-                weir.reduce_for_overload(now)
-        return found
-
-    def _spend(self, zone: str, tenant: str, cost: float, now: int) -> None:
-        self._let[zone] = self._let.get(zone, 0.0) + cost
+        usable = self._usable_share() if self._usable_share is not None else 0.0
+        return chains.reserved_share[service][zone] + usable * chains.autonomous_share[service][zone]
+
+    def _overloaded_zones(self, open_attempts: OpenAttempts | None, typical_latency: int, now: int) -> set[str]:
+        max_per_slot = (
+            OVERLOAD_ATTEMPTS_PER_SLOT + min(x for x in self._shortest_wait if x) * SECOND_US / max(typical_latency, 1)
+            if any(self._shortest_wait)
+            else OVERLOAD_ATTEMPTS_PER_SLOT
+        )
+        in_service = {
+            zone for zone, evacuation in self.evacuations.items() if evacuation.state is EvacuationState.IN_SERVICE
+        }
+        attempts = open_attempts() if open_attempts is not None else {}
+        overloaded = {
+            zone
+            for zone, (open_count, slots) in attempts.items()
+            if zone in in_service and open_count > max_per_slot * slots + 1
+        }
+        for zone in overloaded:
+            limiter = self._zone_limiter(zone, now)
+            if limiter is not None:
+                limiter.reduce_for_overload(now)
+        return overloaded
+
+    def _consume(self, zone: str, tenant: str, cost: float, now: int) -> None:
+        self._admitted[zone] = self._admitted.get(zone, 0.0) + cost
         if not self.is_active():
             return
-        weir = self._weir(zone, now)
-        if weir is not None:
-            weir.consume(cost)
-        if now - self._used_at >= SECOND_US:
-            self._used = ({}, self._used[0] if now - self._used_at < 2 * SECOND_US else {})
-            self._used_at = now
-        self._used[0][tenant] = self._used[0].get(tenant, 0.0) + cost
-
-    def _bears(self, ask: SpillRequest, now: int) -> float:
-        """Seconds of queue for all alike: who bears more would fill it, and who bears less never get in."""
-        if now - self._least_at >= WHILE:
-            self._least, self._least_at = (0.0, self._least[0]), now
-        may = max(max_queue_wait_s(ask.aim, ask.cost), 0.001)
-        self._least = (min(self._least[0] or may, may), self._least[1])
-        return min(x for x in self._least if x)
-
-    def _low(self, ask: SpillRequest) -> float:
-        """0 for the highest rank, 1 for the lowest, and more for a tenant that takes more than all others."""
-        last = len(self._ranks) - 1
-        low = self._ranks.index(ask.rank) / last if last > 0 else 0.0
-        sums = [sum(used.values()) for used in self._used]
-        own = sum(used.get(ask.tenant, 0.0) for used in self._used)
-        return BUSIEST if ask.tenant and 2 * own > sum(sums) else low
+        limiter = self._zone_limiter(zone, now)
+        if limiter is not None:
+            limiter.consume(cost)
+        if now - self._tenant_use_since >= SECOND_US:
+            self._tenant_use = ({}, self._tenant_use[0] if now - self._tenant_use_since < 2 * SECOND_US else {})
+            self._tenant_use_since = now
+        self._tenant_use[0][tenant] = self._tenant_use[0].get(tenant, 0.0) + cost
+
+    def _common_queue_wait_s(self, request: SpillRequest, now: int) -> float:
+        """The queue wait in seconds that is allowed to all requests alike. Otherwise requests with long targets would
+        fill the queue, and those with short ones would never be admitted."""
+        if now - self._shortest_wait_since >= QUEUE_WAIT_PERIOD_US:
+            self._shortest_wait, self._shortest_wait_since = (0.0, self._shortest_wait[0]), now
+        max_wait_s = max(max_queue_wait_s(request.target_us, request.cost), 0.001)
+        self._shortest_wait = (min(self._shortest_wait[0] or max_wait_s, max_wait_s), self._shortest_wait[1])
+        return min(x for x in self._shortest_wait if x)
+
+    def _rank_position(self, request: SpillRequest) -> float:
+        """0 for the highest rank, 1 for the lowest, and more for a tenant that uses more than all others together."""
+        lowest = len(self._ranks) - 1
+        position = self._ranks.index(request.rank) / lowest if lowest > 0 else 0.0
+        sums = [sum(used.values()) for used in self._tenant_use]
+        own = sum(used.get(request.tenant, 0.0) for used in self._tenant_use)
+        return BUSIEST_TENANT_POSITION if request.tenant and 2 * own > sum(sums) else position
--- a/tests/failover_simulation.py
+++ b/tests/failover_simulation.py
@@ -131,7 +131,7 @@
         gateway.spill = SpillController(
             "s",
             self.rng.random,
-            cut=lambda: 0.0
+            usable_share=lambda: 0.0
             if self.now - gateway.contact < CUT
             else (1.0 if self.now - gateway.contact < LONG else FEW),
         )
@@ -151,7 +151,7 @@
             "s",
             self.rng.random,
             lambda place: frozenset(self.missed.get(place, set())),
-            away=lambda may: sum(
+            unreachable_shares=lambda may: sum(
                 FEW if self.now - self.heard.get(g, begun) >= LONG_GONE else 1.0
                 for g in may
                 if self.now - self.heard.get(g, -HEARD) >= HEARD
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -211,7 +211,7 @@
     world.fail("b")
     world.run(9).judge()
     assert world.keeper is not None
-    holds = [world.keeper._weirs[name].capacity_factor for name in "ac"]
+    holds = [world.keeper._limiters[name].capacity_factor for name in "ac"]
     assert max(holds) < 0.85
     began = [at for name in "ac" for at in world.places[name].began if at > world.now - 3 * SECOND]
     assert len(began) > 0.8 * 6 * 3 * SECOND / WORK  # and what is there is used
@@ -377,8 +377,8 @@
     """Its backends are cold and distrusted: named next to warm ones they got nothing, and it never came back."""
     chains = plan_chains(1, build_hierarchy(ZONES, {}), {(zone, "s"): 3.0 for zone in ZONES}, [], ["g"])
     spill, ask = (
-        SpillController("s", random.Random(1).random, away=lambda may: 0),
-        SpillRequest("g", "a", safe=True, cost=0.2, aim=AIM),
+        SpillController("s", random.Random(1).random, unreachable_shares=lambda may: 0),
+        SpillRequest("g", "a", safe=True, cost=0.2, target_us=AIM),
     )
     spill.set_chains(chains)
     spill.evacuations["b"] = Evacuation(EvacuationState.RAMPING_UP, state_since=SECOND)
@@ -391,7 +391,7 @@
 
 def test_a_crest_says_nothing_while_all_is_well_and_never_closes_the_last_place() -> None:
     spill = SpillController("s", random.Random(1).random)
-    ask = SpillRequest("g", "a", cost=0.1, aim=AIM)
+    ask = SpillRequest("g", "a", cost=0.1, target_us=AIM)
     assert spill.admit(ask, ["a"], WORK, None, SECOND) == AllowedZones(None)
     for at in range(40):
         spill.record_sent("a", ask, at + 1, 90 * SECOND, SECOND + at * 50 * MS)
