--- a/tests/test_hours.py
+++ b/tests/test_hours.py
@@ -1,4 +1,4 @@
-"""Hours of contracts against a slow model, the two odd days, the file's errors, and the agreed time."""
+"""Contract hours against a slow model, days with a clock change, errors of the contracts file, and the agreed time."""
 
 from __future__ import annotations
 
@@ -31,23 +31,25 @@
 
 
 def is_open(contract: Contract, now: int) -> bool:
-    """Span by span: every reading of its beginning is over, no reading of its end is reached. Readings are made with
-    each offset that the zone has within a day."""
+    """Whether all readings of the beginning of some span are past and no reading of its end is. The readings use every
+    UTC offset of the zone within two and a half days."""
     zone, when = ZoneInfo(contract.zone), datetime.fromtimestamp(now / SECOND_US, UTC)
     offsets = {(when + timedelta(hours=h)).astimezone(zone).utcoffset() for h in range(-60, 61, 6)}
 
     def readings(day: date, minute: int) -> list[datetime]:
         wall = datetime(day.year, day.month, day.day) + timedelta(minutes=minute)
         found = [(wall - offset).replace(tzinfo=UTC) for offset in offsets if offset is not None]
-        real = [r for r in found if r.astimezone(zone).replace(tzinfo=None) == wall]
-        return real or [r for r in found if abs(r.astimezone(zone).replace(tzinfo=None) - wall) <= timedelta(hours=1)]
+        existing = [r for r in found if r.astimezone(zone).replace(tzinfo=None) == wall]
+        return existing or [
+            r for r in found if abs(r.astimezone(zone).replace(tzinfo=None) - wall) <= timedelta(hours=1)
+        ]
 
     for back in (-1, 0, 1, 2):
         day = when.astimezone(zone).date() - timedelta(days=back)
         for span in contract.dates.get(day, contract.week[day.weekday()]):
-            over = span.end <= span.begin
-            ends = readings(day, span.end + (MINUTES_PER_DAY if over else 0))
-            if over and day + timedelta(days=1) in contract.dates:
+            past_midnight = span.end <= span.begin
+            ends = readings(day, span.end + (MINUTES_PER_DAY if past_midnight else 0))
+            if past_midnight and day + timedelta(days=1) in contract.dates:
                 ends += readings(day, MINUTES_PER_DAY)
             if when >= max(readings(day, span.begin)) and when < min(ends):
                 return True
@@ -55,7 +57,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_drawn_contracts_against_the_slow_model(seed: int) -> None:
+def test_random_contracts_match_the_slow_model(seed: int) -> None:
     rng = random.Random(seed)
     for _ in range(12):
 
@@ -74,15 +76,15 @@
         calendar, found = Calendar(contract), windows(contract, start, 8)
         for _ in range(40):
             now = start + rng.randrange(0, 4 * DAY_US, 15 * MINUTE // 2)
-            told = is_open(contract, now)
-            assert any(window.opens <= now < window.closes for window in found) == told, (contract, now)
-            assert calendar.is_open(now) == told
+            expected = is_open(contract, now)
+            assert any(window.opens <= now < window.closes for window in found) == expected, (contract, now)
+            assert calendar.is_open(now) == expected
 
 
-def test_the_two_odd_days() -> None:
-    """02:30 that does not come, and 01:30 that comes twice: hours open late and close early, never the other way."""
+def test_hours_on_days_with_a_clock_change() -> None:
+    """02:30 does not occur or 01:30 occurs twice: hours open at the later reading and close at the earlier one."""
 
-    def of(begin: int, end: int, day: str) -> list[tuple[str, str]]:
+    def windows_on(begin: int, end: int, day: str) -> list[tuple[str, str]]:
         week = ((Span(begin, end),),) * 7
         contract = Contract("t", "America/New_York", week)
         return [
@@ -94,13 +96,13 @@
             if datetime.fromtimestamp(w.opens / SECOND_US, UTC).date() == date.fromisoformat(day)
         ]
 
-    assert of(150, 240, "2026-03-08") == [("08T07:30", "08T08:00")]  # 02:30 is 03:30 EDT, not 01:30 EST
-    assert of(60, 150, "2026-03-08") == [("08T06:00", "08T06:30")]  # to 02:30: 01:30 EST
-    assert of(90, 180, "2026-11-01") == [("01T06:30", "01T08:00")]  # from the second 01:30 on
-    assert of(30, 90, "2026-11-01") == [("01T04:30", "01T05:30")]  # to the first 01:30
+    assert windows_on(150, 240, "2026-03-08") == [("08T07:30", "08T08:00")]  # 02:30 is 03:30 EDT, not 01:30 EST
+    assert windows_on(60, 150, "2026-03-08") == [("08T06:00", "08T06:30")]  # to 02:30: 01:30 EST
+    assert windows_on(90, 180, "2026-11-01") == [("01T06:30", "01T08:00")]  # from the second 01:30 on
+    assert windows_on(30, 90, "2026-11-01") == [("01T04:30", "01T05:30")]  # to the first 01:30
 
 
-def test_a_margin_and_a_lead_shorten_each_window_and_may_leave_nothing() -> None:
+def test_margin_and_lead_shorten_each_window_possibly_to_nothing() -> None:
     contract = Contract("t", "UTC", (((Span(60, 62),),) * 7))
     calendar = Calendar(contract, 10 * SECOND_US)
     now = at("2026-06-10T00:00")
@@ -135,7 +137,7 @@
 """
 
 
-def test_the_file(tmp_path: Path) -> None:
+def test_load_contracts(tmp_path: Path) -> None:
     path = tmp_path / "contracts.toml"
     path.write_text(GOOD)
     found = contracts.load(str(path))
@@ -147,7 +149,7 @@
 
 
 @pytest.mark.parametrize(
-    ("was", "now", "says"),
+    ("was", "now", "message"),
     [
         ("22:00", "22:60", "contract of north: hours.0.from: "),
         ('"fri"', '"friday"', "contract of north: hours.0.days.1: "),
@@ -162,23 +164,25 @@
         ("[[contract]]", "[[contract]", "not TOML: "),
     ],
 )
-def test_errors_of_the_file_name_file_tenant_and_field(tmp_path: Path, was: str, now: str, says: str) -> None:
+def test_errors_of_the_contracts_file_name_file_tenant_and_field(
+    tmp_path: Path, was: str, now: str, message: str
+) -> None:
     path = tmp_path / "contracts.toml"
     path.write_text(GOOD.replace(was, now, 1))
     with pytest.raises(BadFile) as error:
         contracts.load(str(path))
-    assert str(error.value).startswith(f"{path}: {says}") and "\n" not in str(error.value)
+    assert str(error.value).startswith(f"{path}: {message}") and "\n" not in str(error.value)
 
 
 # ---- the agreed time
 
 
-def agreed(offsets: list[dict[str, int]], machines: int = 3) -> list[int | None]:
-    """Offsets of each machine's clock from the true time, a second each; the agreed time's offset after each."""
+def agreed_offsets(offsets: list[dict[str, int]], machines: int = 3) -> list[int | None]:
+    """The offset of the agreed time after each second, given the offsets of the machines' clocks in each second."""
     agreement, out = ClockAgreement(), []
-    for second, said in enumerate(offsets):
+    for second, readings in enumerate(offsets):
         now = 1_000 * SECOND_US + second * SECOND_US
-        for machine, offset in said.items():
+        for machine, offset in readings.items():
             agreement.record(machine, now + 5_000 * SECOND_US + offset, now)
         agreement.update(now, machines)
         found = agreement.agreed_time(now)
@@ -188,23 +192,25 @@
 
 @pytest.mark.parametrize("step", [-30 * SECOND_US, -3 * SECOND_US, 3 * SECOND_US, 30 * SECOND_US])
 @pytest.mark.parametrize("machines", [2, 3, 4, 5])
-def test_a_step_of_one_clock_changes_nothing(step: int, machines: int) -> None:
-    """At any moment, for however long, also where two machines are all there are."""
+def test_a_step_of_one_clock_has_no_effect(step: int, machines: int) -> None:
+    """For a long step, and also with only two machines."""
     names = [f"m{n}" for n in range(machines)]
-    calm = {name: 20_000 * n for n, name in enumerate(names)}
-    found = agreed([calm] * 5 + [calm | {"m0": step}] * 300 + [calm] * 5, machines)
+    normal = {name: 20_000 * n for n, name in enumerate(names)}
+    found = agreed_offsets([normal] * 5 + [normal | {"m0": step}] * 300 + [normal] * 5, machines)
     assert all(offset is not None and abs(offset) <= 100_000 for offset in found)
 
 
-def test_clocks_that_step_together_change_nothing_until_they_have_stood_so() -> None:
-    calm, off = {"a": 0, "b": 0, "c": 0}, {"a": 0, "b": 2 * SECOND_US, "c": 2 * SECOND_US}
-    assert set(agreed([calm] * 5 + [off] * 10 + [calm] * 5)) == {0}
-    found = agreed([calm] * 5 + [off] * (STEP_SETTLE_US // SECOND_US + 5))
+def test_a_common_step_of_several_clocks_takes_effect_only_after_a_delay() -> None:
+    normal, stepped = {"a": 0, "b": 0, "c": 0}, {"a": 0, "b": 2 * SECOND_US, "c": 2 * SECOND_US}
+    assert set(agreed_offsets([normal] * 5 + [stepped] * 10 + [normal] * 5)) == {0}
+    found = agreed_offsets([normal] * 5 + [stepped] * (STEP_SETTLE_US // SECOND_US + 5))
     assert found[STEP_SETTLE_US // SECOND_US] == 0 and found[-1] == 2 * SECOND_US
 
 
-def test_no_time_is_known_before_more_than_half_agree() -> None:
-    assert set(agreed([{"a": 0}] * 10)) == {None}
-    assert set(agreed([{"a": 0, "b": 5 * SECOND_US}] * 10)) == {None}
-    lost = agreed([{"a": 0, "b": 0, "c": 0}] * 3 + [{"a": 7 * SECOND_US}] * (2 * READING_LIFETIME_US // SECOND_US))
-    assert set(lost) == {0}  # the others fell silent: the time goes on by the steady clock
+def test_the_time_is_unknown_until_more_than_half_of_the_clocks_agree() -> None:
+    assert set(agreed_offsets([{"a": 0}] * 10)) == {None}
+    assert set(agreed_offsets([{"a": 0, "b": 5 * SECOND_US}] * 10)) == {None}
+    lost = agreed_offsets(
+        [{"a": 0, "b": 0, "c": 0}] * 3 + [{"a": 7 * SECOND_US}] * (2 * READING_LIFETIME_US // SECOND_US)
+    )
+    assert set(lost) == {0}  # without responses of the others, the time continues by the monotonic clock
