--- a/tests/drain_simulation.py
+++ b/tests/drain_simulation.py
@@ -1,5 +1,5 @@
-"""Drains in simulated time: the real hand of the primary and the real gateways' part, with faults, and a plain model
-that judges them by the wall clock of each tenant and by a list of all requests.
+"""Drains in simulated time: the real executor and the real move followers with injected faults, checked by a simple
+model with the wall clock of each tenant and a list of all requests.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def in_hours(contract: Contract | None, at: int) -> bool:
-    """The slow way: is there a span whose wall times embrace this second, yesterday's over midnight among them?"""
+    """Slow check: whether a span of today, or one of yesterday past midnight, contains this second."""
     if contract is None:
         return True
     minutes = at // MINUTE + OFFSETS[contract.zone]
@@ -57,17 +57,19 @@
 class Gate:
     node: str
     zone: str
-    life: str
+    incarnation: str
     moves: MoveFollower
-    cut: int = 0  # since when nothing reaches it or comes from it
+    isolated_since: int = 0  # 0: connected
     skew: int = 0
-    born: bool = True
+    first_update: bool = True
     backends: dict[str, Any] = field(default_factory=dict)
-    watch: dict[str, list[Request]] = field(default_factory=dict)  # move -> what was in flight when it began
+    watch: dict[str, list[Request]] = field(default_factory=dict)  # move key -> requests in flight when it began
     opened: dict[str, int] = field(default_factory=dict)
 
 
-class Waterway:
+class DrainSimulation:
+    """A core primary, gateways, backends and requests."""
+
     def __init__(self, seed: int, faults: bool = True) -> None:
         self.rng = rng = random.Random(seed)
         self.faults, self.now = faults, NOON + rng.randrange(60) * SECOND_US
@@ -81,15 +83,15 @@
             for zone in ("east", "west")
             for n in range(rng.randint(1, 3))
         }
-        self.lives = 0
+        self.incarnation_count = 0
         self.gates: dict[str, Gate] = {}
         for zone in ("east", "west"):
             for n in range(rng.randint(2, 3)):
                 self.start(f"gate-{zone}{n}", zone)
-        self.listed = self._list()
+        self.listed = self._gateway_list()
         self.hours = ContractHours(PACE)
         self.executor = DrainExecutor(self.hours)
-        self.down = 0  # until when there is no primary
+        self.no_primary_until = 0
         self.requests: list[Request] = []
         self.sent = self.ended = 0
         self.plans: dict[str, DrainPlan] = {}
@@ -108,22 +110,22 @@
         return Contract(name, zone, (tuple(spans),) * 7, notice=rng.choice((3, 9, 1000)) * MINUTE)
 
     def start(self, node: str, zone: str) -> None:
-        self.lives += 1
-        life = f"life{self.lives}"
-        self.gates[node] = Gate(node, zone, life, MoveFollower(node, life), backends=dict(self.backends))
+        self.incarnation_count += 1
+        incarnation = f"life{self.incarnation_count}"
+        self.gates[node] = Gate(node, zone, incarnation, MoveFollower(node, incarnation), backends=dict(self.backends))
 
-    def _list(self) -> dict[str, Any]:
-        """Watchers have those taken off that are cut off for long."""
+    def _gateway_list(self) -> dict[str, Any]:
+        """The gateway list, without gateways that have been isolated for long."""
         return {
-            gate.node: {"az": gate.zone, "life": gate.life}
+            gate.node: {"az": gate.zone, "life": gate.incarnation}
             for gate in self.gates.values()
-            if not gate.cut or self.now - gate.cut < 3 * TICK
+            if not gate.isolated_since or self.now - gate.isolated_since < 3 * TICK
         }
 
     def facts(self) -> DrainState:
         return DrainState(self.now, self.orders, self.moves, self.backends, self.listed, self.tenants, self.contracts)
 
-    # ---- what operators and faults do
+    # ---- operators and faults
 
     def order(self, name: str, kind: str, target: str, within: int) -> DrainPlan:
         given = {"kind": kind, "target": target, "by": "ana", "why": "a test", "due": self.now + within, "at": self.now}
@@ -134,10 +136,10 @@
             self.refused.append(found.obstacles)
             return found
         nodes = target_nodes(facts, kind, target)
-        lives = {node: self.listed[node]["life"] for what, node in nodes if what == "gateway"}
+        incarnations = {node: self.listed[node]["life"] for what, node in nodes if what == "gateway"}
         self.orders[name] = given | {
             "nodes": [list(node) for node in nodes],
-            "lives": lives,
+            "lives": incarnations,
             "state": "open",
             "why_state": "",
             "cancelled": False,
@@ -157,44 +159,44 @@
             }
 
     def leave(self, backend: str) -> None:
-        """It says `drain`, and the gateways that hear of it send it nothing more."""
+        """The backend leaves; gateways that receive its new state send it no more requests."""
         self.backends[backend] = self.backends[backend] | {"state": "drain"}
 
-    def kill(self, node: str) -> None:
+    def restart(self, node: str) -> None:
         gate = self.gates[node]
         self.requests = [request for request in self.requests if request.gate is not gate]
         self.start(node, gate.zone)
-        self.listed = self._list()
+        self.listed = self._gateway_list()
 
-    def fault(self) -> None:
+    def inject_fault(self) -> None:
         rng = self.rng
         gate = rng.choice(list(self.gates.values()))
         kind = rng.choice(("cut", "cut", "kill", "skew", "primary", "leave", "cancel", "order", "mend"))
         if kind == "cut":
-            gate.cut = gate.cut or self.now
+            gate.isolated_since = gate.isolated_since or self.now
         elif kind == "mend":
             for gate in self.gates.values():
-                gate.cut, gate.skew = 0, 0
+                gate.isolated_since, gate.skew = 0, 0
         elif kind == "kill":
-            self.kill(gate.node)
+            self.restart(gate.node)
         elif kind == "skew":
             gate.skew = rng.choice((-6, 6)) * SECOND_US
         elif kind == "primary":
-            self.down = self.now + rng.choice((0, 3 * TICK))
+            self.no_primary_until = self.now + rng.choice((0, 3 * TICK))
             self.executor = DrainExecutor(self.hours)
         elif kind == "leave" and rng.random() < 0.3:
             self.leave(rng.choice(list(self.backends)))
         elif kind == "cancel" and self.orders:
             self.cancel(rng.choice(list(self.orders)))
         elif kind == "order":
-            self.draw_order()
+            self.random_order()
 
     def heal(self) -> None:
         self.faults = False
         for gate in self.gates.values():
-            gate.cut, gate.skew = 0, 0
+            gate.isolated_since, gate.skew = 0, 0
 
-    def draw_order(self) -> None:
+    def random_order(self) -> None:
         kind = self.rng.choice(("backend", "backend", "backend", "gateway", "gateway", "zone"))
         target = self.rng.choice(
             {"backend": list(self.backends), "gateway": list(self.gates), "zone": ["east", "west"]}[kind]
@@ -204,8 +206,8 @@
     # ---- time
 
     def tick(self) -> None:
-        self.listed = self._list()
-        if self.now >= self.down:
+        self.listed = self._gateway_list()
+        if self.now >= self.no_primary_until:
             changes = self.executor.step(self.facts())
             for key, value in changes.items():
                 table = self.orders if key.startswith("drain/") else self.moves
@@ -214,52 +216,52 @@
                     table.pop(name)
                     continue
                 if table is self.moves and value["state"] == "moved" != table.get(name, {}).get("state"):
-                    self.judge_moved(value)
+                    self.check_settled_move(value)
                 if table is self.moves:
-                    self.judge_made(table.get(name), value)
+                    self.check_new_move(table.get(name), value)
                 table[name] = value
-            if changes and self.faults and self.rng.random() < 0.05:  # killed between a move and its news
-                self.down, self.executor = self.now + 2 * TICK, DrainExecutor(self.hours)
+            if changes and self.faults and self.rng.random() < 0.05:  # killed before the move reaches the gateways
+                self.no_primary_until, self.executor = self.now + 2 * TICK, DrainExecutor(self.hours)
         for gate in self.gates.values():
-            if not gate.cut and (self.now >= self.down or gate.born):
-                self.hear(gate)
-            self.serve(gate)
+            if not gate.isolated_since and (self.now >= self.no_primary_until or gate.first_update):
+                self.deliver_moves(gate)
+            self.send_request(gate)
         for request in [request for request in self.requests if request.ends <= self.now]:
             self.requests.remove(request)
             self.ended += 1
-        if self.now >= self.down:
+        if self.now >= self.no_primary_until:
             for gate in self.gates.values():
-                if not gate.cut:
-                    self.tell(gate)
+                if not gate.isolated_since:
+                    self.send_reports(gate)
         self.now += TICK
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         return not any(order["state"] == "open" for order in self.orders.values()) and not any(
             move["state"] == "leaving" for move in self.moves.values()
         )
 
-    def run(self, span: int, whole: bool = True) -> None:
+    def run(self, span: int, until_end: bool = True) -> None:
         end = self.now + span
-        while self.now < end and (whole or not self.settled()):
+        while self.now < end and (until_end or not self.is_settled()):
             if self.faults and self.rng.random() < 0.06:
-                self.fault()
+                self.inject_fault()
             self.tick()
 
-    def hear(self, gate: Gate) -> None:
+    def deliver_moves(self, gate: Gate) -> None:
         before = set(gate.moves.followed)
-        gate.moves.update(self.moves.items(), self.now + gate.skew, gate.born)
+        gate.moves.update(self.moves.items(), self.now + gate.skew, gate.first_update)
         for key in before ^ gate.moves.followed:
             move = self.moves.get(key)
             if move is None:
                 continue
-            if not gate.born:
+            if not gate.first_update:
                 contract = self.contracts.get(move["tenant"])
                 assert in_hours(contract, self.now), f"{move['tenant']} moved outside its hours at {gate.node}"
                 assert move["kind"] == "gateway" or in_hours(contract, self.now + PACE)
             if move["way"] == "out":
                 gate.watch[key] = (
                     []
-                    if gate.born
+                    if gate.first_update
                     else [
                         request
                         for request in self.requests
@@ -269,70 +271,74 @@
                     ]
                 )
                 gate.opened[key] = len(gate.watch[key])
-        gate.born, gate.backends = False, dict(self.backends)
+        gate.first_update, gate.backends = False, dict(self.backends)
 
-    def serve(self, gate: Gate) -> None:
+    def send_request(self, gate: Gate) -> None:
         tenant, service = self.rng.choice(self.tenants), self.rng.choice(("book", "rate"))
         ready = {name: b["state"] == "ready" for name, b in gate.backends.items() if b["svc"] == service}
         avoid = gate.moves.avoided_backends.get(tenant, frozenset())
-        off = effective_exclusions(ready, avoid)
-        able = [name for name, up in ready.items() if up and name not in off]
-        if not able:
+        excluded = effective_exclusions(ready, avoid)
+        usable = [name for name, is_ready in ready.items() if is_ready and name not in excluded]
+        if not usable:
             return
-        node = self.rng.choice(able)
-        assert node not in avoid or set(able) <= avoid, f"{tenant} is sent to {node}, which it has left"
+        node = self.rng.choice(usable)
+        assert node not in avoid or set(usable) <= avoid, f"{tenant} is sent to {node} after its move"
         if gate.moves.gateway_draining and self.rng.random() < 0.7:
-            return  # its clients come back elsewhere
+            return  # clients reconnect to other gateways
         self.sent += 1
         self.requests.append(Request(gate, tenant, service, node, self.now + self.rng.choice((1, 2, 9)) * TICK))
 
-    def tell(self, gate: Gate) -> None:
+    def send_reports(self, gate: Gate) -> None:
         for key, move in gate.moves.pending_moves().items():
             watch = [request for request in gate.watch.get(key, ()) if request in self.requests]
-            there = watch if move["kind"] == "backend" else [r for r in self.requests if r.gate is gate]
+            remaining = watch if move["kind"] == "backend" else [r for r in self.requests if r.gate is gate]
             began = gate.opened.get(key, 0)
             self.executor.record_report(
                 key,
                 gate.node,
-                gate.life,
+                gate.incarnation,
                 key in gate.moves.followed,
                 began,
-                len(there),
+                len(remaining),
                 {"served": began - len(watch)} if began > len(watch) else {},
             )
 
-    # ---- the judge
+    # ---- checks
 
-    def judge_made(self, was: dict[str, Any] | None, move: dict[str, Any]) -> None:
-        """Whatever one clock does by some seconds, at either end."""
-        if was is None or (was["at"], was["back_at"]) != (move["at"], move["back_at"]):
+    def check_new_move(self, previous: dict[str, Any] | None, move: dict[str, Any]) -> None:
+        """The move is inside the hours even if a clock is off by some seconds."""
+        if previous is None or (previous["at"], previous["back_at"]) != (move["at"], move["back_at"]):
             lead = GATEWAY_LEAD_US if move["kind"] == "gateway" else PACE
             for at in (self.now - 9 * SECOND_US, self.now, self.now + lead + 9 * SECOND_US):
                 assert in_hours(self.contracts.get(move["tenant"]), at), f"{move['tenant']} moves too near the edge"
 
-    def judge_moved(self, move: dict[str, Any]) -> None:
-        """Only then is a tenant counted as moved: nothing of it is at the node, from any gateway that is there."""
+    def check_settled_move(self, move: dict[str, Any]) -> None:
+        """A tenant counts as moved only when no connected gateway has a request of it at the node."""
         for request in self.requests:
             gate = request.gate
-            if request.tenant != move["tenant"] or gate.node in move["unheard"] or gate.cut:
+            if request.tenant != move["tenant"] or gate.node in move["unheard"] or gate.isolated_since:
                 continue
-            if move["kind"] == "backend" and request.node == move["node"] and not self._alone(request):
-                assert gate.life not in move["gates"], f"{move['tenant']} is moved, with a request at {gate.node}"
-        for life, (node, away, began, left, ends) in move["gates"].items():
-            assert away and not left and sum(ends.values()) == began, f"{node} {life}: {began} in flight, ended {ends}"
+            if move["kind"] == "backend" and request.node == move["node"] and not self._no_alternative(request):
+                assert gate.incarnation not in move["gates"], (
+                    f"{move['tenant']} counts as moved, with a request at {gate.node}"
+                )
+        for incarnation, (node, away, began, left, ends) in move["gates"].items():
+            assert away and not left and sum(ends.values()) == began, (
+                f"{node} {incarnation}: {began} in flight, ended {ends}"
+            )
 
-    def _alone(self, request: Request) -> bool:
-        """It went back there, as no other backend of its service is ready."""
+    def _no_alternative(self, request: Request) -> bool:
+        """Whether the request uses the excluded backend because no other backend of its service is ready."""
         ready = {name: b["state"] == "ready" for name, b in self.backends.items() if b["svc"] == request.service}
         return not any(
-            up
-            for name, up in ready.items()
+            is_ready
+            for name, is_ready in ready.items()
             if name not in request.gate.moves.avoided_backends.get(request.tenant, frozenset())
         )
 
-    def judge_end(self) -> None:
+    def check_end(self) -> None:
         for name, order in self.orders.items():
-            assert order["state"] != "open", f"{name} is neither done nor over"
+            assert order["state"] != "open", f"{name} is still open"
             if order["state"] == "ended":
                 assert order["why_state"]
             if order["state"] == "empty":
@@ -340,12 +346,14 @@
                 assert left and all(move["state"] == "moved" for move in left)
         for key, move in self.moves.items():
             for gate in self.gates.values() if move["state"] in ("moved", "returned") else ():
-                if move["kind"] == "backend" or gate.life in move["gates"]:
+                if move["kind"] == "backend" or gate.incarnation in move["gates"]:
                     assert (key in gate.moves.followed) == (move["way"] == "out"), f"{gate.node} missed {key}"
         assert all(all(reasons) for reasons in self.refused)
         times = sorted({move["at"] for move in self.moves.values()} | {m["back_at"] for m in self.moves.values()} - {0})
-        assert all(later - sooner >= PACE for sooner, later in zip(times, times[1:], strict=False)), "a herd"
+        assert all(later - sooner >= PACE for sooner, later in zip(times, times[1:], strict=False)), (
+            "moves without the minimum distance"
+        )
         assert self.ended + len(self.requests) <= self.sent
 
 
-__all__ = ["GATEWAY_LEAD_US", "MINUTE", "NOON", "PACE", "TICK", "Waterway", "in_hours"]
+__all__ = ["GATEWAY_LEAD_US", "MINUTE", "NOON", "PACE", "TICK", "DrainSimulation", "in_hours"]
