--- a/tests/link_model.py
+++ b/tests/link_model.py
@@ -9,7 +9,7 @@
 from oakvale.base.loop import Loop
 from oakvale.transport.frames import decode, encode
 from oakvale.transport.links import Connection, Transport
-from tests.memory_connections import PLENTY, Line, Lines
+from tests.memory_connections import UNLIMITED_BYTES, MemoryConnection, MemoryNet
 
 MS, SECOND = 1_000, 1_000_000
 PEER_ADDRESSES = [("10.0.0.2", 7), ("10.0.0.3", 7)]
@@ -18,7 +18,7 @@
 class Peer:
     """The other end of a connection, with the requests received on it in order."""
 
-    def __init__(self, world: World, line: Line) -> None:
+    def __init__(self, world: World, line: MemoryConnection) -> None:
         self.world, self.line, self._read_bytes = world, line, 0
         self._receive_buffer = bytearray()
         self.requests: list[tuple[int, Any]] = []
@@ -41,7 +41,7 @@
         """Sends the data; with `half`, the second half follows with the next write."""
         data = self.unsent_rest + data
         count = len(data) // 2 if half else len(data)
-        self.line.say(data[:count])
+        self.line.deliver(data[:count])
         self.unsent_rest = data[count:]
 
 
@@ -50,28 +50,28 @@
 
     def __init__(self) -> None:
         self.now, self.log = 1_000 * SECOND, list[str]()
-        self.net = Lines()
+        self.net = MemoryNet()
         self.loop = Loop(lambda: self.now, Limits(timer_slack=0, wake_slack=0), cast(Any, self.net))
         self.transport = Transport(self.loop, ("10.0.0.1", 7))
         self.transport.handlers["x"] = self._handle_request
         self.listener = self.net.listen(("10.0.0.1", 7), 9)
         self.net.listen = lambda address, backlog: self.listener  # type: ignore[method-assign]
         self.transport.listen()
-        self.connect_mode, self.room, self.incarnation = 0, PLENTY, 0
+        self.connect_mode, self.room, self.incarnation = 0, UNLIMITED_BYTES, 0
         self.peers: list[Peer] = []
         self.responses: list[list[Any]] = []  # by request
         self.violations: list[str] = []
         self.delayed_responses: list[Callable[[], None]] = []
         self.conns: list[Connection] = []
         for address in PEER_ADDRESSES:
-            self.net.places[address] = self._on_connect
+            self.net.connect_handlers[address] = self._on_connect
 
     def check(self, condition: bool, what: str) -> None:
         if not condition:
             self.violations.append(what)
 
-    def _on_connect(self, line: Line) -> None:
-        line.up, line.refused, line.room = self.connect_mode == 0, self.connect_mode == 1, self.room
+    def _on_connect(self, line: MemoryConnection) -> None:
+        line.connected, line.refused, line.capacity_bytes = self.connect_mode == 0, self.connect_mode == 1, self.room
         self.peers.append(Peer(self, line))
 
     def _handle_request(self, conn: Connection, body: Any, answer: Callable[[Any], None]) -> None:
@@ -93,7 +93,7 @@
         return on_response
 
     def step(self, what: int, choice: int) -> str:
-        open_peers = [p for p in self.peers if p.line.up and not p.line.closed and not p.line.broken]
+        open_peers = [p for p in self.peers if p.line.connected and not p.line.closed and not p.line.broken]
         peer = open_peers[choice % len(open_peers)] if open_peers else None
         number = len(self.responses)
         kind = what % 16
@@ -118,8 +118,8 @@
         if kind == 9:
             sender = None if peer is None else peer
             if sender is None or choice & 8:
-                accepted = self.net.line()
-                accepted.up = True
+                accepted = self.net.connection()
+                accepted.connected = True
                 self.listener.queue.append(accepted)
                 sender = Peer(self, accepted)
                 self.peers.append(sender)
@@ -136,10 +136,10 @@
             self.pass_time(duration)
             return f"{duration // MS} ms"
         if kind == 12 and peer is not None:
-            (peer.line.reset, peer.line.leave, lambda: peer.write(b"\0\0\0\1\xff", False))[choice % 3]()
+            (peer.line.reset, peer.line.close_peer, lambda: peer.write(b"\0\0\0\1\xff", False))[choice % 3]()
             return "a connection closes"
         if kind == 13:
-            self.connect_mode, self.room = choice % 3, PLENTY if choice & 4 else 60
+            self.connect_mode, self.room = choice % 3, UNLIMITED_BYTES if choice & 4 else 60
             return f"connect mode {self.connect_mode}"
         if kind == 14 and choice & 1:
             for each in self.peers:
@@ -149,7 +149,7 @@
             self.transport.retry_connect(PEER_ADDRESSES[choice >> 1 & 1])
             return "connection attempt abandoned"
         for each in self.peers:
-            each.line.room = PLENTY
+            each.line.capacity_bytes = UNLIMITED_BYTES
         self.transport.close_idle_links()
         return "idle links closed"
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -45,7 +45,7 @@
 
 
 def search(examples: int, shrinks: bool = True) -> None:
-    schedules.search(lambda schedule: World().play(schedule), examples, (20, 120), shrinks=shrinks)
+    schedules.search(lambda schedule: World().play(schedule), examples, (20, 120), shrink=shrinks)
 
 
 @pytest.fixture
