--- a/oakvale/drains/hours.py
+++ b/oakvale/drains/hours.py
@@ -134,6 +134,7 @@
         return None
 
     def is_open(self, now: int) -> bool:
+        """Whether a move may begin now."""
         window = self.next_window(now)
         return window is not None and window.opens <= now < window.closes
 
--- a/oakvale/drains/planning.py
+++ b/oakvale/drains/planning.py
@@ -37,6 +37,7 @@
     contracts: Mapping[str, Contract]
 
     def ready(self, node: str) -> bool:
+        """Whether the node is a backend that takes requests."""
         found = self.backends.get(node)
         return found is not None and found["state"] == "ready"
 
@@ -88,6 +89,7 @@
         self._known: dict[MoveUnit, KnownWindows] = {}
 
     def set_contracts(self, contracts: Mapping[str, Contract]) -> None:
+        """Takes the contracts in effect and drops the caches if they have changed."""
         if contracts != self._contracts:
             self._contracts, self._calendars, self._known = contracts, {}, {}
 
