--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import Any
 
-from oakvale.base.address import Address, parse_address, spelled
+from oakvale.base.address import Address, format_address, parse_address
 from oakvale.base.loop import Loop
 from oakvale.base.net import Sock
 from oakvale.config.bounds import bounds
@@ -81,7 +81,7 @@
         self.incarnation = loop.net.token(6)
         # a machine's control plane process has the first port
         self.transport = Transport(self.loop, (settings.ip, settings.ports[0] + 1))
-        self.self_address = spelled(self.transport.self_address)
+        self.self_address = format_address(self.transport.self_address)
         self.table = Table()
         self.shared = SharedResources(self.loop, limits)
         # the primary comes first once it is known
@@ -227,7 +227,7 @@
                 return
             if answer.get("joined"):
                 self._joined = True
-            elif answer.get("primary") and answer["primary"] != spelled(address):
+            elif answer.get("primary") and answer["primary"] != format_address(address):
                 self._set_primary(str(answer["primary"]))
                 self._send_join()
 
--- a/oakvale/demo/__init__.py
+++ b/oakvale/demo/__init__.py
@@ -1,3 +1,3 @@
-"""Demo: a whole small system on loopback, each machine an address of its own, with a stand-in backend. It
-shows the system at work and must serve no traffic. Begin with `show`.
+"""Demo: a small complete system on loopback, with one address per machine and a demo backend. It demonstrates the
+system and must not serve real traffic. Begin with `show`.
 """
