--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -15,7 +15,7 @@
 
 from oakvale import interface as i
 from oakvale.base.limits import Limits
-from oakvale.config.bounds import bounds
+from oakvale.config.bounds import limits_from_settings
 from oakvale.dataplane import backend_protocol
 from oakvale.dataplane.backend_protocol import SystemDialect
 from oakvale.memory.requests import Answer
@@ -38,7 +38,7 @@
 
 
 def default_limits() -> Limits:
-    return bounds(cast(Any, SETTINGS))
+    return limits_from_settings(cast(Any, SETTINGS))
 
 
 def test_drawn_schedules_break_no_rule() -> None:
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -12,7 +12,7 @@
 import pytest
 
 from oakvale import cli
-from oakvale.config.chains import Given, load
+from oakvale.config.chains import ChainSettings, load
 from oakvale.config.settings import decode
 from oakvale.config.toml_table import BadFile
 from oakvale.controlplane.failover_planning import FailoverPlanner
@@ -125,7 +125,7 @@
     [
         ("headroom = 1.5", "headroom: Input should be less than or equal to 1"),
         ("over = 1", "over: Extra inputs"),
-        ('[above]\nr = "s"\ns = "r"', "stands above itself"),
+        ('[above]\nr = "s"\ns = "r"', "is its own ancestor"),
         ("[above", "not TOML"),
         ('headroom = "x"', "headroom: "),
     ],
@@ -492,7 +492,7 @@
                 call(None)
 
 
-def planning(given: Given | None) -> tuple[FakeCore, FakeHeartbeats]:
+def planning(given: ChainSettings | None) -> tuple[FakeCore, FakeHeartbeats]:
     core, heartbeats = FakeCore(), FakeHeartbeats()
     backends = {
         f"backend/{zone}{n}": {"svc": "s", "az": zone, "state": "ready", "slots": 2.0, "calls": 1}
@@ -507,7 +507,7 @@
 
 
 def test_the_plan_follows_significant_changes_of_measured_capacity_only() -> None:
-    core, heartbeats = planning(Given())
+    core, heartbeats = planning(ChainSettings())
     core.run(6)
     first = core.replicated_state.table.get("chains")
     assert first["version"] == 1 and first["limits"]["s"] == {zone: 4.0 for zone in "abc"}
@@ -522,7 +522,7 @@
 
 
 def test_locations_without_any_heartbeat_are_published_unless_they_are_the_majority() -> None:
-    core, heartbeats = planning(Given())
+    core, heartbeats = planning(ChainSettings())
     heartbeats.quiet = ["b0"]
     core.run(2)
     assert core.replicated_state.table.get("quiet") is None
