--- a/oakvale/cli.py
+++ b/oakvale/cli.py
@@ -123,12 +123,12 @@
     verb = "Drains." + {"account": "Show"}.get(args.what, args.what.capitalize())
     try:
         addresses = [configuration.require_address(text, "--ctl") for text in args.ctl.split(",")]
-        response = client.call(addresses, verb, getattr(args, "name", None) or "", body, args.timeout)
+        response = client.call_control_plane(addresses, verb, getattr(args, "name", None) or "", body, args.timeout)
     except configuration.ConfigurationError as error:
         fail(error)
-    except client.Refused as error:
+    except client.DrainRequestError as error:
         if isinstance(error.body, dict) and "plan" in error.body:
-            print("\n".join(client.lines(error.body["plan"])))
+            print("\n".join(client.format_lines(error.body["plan"])))
         fail(error, 1)
     if args.what == "account" and args.format == "csv":
         from oakvale.drains import report
@@ -137,7 +137,7 @@
     elif args.what == "account" or args.json:
         print(json.dumps(response, indent=2))
     else:
-        print("\n".join(client.lines(response)) or "stored")
+        print("\n".join(client.format_lines(response)) or "stored")
     if args.what == "plan" and response["obstacles"]:
         sys.exit(1)
 
@@ -175,7 +175,7 @@
         print(
             "\n".join(report.show(chains) if args.what == "show" else report.explain(chains, args.place, args.service))
         )
-    except report.Unknown as error:
+    except report.UnknownName as error:
         fail(error)
 
 
--- a/oakvale/config/check.py
+++ b/oakvale/config/check.py
@@ -90,12 +90,12 @@
 def describe_contracts(path: str) -> list[str]:
     """Summarizes a contracts file."""
     from oakvale.config import contracts  # imported late, as above
-    from oakvale.drains.hours import DAY
+    from oakvale.drains.hours import DAY_US
 
     loaded = contracts.load(path)
     contract_lines = [
         f"{name}: {contract.zone}, {sum(map(len, contract.week))} time ranges a week, "
-        f"{len(contract.dates)} exceptions, notice {contract.notice / DAY:g} days"
+        f"{len(contract.dates)} exceptions, notice {contract.notice / DAY_US:g} days"
         for name, contract in sorted(loaded.by_tenant.items())
     ]
     order_lines = [
--- a/oakvale/config/contracts.py
+++ b/oakvale/config/contracts.py
@@ -20,7 +20,7 @@
 WEEKDAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
 TIME_PATTERN = re.compile(r"([01][0-9]|2[0-3]):([0-5][0-9])|24:00")
 SPAN_PATTERN = re.compile(r"([0-9]{1,5})([dhms])")
-SPAN_UNITS_US = {"d": hours.DAY, "h": hours.DAY // 24, "m": hours.DAY // 1440, "s": hours.SECOND}
+SPAN_UNITS_US = {"d": hours.DAY_US, "h": hours.DAY_US // 24, "m": hours.DAY_US // 1440, "s": hours.SECOND_US}
 
 
 def parse_time_of_day(text: object) -> int:
@@ -28,7 +28,7 @@
     match = TIME_PATTERN.fullmatch(text) if isinstance(text, str) else None
     if match is None:
         raise ValueError(f"not a time of day such as 06:30 or 24:00: {text!r}")
-    return hours.MINUTES if match[1] is None else int(match[1]) * 60 + int(match[2])
+    return hours.MINUTES_PER_DAY if match[1] is None else int(match[1]) * 60 + int(match[2])
 
 
 def parse_span(text: object) -> int:
@@ -59,7 +59,7 @@
         """Raises ValueError if the range is empty or begins at the end of a day."""
         if self.begin == self.end:
             raise ValueError("from and to are the same; a whole day is 00:00 to 24:00")
-        if self.begin == hours.MINUTES:
+        if self.begin == hours.MINUTES_PER_DAY:
             raise ValueError("from is the end of a day")
         return hours.Span(self.begin, self.end)
 
@@ -82,7 +82,7 @@
 
     tenant: Annotated[str, Field(min_length=1)]
     zone: str
-    notice: Annotated[int, BeforeValidator(parse_span)] = 31 * hours.DAY
+    notice: Annotated[int, BeforeValidator(parse_span)] = 31 * hours.DAY_US
     hours: list[WeeklyRange]
     exceptions: list[DateException] = []
 
@@ -139,7 +139,7 @@
         if contract.tenant in contracts:
             raise BadFile(f"{where}: tenant: is given twice")
         try:
-            hours.zone_of(contract.zone)
+            hours.load_time_zone(contract.zone)
         except (ZoneInfoNotFoundError, ValueError, OSError) as error:
             raise BadFile(f"{where}: zone: no such time zone: {contract.zone!r}") from error
         week: list[list[hours.Span]] = [[] for _ in WEEKDAYS]
@@ -180,7 +180,7 @@
 
     def due_at(self) -> int:
         """Returns `due` in microseconds since the Unix epoch."""
-        return round((self.due - datetime(1970, 1, 1, tzinfo=UTC)).total_seconds() * hours.SECOND)
+        return round((self.due - datetime(1970, 1, 1, tzinfo=UTC)).total_seconds() * hours.SECOND_US)
 
 
 class Cancellation(StrictModel):
--- a/oakvale/dataplane/drain_agent.py
+++ b/oakvale/dataplane/drain_agent.py
@@ -13,7 +13,7 @@
 from oakvale.base.address import Address
 from oakvale.base.loop import Loop
 from oakvale.dataplane.request_router import RequestRouter, RoutedRequest
-from oakvale.drains.moves import Avoid, Moves
+from oakvale.drains.moves import AvoidedBackends, MoveFollower
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.memory.requests import Answer, InHand
 from oakvale.transport.links import Transport
@@ -84,18 +84,18 @@
         self._loop, self._transport, self._router = loop, transport, router
         self._node, self._incarnation, self._primary = node, incarnation, primary
         self._wall_clock_ms = wall_clock_ms or (lambda: loop.net.unix_time() // 1000)
-        self._moves = Moves(node, incarnation)
+        self._moves = MoveFollower(node, incarnation)
         self._progress: dict[str, MoveProgress] = {}
         self._checking = False
         self._check_count = 0
 
-    def apply_moves(self, entries: list[tuple[str, dict[str, Any]]], is_first_update: bool) -> Avoid:
+    def apply_moves(self, entries: list[tuple[str, dict[str, Any]]], is_first_update: bool) -> AvoidedBackends:
         """Takes the current moves; returns the backends that each tenant avoids.
 
         Must be called before the router gets the snapshot with that result: then only requests that are in flight now
         can still be sent to the node."""
         moves = dict(entries)
-        for key in self._moves.take(entries, self._wall_clock_ms(), is_first_update):
+        for key in self._moves.update(entries, self._wall_clock_ms(), is_first_update):
             move = moves[key]
             log_event("moves", tenant=move["tenant"], node=move["node"], order=move["order"])
             in_flight = (
@@ -109,13 +109,13 @@
             )
             self._progress[key] = MoveProgress(in_flight, self._loop.now)
             self._update_progress(key, move)
-        for key in [key for key in self._progress if key not in self._moves.away]:
+        for key in [key for key in self._progress if key not in self._moves.followed]:
             del self._progress[key]
-        self._router.draining = self._moves.leaving
-        if self._moves.owed() and not self._checking:
+        self._router.draining = self._moves.gateway_draining
+        if self._moves.pending_moves() and not self._checking:
             self._checking, self._check_count = True, 0
             self._loop.at(self._loop.now, self._check)
-        return self._moves.avoid
+        return self._moves.avoided_backends
 
     def _may_reach_node(self, request: InHand, move: dict[str, Any]) -> bool:
         routed: RoutedRequest = request.event
@@ -151,7 +151,7 @@
         return len(pending)
 
     def _check(self, _: Any) -> None:
-        unsettled = self._moves.owed()
+        unsettled = self._moves.pending_moves()
         if not unsettled:
             self._checking = False
             return
@@ -167,7 +167,7 @@
             reports.append(
                 [
                     key,
-                    key in self._moves.away,
+                    key in self._moves.followed,
                     progress.reached_node if progress else 0,
                     pending,
                     progress.outcomes if progress else {},
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -12,7 +12,7 @@
 from oakvale.base.address import Address, parse_address
 from oakvale.dataplane.backend_protocol import SystemDialect
 from oakvale.dataplane.routes import Backend, Route, RoutingSnapshot
-from oakvale.drains.moves import kept
+from oakvale.drains.moves import effective_exclusions
 from oakvale.driver import Driver
 from oakvale.loadbalancing.board_service import LoadBoards, Rejected, RequestFacts, Selection
 from oakvale.loadbalancing.load_board import BackendCandidate
@@ -154,7 +154,7 @@
     def update_backends(self, backends: list[Backend], numbers: dict[str, int]) -> None:
         """Takes the service's current backends; closes idle connections to those that may no longer be used."""
         if self.excluded_backends:
-            excluded = kept({backend.id: backend.ready for backend in backends}, self.excluded_backends)
+            excluded = effective_exclusions({backend.id: backend.ready for backend in backends}, self.excluded_backends)
             backends = [backend for backend in backends if backend.id not in excluded]
         current = {backend.id: backend for backend in backends}
         if current == self._backends and self.has_backend_list:
--- a/oakvale/failover/__init__.py
+++ b/oakvale/failover/__init__.py
@@ -1,4 +1,4 @@
-"""Spillway: where a failed place's load goes, worked out before anything fails, and how much of it each other place
-takes. It must never hold a socket or a clock, nor choose a backend: it says which places may be chosen from, and
-what is refused. Begin with `places`, then `chains`, then `spill`.
+"""Failover: where the load of a failed location goes, computed before anything fails, and how much each other location
+takes. It must hold no socket or clock and select no backend: it decides which locations may be selected from and which
+requests are refused. Begin with `places`, then `chains`, then `spill`.
 """
