--- a/oakvale/controlplane/control_server.py
+++ b/oakvale/controlplane/control_server.py
@@ -7,9 +7,9 @@
 from oakvale.config.settings import Settings
 from oakvale.controlplane.core import Core
 from oakvale.controlplane.resources import JSON, BackendsHandler, ConfigHandler, Reply, primary_url
-from oakvale.memory.requests import Answer, InHand
+from oakvale.memory.requests import Answer, ClientRequest
 from oakvale.shared import ConnectionOwner, SharedResources
-from oakvale.wire.clients import Incoming, plain
+from oakvale.wire.clients import IncomingRequest, plain_answer
 
 if TYPE_CHECKING:
     from oakvale.controlplane.drains import DrainManager
@@ -46,16 +46,16 @@
             (b"GET", "Drains.Show"): handler.show,
         }
 
-    def open(self, client: Any, incoming: Incoming, received_at: int) -> Answer | InHand:
+    def open(self, client: Any, incoming: IncomingRequest, received_at: int) -> Answer | ClientRequest:
         path = incoming.target.partition(b"?")[0]
         if path == READINESS_PATH:
-            return plain(200, "ok") if self.core.view() is not None else plain(503, "not ready")
+            return plain_answer(200, "ok") if self.core.view() is not None else plain_answer(503, "not ready")
         text = path.decode("latin-1")
         verb, _, rest = text.removeprefix(PATH_PREFIX).partition("/")
         handler = self._handlers.get((incoming.method, verb)) if text.startswith(PATH_PREFIX) else None
         if handler is None:
             known = any(verb == handled_verb for _, handled_verb in self._handlers)
-            return plain(405 if known else 404, "no such call")
+            return plain_answer(405 if known else 404, "no such call")
         if not self.core.serving():
             primary = self.core.primary()
             primary_host = primary_url(self.core.view(), self._port)
@@ -64,17 +64,17 @@
                     307, [(b"location", f"http://{primary_host}{incoming.target.decode('latin-1')}".encode())]
                 )
             return Answer(503, [(b"retry-after", b"0.3"), JSON], b'{"error":"no primary is known"}')
-        request = InHand("", client, incoming.method, incoming.target, [], incoming.body, 0, (handler, rest))
+        request = ClientRequest("", client, incoming.method, incoming.target, [], incoming.body, 0, (handler, rest))
         return request
 
-    def begin(self, request: InHand) -> None:
+    def begin(self, request: ClientRequest) -> None:
         handler, rest = request.event
 
         def send_reply(reply: Reply) -> None:
-            if not request.over:
+            if not request.finished:
                 self.final(request, Answer(reply.status, [JSON, *reply.headers], reply.body))
 
         handler(rest, request.body, send_reply)
 
-    def client_gone(self, request: InHand) -> None:
-        request.over = True
+    def client_gone(self, request: ClientRequest) -> None:
+        request.finished = True
--- a/oakvale/controlplane/process.py
+++ b/oakvale/controlplane/process.py
@@ -108,7 +108,7 @@
     def stop(self) -> None:
         """Begins an orderly shutdown; the loop stops once the other core machines can spare this one."""
         self.shared.stopping = True
-        self.shared.clients.end_idle()
+        self.shared.clients.close_idle()
         self.core.leave(self.loop.stop)
 
 
--- a/oakvale/dataplane/backend_protocol.py
+++ b/oakvale/dataplane/backend_protocol.py
@@ -5,8 +5,8 @@
 import re
 
 from oakvale.interface import Ending
-from oakvale.memory.requests import Answer, AttemptOut, Headers
-from oakvale.wire.backends import Spoilt
+from oakvale.memory.requests import Answer, Headers, InFlightAttempt
+from oakvale.wire.backends import InvalidAnswer
 from oakvale.wire.http import end_to_end
 
 OURS = frozenset({b"time-left", b"backend", b"tenant", b"authorization", b"attempt-id"})
@@ -16,9 +16,9 @@
 
 
 class SystemDialect:
-    part_may_run = True
+    partial_request_may_run = True
 
-    def headers(self, attempt: AttemptOut, left: int) -> Headers:
+    def headers(self, attempt: InFlightAttempt, left: int) -> Headers:
         request = attempt.request
         order = request.event
         own = [
@@ -30,24 +30,24 @@
             own.append((b"tenant", order.tenant.encode("latin-1")))
         return [*end_to_end(request.headers, OURS), *own]
 
-    def belongs(self, attempt: AttemptOut, status: int, headers: Headers) -> bool:
+    def matches_attempt(self, attempt: InFlightAttempt, status: int, headers: Headers) -> bool:
         """A whole answer bears the attempt's id; one that turns away may bear none."""
         ids = [value for name, value in headers if name == b"attempt-id"]
         return all(value == attempt.request.id.encode("latin-1") for value in ids) and bool(ids or status >= 300)
 
-    def named(self, headers: Headers) -> bool:
+    def identifies_attempt(self, headers: Headers) -> bool:
         return any(name == b"attempt-id" for name, _ in headers)
 
-    def waits(self, attempt: AttemptOut) -> bool:
+    def waits_for_rest(self, attempt: InFlightAttempt) -> bool:
         """A backend's silence is no reason to end an answer sooner, but that another may serve. What can't be
         repeated gains nothing by it; and a gateway that goes puts no answer of its own in the place of one that is
         under way."""
         order = attempt.request.event
         return not order.route.safe or order.driver.stopping
 
-    def check(self, headers: Headers) -> None:
+    def check_headers(self, headers: Headers) -> None:
         if any(name == b"content-encoding" and value.lower() != b"identity" for name, value in headers):
-            raise Spoilt("encoded: not what the backend meant")
+            raise InvalidAnswer("encoded: not what the backend meant")
 
     def ending(self, answer: Answer) -> Ending:
         names = {name for name, _ in answer.headers}
@@ -57,7 +57,7 @@
             return Ending.FULL
         return Ending.ERROR
 
-    def idle(self, headers: Headers) -> int | None:
+    def keep_alive_us(self, headers: Headers) -> int | None:
         """`Keep-Alive: timeout=10`, in whole seconds."""
         for name, value in headers:
             found = TIMEOUT.search(value) if name == b"keep-alive" else None
@@ -65,10 +65,10 @@
                 return int(found[1]) * 1_000_000
         return None
 
-    def report(self, headers: Headers) -> tuple[float, ...]:
+    def parse_load(self, headers: Headers) -> tuple[float, ...]:
         return ()
 
-    def passes(self, attempt: AttemptOut, ending: Ending, answer: Answer) -> Answer | None:
+    def client_answer(self, attempt: InFlightAttempt, ending: Ending, answer: Answer) -> Answer | None:
         """A backend's own answer is final where it served, where it speaks of the request, and where the
         request may not run once more. Its own 429 or 503 that does not say 'not run' would be read as a
         promise that nobody made."""
--- a/oakvale/dataplane/drain_agent.py
+++ b/oakvale/dataplane/drain_agent.py
@@ -15,7 +15,7 @@
 from oakvale.dataplane.request_router import Order, RequestRouter
 from oakvale.drains.moves import Avoid, Moves
 from oakvale.lifecycle.eventlog import EventLogger
-from oakvale.memory.requests import Answer, InHand
+from oakvale.memory.requests import Answer, ClientRequest
 from oakvale.transport.links import Transport
 
 LOOK = 100_000  # microseconds between two looks at what is in flight
@@ -27,22 +27,22 @@
 class Seen:
     """Stands before a request's client, to see how it ends."""
 
-    def __init__(self, request: InHand) -> None:
+    def __init__(self, request: ClientRequest) -> None:
         self.request, self._client = request, request.client
         self.there = False  # it had an attempt at the node
         self.status = 0
         request.client = self
 
-    def give(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         self.status = answer.status
-        self._client.give(answer)
+        self._client.send_answer(answer)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._client, name)
 
     def ended(self) -> str | None:
         """None: not yet. Of one whose client has gone, its attempts may still be out."""
-        if not self.request.over or self.request.out:
+        if not self.request.finished or self.request.attempts:
             return None
         if not self.status:
             return "client_gone"
@@ -99,7 +99,7 @@
                 else [
                     Seen(request)
                     for request in self._router.requests.all()
-                    if not request.over and self._concerned(request, move)
+                    if not request.finished and self._concerned(request, move)
                 ]
             )
             self._watches[key] = Watch(found, self._loop.now)
@@ -112,7 +112,7 @@
             self._loop.at(self._loop.now, self._look)
         return self._moves.avoid
 
-    def _concerned(self, request: InHand, move: dict[str, Any]) -> bool:
+    def _concerned(self, request: ClientRequest, move: dict[str, Any]) -> bool:
         order: Order = request.event
         if (order.tenant or "") != move["tenant"]:
             return False
@@ -128,7 +128,7 @@
         for seen in watch.seen:
             order: Order = seen.request.event
             at = move["kind"] == "gateway" or any(
-                order.driver.backend_id(attempt.backend) == move["node"] for attempt in seen.request.out.values()
+                order.driver.backend_id(attempt.backend) == move["node"] for attempt in seen.request.attempts.values()
             )
             if at and not seen.there:
                 seen.there = True
--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -21,13 +21,13 @@
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.memory.requests import Answer as HttpAnswer
-from oakvale.memory.requests import InHand
+from oakvale.memory.requests import ClientRequest
 from oakvale.ratelimit.quotas import Quota, QuotaTerms
 from oakvale.ratelimit.service import RateLimiter
 from oakvale.retry_budget import RetryLimits
 from oakvale.shared import SharedResources
 from oakvale.transport.links import Answer, Connection, Transport
-from oakvale.wire.clients import Incoming, plain
+from oakvale.wire.clients import IncomingRequest, plain_answer
 
 CORE = 24  # core machines' addresses that are remembered
 JOIN = 150_000  # microseconds between two tries to join
@@ -55,15 +55,15 @@
     def waited(self, arrived: int) -> int:
         return 0
 
-    def open(self, client: Any, incoming: Incoming, came: int) -> HttpAnswer | InHand:
+    def open(self, client: Any, incoming: IncomingRequest, came: int) -> HttpAnswer | ClientRequest:
         if incoming.target != b"/oakvale/readyz":
-            return plain(404, "no such call")
-        return plain(200, "ready") if self._sluice.ready() else plain(503, "not ready")
+            return plain_answer(404, "no such call")
+        return plain_answer(200, "ready") if self._sluice.ready() else plain_answer(503, "not ready")
 
-    def begin(self, request: InHand) -> None:
+    def begin(self, request: ClientRequest) -> None:
         raise AssertionError("answered at once")
 
-    def client_gone(self, request: InHand) -> None:
+    def client_gone(self, request: ClientRequest) -> None:
         raise AssertionError("answered at once")
 
 
@@ -293,6 +293,6 @@
         self._sweeps += 1
         if self.router.boards.chains is not None and self._sweeps % 2 == 0:
             self._tell_flows()
-        self.shared.idle.sweep(self.loop.now)
+        self.shared.idle.close_expired(self.loop.now)
         self.transport.close_idle_links()
         self.loop.at(self.loop.now + SWEEP, self._sweep)
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -16,13 +16,13 @@
 from oakvale.driver import Driver
 from oakvale.loadbalancing.board_service import LoadBoards, Rejected, RequestFacts, Selection
 from oakvale.loadbalancing.load_board import BackendCandidate
-from oakvale.memory.requests import Answer, AttemptOut, InHand
+from oakvale.memory.requests import Answer, ClientRequest, InFlightAttempt
 from oakvale.ratelimit.counter_state import Receipt
 from oakvale.ratelimit.service import RateLimiter
 from oakvale.retry_budget import FleetRetryBudget, RetryLimits
 from oakvale.shared import ConnectionOwner, SharedResources
 from oakvale.transport.links import Transport
-from oakvale.wire.clients import BadRequest, Incoming, plain
+from oakvale.wire.clients import BadRequest, IncomingRequest, plain_answer
 
 ATTEMPT_ID = re.compile(rb"[!-~]{1,128}")
 DIGITS = re.compile(rb"[0-9]{1,9}")
@@ -129,19 +129,19 @@
             return number
         return known[0]
 
-    def request_received(self, request: InHand, event: i.Request) -> None:
+    def request_received(self, request: ClientRequest, event: i.Request) -> None:
         self.budget.record_request(self.loop.now)
         super().request_received(request, event)
 
-    def final(self, request: InHand, answer: Answer) -> None:
+    def final(self, request: ClientRequest, answer: Answer) -> None:
         super().final(request, answer)
         self._count_back(request)
 
-    def client_gone(self, request: InHand) -> None:
+    def client_gone(self, request: ClientRequest) -> None:
         super().client_gone(request)
         self._count_back(request)
 
-    def _count_back(self, request: InHand) -> None:
+    def _count_back(self, request: ClientRequest) -> None:
         """Where no attempt was made, it surely never ran."""
         if not request.hops:
             order: Order = request.event
@@ -159,7 +159,7 @@
         for name, backend in was.items():
             now = known.get(name)
             if name not in self.without and (now is None or not now.ready or now.address != backend.address):
-                self.idle.free(self._numbers[name])
+                self.idle.close_backend(self._numbers[name])
 
     def close(self, zones: frozenset[str], numbers: dict[str, int]) -> None:
         """These zones are out: nothing more goes there. What has gone there and was not answered is given up: the
@@ -170,9 +170,9 @@
             return
         gone = {self._numbers[b.id] for b in self._known.values() if b.zone in came}
         for number in gone:
-            self.idle.free(number)
+            self.idle.close_backend(number)
         for attempt in [
-            a for r in self.requests.all() if not r.over and r.event.driver is self for a in r.out.values()
+            a for r in self.requests.all() if not r.finished and r.event.driver is self for a in r.attempts.values()
         ]:
             if attempt.backend in gone and attempt.written and attempt.connection is not None:
                 self.cancel_attempt(attempt, i.Ending.TIMEOUT)
@@ -211,19 +211,21 @@
         return self._numbers.get(backend, 0)
 
     def attempt_ended(
-        self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
+        self, attempt: InFlightAttempt, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
     ) -> None:
         """All gateways learn of it, by the keeper of the service's board."""
         order: Order = attempt.request.event
-        name, latency, outcome = self.backend_id(attempt.backend), self.loop.now - attempt.sent, OUTCOMES[ending]
-        if attempt.hop in attempt.request.out:
+        name, latency, outcome = self.backend_id(attempt.backend), self.loop.now - attempt.started_at, OUTCOMES[ending]
+        if attempt.hop in attempt.request.attempts:
             if order.pick is not None and order.pick.backend == name:
-                dropped = attempt.idled if attempt.dropped else 0
-                self.boards.report_attempt(order.pick, order.route.name, latency, outcome, dropped, attempt.kept)
+                dropped = attempt.connection_idle_us if attempt.dropped_before_answer else 0
+                self.boards.report_attempt(
+                    order.pick, order.route.name, latency, outcome, dropped, attempt.reusable_for_us
+                )
                 order.pick = None
             else:
                 self.boards.report_unselected_attempt(
-                    self.service, name, order.route.name, latency, outcome, attempt.kept
+                    self.service, name, order.route.name, latency, outcome, attempt.reusable_for_us
                 )
         super().attempt_ended(attempt, ending, answer, report)
 
@@ -247,12 +249,12 @@
     def serves(self, backend: int) -> bool:
         return backend in self._ready
 
-    def max_connection_idle(self, request: InHand) -> int | None:
+    def max_connection_idle(self, request: ClientRequest) -> int | None:
         """What may run once only is not risked on a connection that its backend may have forgotten."""
         order: Order = request.event
         return order.youth
 
-    def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
+    def final_answer(self, request: ClientRequest, action: i.Refuse | i.Fail) -> Answer:
         order: Order = request.event
         if order.last is not None:
             return order.last
@@ -379,7 +381,7 @@
 
     # ---- requests
 
-    def open(self, client: Any, incoming: Incoming, came: int) -> Answer | InHand:
+    def open(self, client: Any, incoming: IncomingRequest, came: int) -> Answer | ClientRequest:
         picture, fields = self.picture, incoming.fields
         if picture.gen < 0:
             return later(503, SECOND // 2, b"no configuration yet\n")
@@ -396,13 +398,13 @@
         path = incoming.target.partition(b"?")[0].decode("latin-1")
         route = picture.match(host, path)
         if route is None:
-            return plain(404, "no such route")
+            return plain_answer(404, "no such route")
         tenant = None
         if picture.keys is not None and not route.public:
             scheme, _, key = fields.get(b"authorization", b"").decode("latin-1").partition(" ")
             holder = picture.keys.get(key.strip()) if scheme.lower() == "bearer" else None
             if holder is None:
-                return plain(401, "no such key")
+                return plain_answer(401, "no such key")
             if not self.sure():
                 return later(503, SECOND // 2, b"keys may be out of date\n")
             tenant = holder.name
@@ -417,7 +419,7 @@
         driver = self._lane_of(service, tenant) if picture.avoid else self._driver(service)
         event = i.Request(name, "", driver.class_of(route), 0, 1.0, 1, 0, came + wait)
         order = Order(driver, route, tenant, event, again=self._comes_again(route, wait))
-        return InHand(
+        return ClientRequest(
             name, client, incoming.method, incoming.target, incoming.headers, incoming.body, event.deadline, order
         )
 
@@ -427,7 +429,7 @@
         self._longest[route.name] = longest
         return wait < longest - WAY
 
-    def begin(self, request: InHand) -> None:
+    def begin(self, request: ClientRequest) -> None:
         order: Order = request.event
         self.requests.add(request)
         if order.tenant is None:
@@ -437,8 +439,8 @@
             order.tenant, order.again, partial(self._counted, request), patience, order.receipt
         )
 
-    def _counted(self, request: InHand, passes: bool, wait: int, counted: bool) -> None:
-        if request.over:
+    def _counted(self, request: ClientRequest, passes: bool, wait: int, counted: bool) -> None:
+        if request.finished:
             return self.rate_limiter.refund(request.event.receipt)  # its client left while it was counted
         if passes:
             return self._go(request)
@@ -448,7 +450,7 @@
         else:
             self.final(request, later(503, wait, b"not counted\n"))
 
-    def _go(self, request: InHand) -> None:
+    def _go(self, request: ClientRequest) -> None:
         order: Order = request.event
         facts = None
         if self.boards.chains is not None:
@@ -464,32 +466,32 @@
             order.driver.without,
         )
 
-    def _advised(self, request: InHand, pick: Selection | Rejected | None) -> None:
+    def _advised(self, request: ClientRequest, pick: Selection | Rejected | None) -> None:
         order: Order = request.event
         if isinstance(pick, Rejected):
-            if not request.over:
+            if not request.finished:
                 self.tally.refusals["no_room"] += 1
                 self.final(request, later(503, pick.wait_us, b"no place has room\n"))
             return
-        if not request.over:
+        if not request.finished:
             order.given, order.pick = True, pick
             if pick is not None:
                 order.youth = None if order.route.safe else pick.max_idle_us
                 order.event = replace(order.event, preferred_backend=order.driver.number(pick.backend))
             order.driver.request_received(request, order.event)
-            pick, out = order.pick, {attempt.backend for attempt in request.out.values()}
+            pick, out = order.pick, {attempt.backend for attempt in request.attempts.values()}
             if pick is None or order.driver.number(pick.backend) in out:
                 return
         if pick is not None:  # not followed
             order.pick = None
             self.boards.report_attempt(pick, order.route.name, 0, "none")
 
-    def final(self, request: InHand, answer: Answer) -> None:
+    def final(self, request: ClientRequest, answer: Answer) -> None:
         """The answer to a request that was given to no lane."""
         super().final(request, answer)
         self.rate_limiter.refund(request.event.receipt)
 
-    def client_gone(self, request: InHand) -> None:
+    def client_gone(self, request: ClientRequest) -> None:
         order: Order = request.event
         if order.given:
             return order.driver.client_gone(request)
--- a/oakvale/driver.py
+++ b/oakvale/driver.py
@@ -13,7 +13,7 @@
 
 from oakvale import interface as i
 from oakvale.base.address import Address
-from oakvale.memory.requests import Answer, AttemptOut, InHand
+from oakvale.memory.requests import Answer, ClientRequest, InFlightAttempt
 from oakvale.policy.gateway import Gateway
 from oakvale.retry_budget import RetryBudget
 from oakvale.shared import ConnectionOwner, SharedResources
@@ -63,11 +63,11 @@
         """Whether a backend takes requests, so that an idle connection to it may be kept."""
         raise NotImplementedError
 
-    def max_connection_idle(self, request: InHand) -> int | None:
+    def max_connection_idle(self, request: ClientRequest) -> int | None:
         """Longest idle time, in microseconds, of a connection that may carry this request; None for any."""
         return None
 
-    def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
+    def final_answer(self, request: ClientRequest, action: i.Refuse | i.Fail) -> Answer:
         """The final answer of a request that was refused or failed."""
         raise NotImplementedError
 
@@ -98,47 +98,47 @@
         if isinstance(event, i.Timer):
             self.loop.wake_at(self.loop.now + self.limits.fault_pause, self._on_timer, event.token)
         request = self.requests.get(getattr(event, "id", ""))
-        if request is not None and not request.over:
+        if request is not None and not request.finished:
             self.final(request, Answer(500, [(b"content-type", b"text/plain")], b"internal error\n"))
             self._events.append(i.Withdrawn(request.id))
 
-    def request_received(self, request: InHand, event: i.Request) -> None:
+    def request_received(self, request: ClientRequest, event: i.Request) -> None:
         """Registers a new request and passes it to the policy."""
         self.tally.requests += 1
         self.requests.add(request)
         self.dispatch(event)
 
-    def client_gone(self, request: InHand) -> None:
+    def client_gone(self, request: ClientRequest) -> None:
         """The client has left: withdraws the request and cancels attempts that are not wholly written."""
-        if not request.over:
+        if not request.finished:
             self.abandon(request)
             self.dispatch(i.Withdrawn(request.id))
-            for attempt in [out for out in request.out.values() if not out.written]:
+            for attempt in [out for out in request.attempts.values() if not out.written]:
                 self.cancel_attempt(attempt)  # not wholly sent, so it can't run, whatever its effect
 
     def attempt_ended(
-        self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
+        self, attempt: InFlightAttempt, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
     ) -> None:
         """Records the end of an attempt, passes on a usable answer, and reports the end to the policy."""
         request = attempt.request
-        if request.out.pop(attempt.hop, None) is None:
+        if request.attempts.pop(attempt.hop, None) is None:
             return
         self.tally.attempts[ending.value] += 1
         if request.abandoned:
             self.tally.abandoned_attempts[ending.value] += 1
-        if answer is not None and not request.over:
-            forwarded = self.dialect.passes(attempt, ending, answer)
+        if answer is not None and not request.finished:
+            forwarded = self.dialect.client_answer(attempt, ending, answer)
             if forwarded is not None:
                 self.final(request, forwarded)
-        self.requests.drop_if_done(request)
+        self.requests.remove_if_done(request)
         self.dispatch(
             i.Ended(
                 request.id,
                 attempt.backend,
                 attempt.hop,
-                request.over,
+                request.finished,
                 ending,
-                self.loop.now - attempt.sent,
+                self.loop.now - attempt.started_at,
                 report=report,
             )
         )
@@ -152,13 +152,13 @@
         hop, now = request.hops, self.loop.now
         request.hops += 1
         deadline = min(request.deadline, now + action.timeout) if action.timeout else request.deadline
-        attempt = AttemptOut(request, action.backend, hop, now, deadline)
-        request.out[hop] = attempt
-        if request.over or deadline <= now or hop >= self.settings.max_attempts:
+        attempt = InFlightAttempt(request, action.backend, hop, now, deadline)
+        request.attempts[hop] = attempt
+        if request.finished or deadline <= now or hop >= self.settings.max_attempts:
             return self.attempt_ended(attempt, i.Ending.MOOT)
         connection = self.idle.take(action.backend, now, self.max_connection_idle(request))
         if connection is not None:
-            return connection.use(attempt, self)
+            return connection.start_attempt(attempt, self)
         address = self.address(action.backend)
         if address is None or not self._may_connect():
             return self.attempt_ended(attempt, i.Ending.NO_CONNECTION)
@@ -169,15 +169,15 @@
             self.attempt_ended(attempt, i.Ending.NO_CONNECTION)
 
     def _may_connect(self) -> bool:
-        return self.backend_connections < self.limits.backends or self.idle.end_oldest()
+        return self.backend_connections < self.limits.backends or self.idle.close_oldest()
 
     def _cancel(self, action: i.Cancel) -> None:
         request = self.requests.get(action.id)
-        attempt = request.out.get(action.hop) if request else None
+        attempt = request.attempts.get(action.hop) if request else None
         if attempt is not None:
             self.cancel_attempt(attempt)
 
-    def cancel_attempt(self, attempt: AttemptOut, ending: i.Ending = i.Ending.CANCELLED) -> None:
+    def cancel_attempt(self, attempt: InFlightAttempt, ending: i.Ending = i.Ending.CANCELLED) -> None:
         """Ends an attempt and closes its connection, so that its backend notices at once."""
         if attempt.connection is not None:
             attempt.connection.end()
@@ -185,12 +185,12 @@
 
     def _refuse(self, action: i.Refuse) -> None:
         request = self.requests.get(action.id)
-        if request is not None and not request.over:
+        if request is not None and not request.finished:
             self.final(request, self.final_answer(request, action))
 
     def _fail(self, action: i.Fail) -> None:
         request = self.requests.get(action.id)
-        if request is not None and not request.over:
+        if request is not None and not request.finished:
             self.final(request, self.final_answer(request, action))
 
     def _wake(self, action: i.Wake) -> None:
--- a/oakvale/host.py
+++ b/oakvale/host.py
@@ -10,11 +10,19 @@
 from oakvale.base.loop import Loop
 from oakvale.driver import Driver
 from oakvale.memory.backend_names import BackendNames
-from oakvale.memory.requests import Answer, InHand
+from oakvale.memory.requests import Answer, ClientRequest
 from oakvale.shared import SharedResources
 from oakvale.wire.backends import ServiceDialect
-from oakvale.wire.clients import HEALTH, METHODS, BadRequest, Incoming, decode, plain, terms
-from oakvale.wire.counter import Counter
+from oakvale.wire.clients import (
+    HEALTH_PATH,
+    METHODS,
+    BadRequest,
+    IncomingRequest,
+    decode_request,
+    parse_call_terms,
+    plain_answer,
+)
+from oakvale.wire.counter import CounterClient
 from oakvale.wire.discovery import Discovery
 
 
@@ -27,9 +35,9 @@
         self.dialect = ServiceDialect(self.settings.report)
         self.backend_names = BackendNames(self.names)
         self.listed = self.admission_closed = False
-        self.counter = Counter(self, configuration.counter) if configuration.counter else None
+        self.counter = CounterClient(self, configuration.counter) if configuration.counter else None
         self.discovery = Discovery(self, configuration.discovery)
-        self.terms = lru_cache(self.limits.cached)(partial(terms, self.settings))
+        self.terms = lru_cache(self.limits.cached)(partial(parse_call_terms, self.settings))
         self.unix_time = loop.net.unix_time  # the clock of the kernel's timestamps
 
     # ---- implementation of Driver
@@ -40,7 +48,7 @@
     def serves(self, backend: int) -> bool:
         return self.backend_names.serves(backend)
 
-    def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
+    def final_answer(self, request: ClientRequest, action: i.Refuse | i.Fail) -> Answer:
         headers = [(b"content-type", b"text/plain")]
         if isinstance(action, i.Fail):
             return Answer(502, headers, b"failed\n")
@@ -57,18 +65,18 @@
         waited = (self.unix_time() - arrived) // 1000 if arrived else 0
         return waited if 0 < waited < self.limits.clock_step else 0
 
-    def open(self, client: object, incoming: Incoming, came: int) -> Answer | InHand:
+    def open(self, client: object, incoming: IncomingRequest, came: int) -> Answer | ClientRequest:
         """Answers a request at once, or registers nothing yet and returns it for `begin`."""
-        if incoming.target == HEALTH:
-            return plain(200, "ok") if self.can_serve() else plain(503, "not ready")
+        if incoming.target == HEALTH_PATH:
+            return plain_answer(200, "ok") if self.can_serve() else plain_answer(503, "not ready")
         if incoming.method not in METHODS:
             raise BadRequest(405, "only GET and POST")
-        request = decode(incoming, came, self.names, self.limits.client_wait, self.terms)
+        request = decode_request(incoming, came, self.names, self.limits.client_wait, self.terms)
         if self.requests.get(request.id) is not None:
             raise BadRequest(409, "X-Trace-Id is in use by another pending request")
         if self.refuses_requests():
-            return plain(503, "no room")
-        return InHand(
+            return plain_answer(503, "no room")
+        return ClientRequest(
             request.id,
             client,
             incoming.method,
@@ -79,7 +87,7 @@
             request,
         )
 
-    def begin(self, request: InHand) -> None:
+    def begin(self, request: ClientRequest) -> None:
         """Starts to handle a request that `open` returned."""
         self.request_received(request, request.event)
 
@@ -93,7 +101,7 @@
         self.listed = self.listed or bool(entries)
         self.dispatch(i.Backends(form, entries))
         for backend in freed:
-            self.idle.free(backend)
+            self.idle.close_backend(backend)
 
     def can_serve(self) -> bool:
         """Whether a backend list has arrived and the process is not stopping."""
--- a/oakvale/lifecycle/acceptor.py
+++ b/oakvale/lifecycle/acceptor.py
@@ -11,7 +11,7 @@
 from oakvale.base.loop import READ, Coroutine, Loop, Rank
 from oakvale.base.net import Sock
 from oakvale.wire.clients import ClientConnection, Owner
-from oakvale.wire.tcp import stamp_arrivals
+from oakvale.wire.tcp import enable_receive_timestamps
 
 log = logging.getLogger(__name__)
 
@@ -19,7 +19,7 @@
 def listening(address: tuple[str, int], backlog: int) -> socket.socket:
     """A listening socket whose connections have their arrivals stamped. Raises OSError."""
     sock = sockets.listening(address, backlog)
-    stamp_arrivals(sock)
+    enable_receive_timestamps(sock)
     return sock
 
 
@@ -57,14 +57,14 @@
         """False when nobody waits; raises OSError when there is no room."""
         clients = self.owner.clients
         full = len(clients.all) >= self.owner.limits.clients
-        if full and not clients.can_make_room():
+        if full and not clients.can_evict():
             raise OSError(errno.EMFILE, "as many clients as may be, none idle")
         try:
             sock, _ = self.listener.accept()
         except (BlockingIOError, ConnectionAbortedError):
             return False
         if full:
-            clients.make_room(self.loop.now)
+            clients.evict_one(self.loop.now)
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/oakvale/lifecycle/serving.py
+++ b/oakvale/lifecycle/serving.py
@@ -15,7 +15,7 @@
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
 from oakvale.lifecycle.status import Status
-from oakvale.wire.discovery import BadList
+from oakvale.wire.discovery import InvalidBackendList
 
 __all__ = ["Server", "listening", "serve"]
 
@@ -36,10 +36,10 @@
         """The list as this gateway last had it, maybe old, then the watch."""
         nothing = {"index": 0, "snapshot": True, "endpoints": []}
         try:
-            self.host.discovery.take(self.known or nothing, cached=True)
-        except BadList as error:
+            self.host.discovery.apply(self.known or nothing, cached=True)
+        except InvalidBackendList as error:
             log.warning("known list is not understood", extra={"why": str(error)})
-            self.host.discovery.take(nothing, cached=True)
+            self.host.discovery.apply(nothing, cached=True)
         if not self.host.settings.on_request:
             self.host.discovery.watch(True)
 
@@ -65,15 +65,15 @@
                 "needs_restart": ",".join(parts) or "nothing",
             },
         )
-        self.host.discovery.move(fresh.discovery)
+        self.host.discovery.set_address(fresh.discovery)
         if self.host.counter is not None and fresh.counter is not None:
-            self.host.counter.move(fresh.counter)
+            self.host.counter.set_address(fresh.counter)
 
     def accept_one(self) -> bool:
         return self.acceptor.accept_one()
 
     def _sweep(self, _: None) -> None:
-        self.host.idle.sweep(self.loop.now)
+        self.host.idle.close_expired(self.loop.now)
         self.loop.at(self.loop.now + self.limits.sweep, self._sweep)
 
 
--- a/oakvale/lifecycle/shutdown.py
+++ b/oakvale/lifecycle/shutdown.py
@@ -39,7 +39,7 @@
         log.info("stopping", extra={"requests": len(self.host.requests)})
         if not limits.patient:
             # now, while new ones are taken: a request that crosses the close of its connection is sent once more
-            self.host.clients.end_idle()
+            self.host.clients.close_idle()
         self.loop.at(now + limits.stop_accepting, self._stop_accepting)
         self.loop.at(now + limits.stop_taking, self._stop_taking)
 
@@ -56,7 +56,7 @@
                 return
             log.warning("clients left in the backlog", extra={"why": str(error)})
         self.loop.end(self.server.accepting)
-        self.host.clients.end_idle()
+        self.host.clients.close_idle()
 
     def _stop_taking(self, _: None) -> None:
         self.host.admission_closed = True
@@ -64,7 +64,7 @@
 
     def _end_when_done(self, _: None) -> None:
         limits, now = self.host.limits, self.loop.now
-        self.host.clients.end_idle()
+        self.host.clients.close_idle()
         if not self.host.clients.all or now - self._began > limits.stop_longest:
             self.host.ended = True
             self.loop.stop()
--- a/oakvale/lifecycle/status.py
+++ b/oakvale/lifecycle/status.py
@@ -33,7 +33,7 @@
                 "clients": len(host.clients.all),
                 "backend_connections": host.backend_connections,
                 "idle_connections": host.idle.count,
-                "buffers_taken": host.buffers.taken,
+                "buffers_taken": host.buffers.in_use,
                 "turns": host.loop.turns - self._turns,
                 "cpu_ms": round((cpu - self._cpu) * 1000),
                 "memory_mb": memory,
--- a/oakvale/memory/backend_names.py
+++ b/oakvale/memory/backend_names.py
@@ -30,7 +30,7 @@
         """Neither leaving nor left: a connection to it may be kept."""
         return backend in self._serving
 
-    def learn(self, rows: list[dict[str, Any]], whole: bool) -> tuple[tuple[i.Entry, ...], list[int]]:
+    def update(self, rows: list[dict[str, Any]], whole: bool) -> tuple[tuple[i.Entry, ...], list[int]]:
         """The rows of a list as the module knows them, and the backends whose connections of before are of no
         use: their address is another, they leave or have left, or a whole list is without them.
 
--- a/oakvale/memory/requests.py
+++ b/oakvale/memory/requests.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class InHand:
+class ClientRequest:
     """One request of a client."""
 
     id: str
@@ -31,69 +31,69 @@
     body: bytes
     deadline: int
     event: Any = None  # what it is to the decision module
-    over: bool = False
+    finished: bool = False
     abandoned: bool = False  # over because its client left
     hops: int = 0
-    out: dict[int, AttemptOut] = field(default_factory=dict)
+    attempts: dict[int, InFlightAttempt] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
-class AttemptOut:
+class InFlightAttempt:
     """One attempt: `written` once the kernel has taken its last byte."""
 
-    request: InHand
+    request: ClientRequest
     backend: int
     hop: int
-    sent: int
-    due: int
-    connection: Carrier | None = None
+    started_at: int
+    deadline: int
+    connection: ReusableConnection | None = None
     written: bool = False
     ending: Ending | None = None
-    idled: int = 0  # microseconds that its connection had been idle; 0 on a new one
-    kept: int = 0  # microseconds that its connection may be idle, now that it has ended well
-    dropped: bool = False  # that connection ended before anything of an answer came
+    connection_idle_us: int = 0  # microseconds that its connection had been idle; 0 on a new one
+    reusable_for_us: int = 0  # microseconds that its connection may be idle, now that it has ended well
+    dropped_before_answer: bool = False  # that connection ended before anything of an answer came
 
 
-class Carrier(Protocol):
+class ReusableConnection(Protocol):
     """A connection to a backend, which carries one attempt at a time."""
 
     @property
     def backend(self) -> int: ...
     @property
-    def used(self) -> int: ...
+    def last_used(self) -> int: ...
     @property
-    def lasts(self) -> int:
+    def max_idle_us(self) -> int:
         """Microseconds for which it may stay idle and be used again."""
 
-    def use(self, attempt: AttemptOut, host: Any) -> None:
+    def start_attempt(self, attempt: InFlightAttempt, host: Any) -> None:
         """Gives an idle connection its next request, which this lane hears the end of."""
 
-    def whole(self) -> bool:
+    def is_reusable(self) -> bool:
         """Neither ended nor holding stray bytes."""
 
     def end(self) -> None: ...
 
 
-class RequestsInHand:
+class RequestTable:
     def __init__(self, most: int) -> None:
         self._most = most
-        self._by_id: dict[str, InHand] = {}
+        self._by_id: dict[str, ClientRequest] = {}
 
     def __len__(self) -> int:
         return len(self._by_id)
 
-    def all(self) -> list[InHand]:
+    def all(self) -> list[ClientRequest]:
         return list(self._by_id.values())
 
-    def get(self, rid: str) -> InHand | None:
+    def get(self, rid: str) -> ClientRequest | None:
         return self._by_id.get(rid)
 
     def full(self) -> bool:
         return len(self._by_id) >= self._most
 
-    def add(self, request: InHand) -> None:
+    def add(self, request: ClientRequest) -> None:
         self._by_id[request.id] = request
 
-    def drop_if_done(self, request: InHand) -> None:
-        if request.over and not request.out:
+    def remove_if_done(self, request: ClientRequest) -> None:
+        if request.finished and not request.attempts:
             self._by_id.pop(request.id, None)
--- a/oakvale/shared.py
+++ b/oakvale/shared.py
@@ -7,11 +7,11 @@
 
 from oakvale.base.limits import Limits
 from oakvale.base.loop import Loop
-from oakvale.memory.buffers import BufferPool, Room
+from oakvale.memory.buffers import BodyMemory, BufferPool
 from oakvale.memory.counters import Tally
-from oakvale.memory.idle_connections import Clients, IdleConnections
-from oakvale.memory.requests import Answer, InHand, RequestsInHand
-from oakvale.wire.clients import response
+from oakvale.memory.idle_connections import ClientConnections, IdleConnections
+from oakvale.memory.requests import Answer, ClientRequest, RequestTable
+from oakvale.wire.clients import response_head
 
 
 class SharedResources:
@@ -21,14 +21,14 @@
         self.loop, self.limits = loop, limits
         self.log = logging.getLogger("oakvale.host")
         self.buffers = BufferPool(limits.buffer, limits.buffers)
-        self.requests = RequestsInHand(limits.requests)
+        self.requests = RequestTable(limits.requests)
         self.idle = IdleConnections(limits.backend_settle)
-        self.clients = Clients(limits.client_grace, limits.clients_idle)
+        self.clients = ClientConnections(limits.client_grace, limits.clients_idle)
         self.tally = Tally()
         self.backend_connections = 0
-        self.bodies = Room(limits.bodies)
+        self.bodies = BodyMemory(limits.bodies)
         self.stopping = self.ended = False
-        self.response = lru_cache(limits.cached)(response)
+        self.response = lru_cache(limits.cached)(response_head)
 
 
 class ConnectionOwner:
@@ -68,14 +68,14 @@
         """Microseconds since the kernel's timestamp of an arrival; 0 where the wall clock is not used."""
         return 0
 
-    def abandon(self, request: InHand) -> None:
+    def abandon(self, request: ClientRequest) -> None:
         """Marks a request as finished without an answer, as its client has left."""
-        request.over = request.abandoned = True
-        self.tally.abandoned["at_backend" if request.out else "waiting"] += 1
-        self.requests.drop_if_done(request)
+        request.finished = request.abandoned = True
+        self.tally.abandoned["at_backend" if request.attempts else "waiting"] += 1
+        self.requests.remove_if_done(request)
 
-    def final(self, request: InHand, answer: Answer) -> None:
+    def final(self, request: ClientRequest, answer: Answer) -> None:
         """Sends the final answer of a request to its client."""
-        request.over = True
-        request.client.give(answer)
-        self.requests.drop_if_done(request)
+        request.finished = True
+        request.client.send_answer(answer)
+        self.requests.remove_if_done(request)
--- a/oakvale/wire/clients.py
+++ b/oakvale/wire/clients.py
@@ -15,17 +15,17 @@
 from oakvale import interface as i
 from oakvale.base.loop import BROKEN, READ, TIMED_OUT, WOKEN, Coroutine, Rank, Step
 from oakvale.base.net import Sock
-from oakvale.memory.buffers import Room, Share
+from oakvale.memory.buffers import BodyMemory, BodyMemoryShare
 from oakvale.memory.counters import Tally
-from oakvale.memory.idle_connections import Clients
-from oakvale.memory.requests import Answer, Headers, InHand
+from oakvale.memory.idle_connections import ClientConnections
+from oakvale.memory.requests import Answer, ClientRequest, Headers
 from oakvale.numbers import parse_decimal, parse_integer
 from oakvale.settings import NameIndexes
-from oakvale.wire.http import END, more
-from oakvale.wire.owner import Process
-from oakvale.wire.tcp import Gone, peek, write_all
+from oakvale.wire.http import END_OF_MESSAGE, read_more
+from oakvale.wire.owner import BaseOwner
+from oakvale.wire.tcp import ConnectionLost, peek, write_all
 
-HEALTH = b"/_health"
+HEALTH_PATH = b"/_health"
 CONTINUE = h11.InformationalResponse(status_code=100, headers=[], reason=b"Continue")
 METHODS = (b"GET", b"POST")
 TRACE_ID = re.compile(r"[0-9A-Za-z._-]{1,64}")
@@ -47,11 +47,11 @@
         self.status = status
 
 
-class Unmannerly(BadRequest):
+class FatalBadRequest(BadRequest):
     """What follows on this connection is not read."""
 
 
-def terms(settings: i.Settings, text: str) -> tuple[float, int, int]:
+def parse_call_terms(settings: i.Settings, text: str) -> tuple[float, int, int]:
     """`units=2,spread=3,first=1`; keys that are not known are skipped. Out of range is refused here: units
     that no request has would use up their customer's quota on every gateway."""
     try:
@@ -71,14 +71,14 @@
     return units, spread, first
 
 
-def text_of(value: bytes | None, what: str) -> str:
+def required_text(value: bytes | None, what: str) -> str:
     if value is None:
         raise BadRequest(400, f"{what} is missing")
     return value.decode("latin-1")
 
 
 @dataclass(slots=True)
-class Incoming:
+class IncomingRequest:
     """A request as it was read. h11's headers are slow to walk through, so they are copied once."""
 
     method: bytes
@@ -92,7 +92,9 @@
         return len(self.method) + len(self.target) + 14 + sum(len(n) + len(v) + 4 for n, v in self.headers)
 
 
-def decode(incoming: Incoming, came: int, names: NameIndexes, longest: int, terms_of: Terms) -> i.Request:
+def decode_request(
+    incoming: IncomingRequest, came: int, names: NameIndexes, longest: int, terms_of: Terms
+) -> i.Request:
     """A client's request as the module knows it; raises BadRequest."""
     headers = incoming.fields
     if len(headers) != len(incoming.headers):
@@ -103,43 +105,43 @@
     cls = names.classes.get(path.decode("latin-1").split("/", 2)[1] if path.startswith(b"/") else "")
     if cls is None:
         raise BadRequest(404, "no such class of requests")
-    rid = text_of(headers.get(b"x-trace-id"), "X-Trace-Id")
+    rid = required_text(headers.get(b"x-trace-id"), "X-Trace-Id")
     if not TRACE_ID.fullmatch(rid):
         raise BadRequest(400, "X-Trace-Id is not understood")
     pairs = [p[4:] for p in query.split(b"&") if p.startswith(b"key=")]
-    customer = text_of(pairs[0] if pairs else None, "key").lower()
+    customer = required_text(pairs[0] if pairs else None, "key").lower()
     if not CUSTOMER.fullmatch(customer):
         raise BadRequest(400, "key is not understood")
-    plan = names.plans.get(text_of(headers.get(b"x-tier"), "X-Tier"))
+    plan = names.plans.get(required_text(headers.get(b"x-tier"), "X-Tier"))
     if plan is None:
         raise BadRequest(400, "X-Tier names no plan")
-    expires = EXPIRES.fullmatch(text_of(headers.get(b"x-expires-in"), "X-Expires-In"))
+    expires = EXPIRES.fullmatch(required_text(headers.get(b"x-expires-in"), "X-Expires-In"))
     if expires is None:
         raise BadRequest(400, "X-Expires-In is not understood")
     wait = min(longest, int(float(expires[1]) * UNITS[expires[2]]))
-    units, spread, first = terms_of(text_of(headers.get(b"x-call-terms"), "X-Call-Terms"))
+    units, spread, first = terms_of(required_text(headers.get(b"x-call-terms"), "X-Call-Terms"))
     flags = SECOND_TRY if headers.get(b"x-second-try") == b"1" else 0
     return i.Request(rid, customer, cls, plan, units, spread, first, came + wait, flags)
 
 
-def response(status: int, headers: tuple[tuple[bytes, bytes], ...]) -> h11.Response:
+def response_head(status: int, headers: tuple[tuple[bytes, bytes], ...]) -> h11.Response:
     """The head of an answer. h11 checks each header anew, and most heads are like one before."""
     return h11.Response(status_code=status, headers=list(headers), reason=HTTPStatus(status).phrase)
 
 
-def plain(status: int, why: str) -> Answer:
+def plain_answer(status: int, why: str) -> Answer:
     """The gateway's own answer; 503 is a refusal and names a time to come back."""
     headers = [(b"content-type", b"text/plain")] + ([(b"retry-after", b"1")] if status == 503 else [])
     return Answer(status, headers, why.encode("latin-1", "replace") + b"\n")
 
 
-class Owner(Process, Protocol):
+class Owner(BaseOwner, Protocol):
     """What a client's connection needs of the process that it belongs to."""
 
     @property
-    def bodies(self) -> Room: ...
+    def bodies(self) -> BodyMemory: ...
     @property
-    def clients(self) -> Clients: ...
+    def clients(self) -> ClientConnections: ...
     @property
     def tally(self) -> Tally: ...
     @property
@@ -150,15 +152,15 @@
     def waited(self, arrived: int) -> int:
         """Microseconds since the stamp of an arrival."""
 
-    def open(self, client: Any, incoming: Incoming, came: int) -> Answer | InHand:
+    def open(self, client: Any, incoming: IncomingRequest, came: int) -> Answer | ClientRequest:
         """The answer at once, or the request in hand, which `begin` is then called with.
 
         Raises BadRequest."""
 
-    def begin(self, request: InHand) -> None:
+    def begin(self, request: ClientRequest) -> None:
         """The connection waits for the answer from now on."""
 
-    def client_gone(self, request: InHand) -> None:
+    def client_gone(self, request: ClientRequest) -> None:
         """Nobody waits for its answer any more."""
 
 
@@ -166,9 +168,9 @@
     def __init__(self, host: Owner, sock: Sock) -> None:
         self.host, self.used, self.opened = host, host.loop.now, host.loop.now
         self._answers = 0
-        self._share = Share(host.bodies)
+        self._share = BodyMemoryShare(host.bodies)
         self.answer: Answer | None = None
-        self.request: InHand | None = None
+        self.request: ClientRequest | None = None
         self._sock = sock
         self._rest = b""  # of an interim answer, of which the kernel took a part
         self._waits = False  # its client ended its sending, and is known to wait for answers
@@ -178,12 +180,12 @@
         self._task = host.loop.start(self._run(), sock.fileno(), Rank.CLIENT)
         host.loop.wake(self._task)  # its request may have come with it
 
-    def give(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         """The final answer of the request in hand."""
         self.request, self.answer = None, answer
         self.host.loop.wake(self._task)
 
-    def end_if_idle(self) -> bool:
+    def close_if_idle(self) -> bool:
         """Closes the connection unless a request has come that was not read yet."""
         if peek(self._sock):
             return False
@@ -199,7 +201,7 @@
                 self._answers += 1
                 self._http.start_next_cycle()
             yield from self._linger()
-        except Gone:
+        except ConnectionLost:
             pass
         finally:
             self._sock.close()
@@ -216,10 +218,10 @@
             method = incoming.method
             answer = yield from self._answered(incoming)
         except BadRequest as bad:
-            answer, last = plain(bad.status, str(bad)), isinstance(bad, Unmannerly)
+            answer, last = plain_answer(bad.status, str(bad)), isinstance(bad, FatalBadRequest)
         except h11.RemoteProtocolError as error:
-            answer = plain(error.error_status_hint or 400, str(error))
-        except (Gone, GeneratorExit):
+            answer = plain_answer(error.error_status_hint or 400, str(error))
+        except (ConnectionLost, GeneratorExit):
             raise
         except Exception:
             # a fault in one request's handling: it is logged, that request answered, the rest served
@@ -227,7 +229,7 @@
             if self.request is not None:
                 self.host.client_gone(self.request)
                 self.request = None
-            answer = plain(500, "internal error")
+            answer = plain_answer(500, "internal error")
         http = self._http
         self.host.tally.answers[str(answer.status)] += 1
         headers = [*answer.headers, (b"content-length", b"%d" % len(answer.body))]
@@ -236,29 +238,29 @@
             headers.append((b"connection", b"close"))
         # kept are only short ones: a backend may send heads as long as it likes
         short = sum(len(name) + len(value) for name, value in headers) <= self.host.limits.cached_size
-        make = self.host.response if short else response
+        make = self.host.response if short else response_head
         data = http.send(make(answer.status, tuple(headers))) or b""
         if answer.body and method != b"HEAD":
             http.send(h11.Data(data=answer.body))
             data += answer.body
-        http.send(END)
+        http.send(END_OF_MESSAGE)
         self._share.hold(len(answer.body))
         data, self._rest = self._rest + data, b""
         yield from write_all(self._sock, data, self.host.loop.now + self.host.limits.client_take)
         self._share.hold(0)
         return http.our_state is h11.DONE and http.their_state is h11.DONE
 
-    def _read(self) -> Step[Incoming]:
+    def _read(self) -> Step[IncomingRequest]:
         host, limits = self.host, self.host.limits
         # what came behind the last request has begun another
         idle = not self._begins()
         began, http = 0 if idle else host.loop.now, self._http
-        incoming: Incoming | None = None
+        incoming: IncomingRequest | None = None
         parts: list[bytes] = []
         size = 0
         self.used = host.loop.now
         if idle:
-            host.clients.waits(self, silent=not self._answers)
+            host.clients.mark_idle(self, silent=not self._answers)
         try:
             # between requests there is nothing to parse but what came behind the last one
             event = h11.NEED_DATA if idle else http.next_event()
@@ -273,8 +275,8 @@
                     if began and incoming is None and limits.client_head:
                         due = min(due, began + limits.client_head)
                     try:
-                        arrived = yield from more(self._sock, http, host.buffers, due, stamped=True)
-                    except Gone as gone:
+                        arrived = yield from read_more(self._sock, http, host.buffers, due, stamped=True)
+                    except ConnectionLost as gone:
                         if gone.timed_out and not wanted and host.loop.now < self.used + host.limits.client_idle:
                             continue  # the bound has grown meanwhile, and its client goes by that
                         raise
@@ -285,10 +287,10 @@
                         continue
                     if idle:
                         began, idle = host.loop.now, False
-                        host.clients.works(self)
+                        host.clients.mark_busy(self)
                 elif type(event) is h11.Request:
                     headers = list(event.headers)
-                    incoming = Incoming(event.method, event.target, headers, dict(headers))
+                    incoming = IncomingRequest(event.method, event.target, headers, dict(headers))
                     length = incoming.fields.get(b"content-length", b"0")
                     chunked = b"transfer-encoding" in incoming.fields
                     # h11 lets chunks go before the length, as RFC 9112 (6.3) allows: another request may hide
@@ -314,14 +316,14 @@
                     incoming.body = b"".join(parts)
                     return incoming
                 else:  # closed between requests
-                    raise Gone()
+                    raise ConnectionLost()
                 event = http.next_event()
-        except Gone as gone:
+        except ConnectionLost as gone:
             if gone.timed_out and began:
                 raise BadRequest(408, "request took too long to come") from gone
             raise
         finally:
-            host.clients.works(self)
+            host.clients.mark_busy(self)
 
     def _fresh(self) -> h11.Connection:
         return h11.Connection(h11.SERVER, max_incomplete_event_size=self.host.limits.header)
@@ -342,7 +344,7 @@
                 self._http.receive_data(b"")
         return came not in (b"", b"\r")
 
-    def _answered(self, incoming: Incoming) -> Step[Answer]:
+    def _answered(self, incoming: IncomingRequest) -> Step[Answer]:
         host = self.host
         if host.loop.unread_for >= READ_LATE_US and not self._waits and peek(self._sock) == b"":
             yield from self._look_for_client()
@@ -360,9 +362,9 @@
             if signal == TIMED_OUT:  # whatever is behind it is owed a word too, and its time is over
                 host.client_gone(self.request)
                 self.request = None
-                raise Unmannerly(400, "one request at a time")
+                raise FatalBadRequest(400, "one request at a time")
             if signal & BROKEN:
-                raise Gone()
+                raise ConnectionLost()
             if signal & select.EPOLLRDHUP:
                 mask = 0
                 self._probe()
@@ -378,7 +380,7 @@
         due = self.host.loop.now + PROBE_ANSWER_US
         while (signal := (yield 0, due)) != TIMED_OUT:
             if signal != WOKEN and signal & BROKEN:
-                raise Gone()
+                raise ConnectionLost()
         self._waits = True
 
     def _due(self, began: int) -> int:
@@ -406,7 +408,7 @@
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
             return
-        self.host.clients.lingers(self)
+        self.host.clients.mark_lingering(self)
         due = self.host.loop.now + self.host.limits.linger
         while (signal := (yield READ, due)) != TIMED_OUT:
             if signal != WOKEN and not self._throw_away():
@@ -414,7 +416,7 @@
 
     def _throw_away(self) -> bool:
         """Has the kernel drop what has come, without copying it; False when the client has ended."""
-        buffer = self.host.buffers.take()
+        buffer = self.host.buffers.acquire()
         try:
             for _ in range(self.host.limits.linger_reads):
                 if not self._sock.recv_into(buffer, 0, socket.MSG_TRUNC):
@@ -424,5 +426,5 @@
         except OSError:
             return False
         finally:
-            self.host.buffers.give(buffer)
+            self.host.buffers.release(buffer)
         return True
--- a/oakvale/wire/counter.py
+++ b/oakvale/wire/counter.py
@@ -15,7 +15,7 @@
 from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Rank, Timer, call_off
 from oakvale.interface import Ending
 from oakvale.numbers import parse_decimal
-from oakvale.wire.owner import Process
+from oakvale.wire.owner import BaseOwner
 from oakvale.wire.tcp import connect, new_socket, peek
 
 # what the beginning of an answer may look like, which also bounds its length
@@ -25,19 +25,19 @@
 )
 
 
-class Call:
-    __slots__ = ("name", "amount", "life", "sent", "begun", "ending", "level", "connection", "timer")
+class CounterCall:
+    __slots__ = ("name", "amount", "ttl_ms", "started_at", "write_started", "ending", "level", "connection", "timer")
 
     def __init__(self, name: str, amount: float, life: int, sent: int) -> None:
-        self.name, self.amount, self.life, self.sent = name, amount, life, sent
-        self.begun, self.level = False, 0.0  # begun: a byte of it went out, so the rest will
+        self.name, self.amount, self.ttl_ms, self.started_at = name, amount, life, sent
+        self.write_started, self.level = False, 0.0  # begun: a byte of it went out, so the rest will
         self.ending: Ending | None = None
         self.connection: CounterConnection | None = None
         self.timer: Timer | None = None
 
     def line(self) -> bytes:
         amount = f"{self.amount:.15f}".rstrip("0").rstrip(".")  # never in exponent form
-        return f"add {self.name} {amount or '0'} {self.life}\r\n".encode("ascii")
+        return f"add {self.name} {amount or '0'} {self.ttl_ms}\r\n".encode("ascii")
 
     def allowed(self, limits: Limits) -> bool:
         name = self.name
@@ -50,7 +50,7 @@
         )
 
 
-def answer(line: bytes) -> tuple[Ending, float]:
+def parse_answer(line: bytes) -> tuple[Ending, float]:
     """The outcome that a line tells; raises ValueError."""
     word, _, rest = line.partition(b" ")
     if word == b"ok":
@@ -60,26 +60,26 @@
     raise ValueError(f"not an answer: {line[:64]!r}")
 
 
-class Owner(Process, Protocol):
+class Owner(BaseOwner, Protocol):
     """What the counter's connections need of the gateway that asks."""
 
     def counted(self, name: str, ending: Ending, level: float, sent: int) -> None:
         """The outcome of a call, in the order of its name's calls."""
 
 
-class Counter:
+class CounterClient:
     def __init__(self, host: Owner, address: Address) -> None:
         self.host, self.address = host, address
         self.connections: list[CounterConnection] = []
         self.retry_at = 0
         self.lost = False  # said in the log once, however many tries follow
-        self._by_name: dict[str, deque[Call]] = {}
+        self._by_name: dict[str, deque[CounterCall]] = {}
 
     def call(self, name: str, amount: float, life: int) -> None:
         now = self.host.loop.now
         limits = self.host.limits
         milliseconds = min(max(life, 1000), limits.counter_life) // 1000
-        call = Call(name, amount, milliseconds, now)
+        call = CounterCall(name, amount, milliseconds, now)
         self._by_name.setdefault(name, deque()).append(call)
         if not call.allowed(self.host.limits):
             self.host.log.error("call not allowed", extra={"call": name, "amount": amount})
@@ -87,7 +87,7 @@
         call.timer = self.host.loop.at(now + limits.counter_timeout, self._expire, call)
         self._send(call)
 
-    def end(self, call: Call, ending: Ending, level: float = 0.0) -> None:
+    def end(self, call: CounterCall, ending: Ending, level: float = 0.0) -> None:
         """Settles a call, once, and gives the module what is settled of its name, in order."""
         if call.ending is not None:
             return
@@ -97,28 +97,28 @@
         calls = self._by_name[call.name]
         while calls and calls[0].ending is not None:
             first = calls.popleft()
-            self.host.counted(first.name, first.ending or ending, first.level, first.sent)
+            self.host.counted(first.name, first.ending or ending, first.level, first.started_at)
         if not calls and self._by_name.get(call.name) is calls:
             del self._by_name[call.name]
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Calls go to another address from now on. Those of which a byte went out wait for their answers
         where they were written; the others go with the new ones. No call is written twice."""
         if address == self.address:
             return
         self.address, self.retry_at, self.lost = address, 0, False
-        calls = [call for connection in list(self.connections) for call in connection.leave()]
+        calls = [call for connection in list(self.connections) for call in connection.retire()]
         for call in calls:
             if call.ending is None:
                 self._send(call)
 
-    def _send(self, call: Call) -> None:
+    def _send(self, call: CounterCall) -> None:
         connection = self._connection()
         if connection is None:
             return self.end(call, Ending.NO_CONNECTION)
         connection.send(call)
 
-    def lose(self, why: str) -> None:
+    def report_lost(self, why: str) -> None:
         if not self.lost:
             self.host.log.warning("counter lost", extra={"why": why})
         self.lost = True
@@ -126,7 +126,7 @@
     def _connection(self) -> CounterConnection | None:
         now = self.host.loop.now
         for connection in self.connections:
-            if connection.usable(now):
+            if connection.is_usable(now):
                 return connection
         if now < self.retry_at:
             return None
@@ -135,36 +135,36 @@
         try:
             connection = CounterConnection(self)
         except OSError as error:
-            self.lose(str(error))
+            self.report_lost(str(error))
             return None
         return None if connection.ended else connection
 
-    def _expire(self, call: Call) -> None:
+    def _expire(self, call: CounterCall) -> None:
         if call.connection is not None:
-            call.connection.late(call)
-        self.end(call, Ending.TIMEOUT if call.begun else Ending.NO_CONNECTION)
+            call.connection.call_timed_out(call)
+        self.end(call, Ending.TIMEOUT if call.write_started else Ending.NO_CONNECTION)
 
 
 class CounterConnection:
-    def __init__(self, counter: Counter) -> None:
+    def __init__(self, counter: CounterClient) -> None:
         self.counter, self.host = counter, counter.host
-        self.owed: deque[Call] = deque()  # written, no answer yet
-        self.heard = self.used = self.host.loop.now
-        self.up = self.stuck = self.ended = False
-        self.left = False  # the counter has moved: it brings what it owes, and its end tells nothing
-        self._unsent: deque[Call] = deque()
-        self._partial: Call | None = None  # one that the socket took in part, and what is left of its line
+        self.unanswered: deque[CounterCall] = deque()  # written, no answer yet
+        self.last_received = self.last_used = self.host.loop.now
+        self.connected = self.unresponsive = self.ended = False
+        self.retired = False  # the counter has moved: it brings what it owes, and its end tells nothing
+        self._unsent: deque[CounterCall] = deque()
+        self._partial: CounterCall | None = None  # one that the socket took in part, and what is left of its line
         self._tail = b""
         self._buffer = b""
         self._sock = new_socket(self.host.loop.net)
         counter.connections.append(self)
         self._task = self.host.loop.start(self._run(), self._sock.fileno(), Rank.COUNTER)
 
-    def usable(self, now: int) -> bool:
-        full = len(self.owed) + len(self._unsent) >= self.host.limits.counter_owed
-        if self.ended or self.left or self.stuck or full:
+    def is_usable(self, now: int) -> bool:
+        full = len(self.unanswered) + len(self._unsent) >= self.host.limits.counter_owed
+        if self.ended or self.retired or self.unresponsive or full:
             return False
-        if not self.up or self.owed or now - self.used < self.host.limits.counter_idle:
+        if not self.connected or self.unanswered or now - self.last_used < self.host.limits.counter_idle:
             return True
         # idle for some time: the counter may have closed it, and what is written then may be lost
         if peek(self._sock) is None:
@@ -172,28 +172,28 @@
         self.end()
         return False
 
-    def send(self, call: Call) -> None:
+    def send(self, call: CounterCall) -> None:
         call.connection = self
         self._unsent.append(call)
-        self.used = self.host.loop.now
+        self.last_used = self.host.loop.now
         self.host.loop.wake(self._task)
 
-    def leave(self) -> list[Call]:
+    def retire(self) -> list[CounterCall]:
         """Gives the calls of which nothing was written, and ends once none is owed."""
-        self.left, self.heard = True, self.host.loop.now
+        self.retired, self.last_received = True, self.host.loop.now
         calls, self._unsent = list(self._unsent), deque()
-        if not self.owed and self._partial is None:
+        if not self.unanswered and self._partial is None:
             self.end()
         else:
             self.host.loop.wake(self._task)  # it waits for a limited time from now on
         return calls
 
-    def late(self, call: Call) -> None:
+    def call_timed_out(self, call: CounterCall) -> None:
         """A call's time is up. When nothing at all came since it was made, the connection may be dead: it is
         left to bring what it still owes, and later calls go elsewhere."""
-        if self.heard <= call.sent and not self.left:
-            self.stuck = True
-            self.counter.lose("silent")
+        if self.last_received <= call.started_at and not self.retired:
+            self.unresponsive = True
+            self.counter.report_lost("silent")
             self.host.loop.wake(self._task)  # it waits for a limited time from now on
 
     def end(self) -> None:
@@ -203,27 +203,27 @@
         try:
             due = self.host.loop.now + self.host.limits.connect
             if not (yield from connect(self._sock, self.counter.address, due)):
-                if not self.left:
+                if not self.retired:
                     self.counter.retry_at = self.host.loop.now + self.host.limits.counter_retry
-                    self.counter.lose("cannot connect")
+                    self.counter.report_lost("cannot connect")
                 return
-            self.up = True
-            while not (self.left and not self.owed and self._partial is None):
+            self.connected = True
+            while not (self.retired and not self.unanswered and self._partial is None):
                 blocked = not self._write()
-                due = self.heard + self.host.limits.counter_late if self.stuck or self.left else 0
+                due = self.last_received + self.host.limits.counter_late if self.unresponsive or self.retired else 0
                 signal = yield (READ | WRITE if blocked else READ), due
-                if signal == TIMED_OUT and (self.stuck or self.left):
+                if signal == TIMED_OUT and (self.unresponsive or self.retired):
                     return
                 if signal > 0 and signal & ~WRITE and not self._read():
                     return
         except (OSError, ValueError) as error:
-            if not self.left:
-                self.counter.lose(str(error))
+            if not self.retired:
+                self.counter.report_lost(str(error))
         finally:
             self.ended = True
             self._sock.close()
             self.counter.connections.remove(self)
-            for call in self.owed:
+            for call in self.unanswered:
                 self.counter.end(call, Ending.RESET)  # it may have been added
             for call in ([self._partial] if self._partial else []) + list(self._unsent):
                 self.counter.end(call, Ending.NO_CONNECTION)  # its last byte was never written
@@ -250,17 +250,17 @@
                 return False
         return True
 
-    def _took(self, calls: list[tuple[Call, int]], data: bytes, sent: int) -> None:
+    def _took(self, calls: list[tuple[CounterCall, int]], data: bytes, sent: int) -> None:
         """Sorts calls, each with the place where its line ends, by what the socket took of the data."""
         partial, self._partial, self._tail = self._partial, None, b""
-        waiting: list[Call] = []
+        waiting: list[CounterCall] = []
         begin = 0
         for call, end in calls:
             if end <= sent:
-                call.begun = True
-                self.owed.append(call)
+                call.write_started = True
+                self.unanswered.append(call)
             elif begin < sent or call is partial:
-                call.begun = True
+                call.write_started = True
                 self._partial, self._tail = call, data[max(sent, begin) : end]
             else:
                 waiting.append(call)
@@ -270,18 +270,18 @@
     def _read(self) -> bool:
         """Takes answers; False when the counter ended the connection. Raises ValueError on a bad line."""
         pool = self.host.buffers
-        buffer = pool.take()
+        buffer = pool.acquire()
         try:
             count = self._sock.recv_into(buffer)
             data = self._buffer + bytes(buffer[:count])
         except BlockingIOError:
             return True
         finally:
-            pool.give(buffer)
+            pool.release(buffer)
         if not count:
             return False
-        self.heard, self.stuck = self.host.loop.now, False
-        if self.counter.lost and not self.left:
+        self.last_received, self.unresponsive = self.host.loop.now, False
+        if self.counter.lost and not self.retired:
             self.counter.lost = False
             self.host.log.info("counter back")
         lines = data.split(b"\n")
@@ -295,11 +295,11 @@
     def _settle(self, line: bytes) -> None:
         """The outcome of the call that is owed an answer longest. A spoilt one says that it was added, and no
         more; the connection is of no further use."""
-        if not self.owed:
+        if not self.unanswered:
             raise ValueError("an answer to no call")
-        call = self.owed.popleft()
+        call = self.unanswered.popleft()
         try:
-            ending, level = answer(line)
+            ending, level = parse_answer(line)
         except ValueError:
             self.counter.end(call, Ending.ERROR)
             raise
--- a/oakvale/wire/http.py
+++ b/oakvale/wire/http.py
@@ -8,7 +8,7 @@
 from oakvale.base.net import Sock
 from oakvale.memory.buffers import BufferPool
 from oakvale.memory.requests import Headers
-from oakvale.wire.tcp import Gone, read_stamped
+from oakvale.wire.tcp import ConnectionLost, read_timestamped
 
 HOP_BY_HOP = frozenset(
     {
@@ -26,7 +26,7 @@
     }
 )
 
-END = h11.EndOfMessage()
+END_OF_MESSAGE = h11.EndOfMessage()
 
 
 def end_to_end(headers: Headers, without: frozenset[bytes] = frozenset()) -> Headers:
@@ -39,29 +39,29 @@
     return kept
 
 
-def receive(sock: Sock, http: h11.Connection, pool: BufferPool, stamped: bool) -> int | None:
+def read_available(sock: Sock, http: h11.Connection, pool: BufferPool, stamped: bool) -> int | None:
     """Hands the parser what has come; gives the stamp of its arrival (0: none), None where nothing had come.
     Raises OSError when the connection broke."""
-    buffer = pool.take()
+    buffer = pool.acquire()
     try:
-        count, arrived = read_stamped(sock, buffer) if stamped else (sock.recv_into(buffer), 0)
+        count, arrived = read_timestamped(sock, buffer) if stamped else (sock.recv_into(buffer), 0)
         http.receive_data(bytes(buffer[:count]))
         return arrived
     except BlockingIOError:
         return None
     finally:
-        pool.give(buffer)
+        pool.release(buffer)
 
 
-def more(sock: Sock, http: h11.Connection, pool: BufferPool, due: int, stamped: bool = False) -> Step[int]:
+def read_more(sock: Sock, http: h11.Connection, pool: BufferPool, due: int, stamped: bool = False) -> Step[int]:
     """Waits until the parser has been given something new; gives the stamp of its arrival. Raises Gone. What has
     come when the time is over counts: whoever sent it was in time."""
     while True:
         late = (yield READ, due) == TIMED_OUT
         try:  # also when woken: what came with a new connection is read at once
-            if (arrived := receive(sock, http, pool, stamped)) is not None:
+            if (arrived := read_available(sock, http, pool, stamped)) is not None:
                 return arrived
         except OSError as error:
-            raise Gone() from error
+            raise ConnectionLost() from error
         if late:
-            raise Gone(timed_out=True)
+            raise ConnectionLost(timed_out=True)
--- a/oakvale/wire/owner.py
+++ b/oakvale/wire/owner.py
@@ -10,7 +10,7 @@
 from oakvale.memory.buffers import BufferPool
 
 
-class Process(Protocol):
+class BaseOwner(Protocol):
     @property
     def loop(self) -> Loop: ...
     @property
--- a/oakvale/wire/tcp.py
+++ b/oakvale/wire/tcp.py
@@ -16,7 +16,7 @@
 ANCILLARY = socket.CMSG_SPACE(TIMESPEC.size)
 
 
-class Gone(Exception):
+class ConnectionLost(Exception):
     """The other side ended or broke the connection, or took too long; `begun`: part of what was to be written
     had gone out."""
 
@@ -50,9 +50,9 @@
     return signal != TIMED_OUT and not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
-def write_all(sock: Sock, data: bytes, due: int, heed: bool = False) -> Step[int]:
+def write_all(sock: Sock, data: bytes, due: int, stop_on_input: bool = False) -> Step[int]:
     """Writes what the socket takes and waits for the rest; raises Gone if it never all goes. Gives the bytes
-    written: fewer than all where `heed` is set and something came in before."""
+    written: fewer than all where `stop_on_input` is set and something came in before."""
     sent = signal = 0
     while True:
         try:
@@ -60,15 +60,15 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            raise Gone(begun=sent > 0) from error
-        if sent == len(data) or heed and signal > 0 and signal & READ:
+            raise ConnectionLost(begun=sent > 0) from error
+        if sent == len(data) or stop_on_input and signal > 0 and signal & READ:
             return sent
-        signal = yield WRITE | (READ if heed else 0), due
+        signal = yield WRITE | (READ if stop_on_input else 0), due
         if signal == TIMED_OUT:
-            raise Gone(timed_out=True, begun=sent > 0)
+            raise ConnectionLost(timed_out=True, begun=sent > 0)
 
 
-def stamp_arrivals(listener: Sock) -> None:
+def enable_receive_timestamps(listener: Sock) -> None:
     """Has the kernel note when bytes arrive on the connections that are accepted here. Without it, how long a
     request waited in this gateway's own socket while it stood still or was busy would be unseen."""
     try:
@@ -77,7 +77,7 @@
         pass  # then waits count as none
 
 
-def read_stamped(sock: Sock, buffer: memoryview) -> tuple[int, int]:
+def read_timestamped(sock: Sock, buffer: memoryview) -> tuple[int, int]:
     """How many bytes were read, and when the last of them arrived: Unix time in nanoseconds, 0 if unknown."""
     count, ancillary, _, _ = sock.recvmsg_into([buffer], ANCILLARY)
     for level, kind, data in ancillary:
--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -607,10 +607,10 @@
         self.check_responses()
         self.finished = True
         self.pass_time(40 * SECOND)
-        self.router.shared.idle.sweep(self.now)
+        self.router.shared.idle.close_expired(self.now)
         self.run_turns()
         assert not self.violations, self.violations[0]
-        assert not len(self.router.requests) and not self.router.bodies.taken and not self.router.buffers.taken
+        assert not len(self.router.requests) and not self.router.bodies.used_bytes and not self.router.buffers.in_use
         assert not self.router.shared.backend_connections and not self.router.idle.count
         assert not self.router.clients.all, "client connections are never closed"
         self.loop.close()
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -85,7 +85,7 @@
     client = gate.say(method="POST", Content_Length=str(len(LARGE)))
     sends(gate, client, LARGE)
     backend = unread_connection(gate)
-    gate.until(lambda: any(out.written for request in gate.router.requests.all() for out in request.out.values()))
+    gate.until(lambda: any(out.written for request in gate.router.requests.all() for out in request.attempts.values()))
     if leaves:
         client.close()
     else:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -23,7 +23,7 @@
 from oakvale.wire import backends
 from oakvale.wire.backends import BackendConnection
 from oakvale.wire.clients import ClientConnection
-from oakvale.wire.tcp import Gone
+from oakvale.wire.tcp import ConnectionLost
 from tests import schedules
 from tests.data_plane_model import MS, SECOND, SETTINGS, BackendEnd, ClientEnd, DataPlaneSimulation, play
 from tests.memory_connections import UNLIMITED_BYTES
@@ -48,7 +48,7 @@
 # ---- with one safeguard removed, the draw must find a violation
 
 
-def framing_without_checks(event: h11.Response, longest: int) -> int:
+def declared_length_without_checks(event: h11.Response, longest: int) -> int:
     return int(dict(event.headers).get(b"content-length", 0))
 
 
@@ -78,28 +78,32 @@
 
 
 def raise_gone(connection: ClientConnection) -> None:
-    raise Gone()
+    raise ConnectionLost()
 
 
 START_NEXT_CYCLE = h11.Connection.start_next_cycle
 TRAILING_DATA: Any = h11.Connection.__dict__["trailing_data"]
 REMOVED_SAFEGUARDS: dict[str, tuple[Any, str, Any]] = {
-    "an answer for another attempt is accepted": (SystemDialect, "belongs", lambda *_: True),
-    "a partly written request counts as not run": (SystemDialect, "part_may_run", False),
+    "an answer for another attempt is accepted": (SystemDialect, "matches_attempt", lambda *_: True),
+    "a partly written request counts as not run": (SystemDialect, "partial_request_may_run", False),
     "an attempt without an answer counts as not run": (BackendConnection, "_may_have_run", lambda *_: False),
     "a 503 without Not-Run counts as not run": (SystemDialect, "ending", lenient_ending(503)),
     "a 429 without Not-Run is passed on": (backend_protocol, "PROMISES", ()),
     "a success needs no seal": (SystemDialect, "ending", lenient_ending(seal_required=False)),
-    "an encoded body is accepted": (SystemDialect, "check", lambda *_: None),
-    "an answer needs no length": (backends, "framing", framing_without_checks),
+    "an encoded body is accepted": (SystemDialect, "check_headers", lambda *_: None),
+    "an answer needs no length": (backends, "declared_length", declared_length_without_checks),
     "an unsafe request that may have run is repeated": (Attempts, "repeatable", lambda *_: True),
-    "a connection is reused after an answer without an attempt id": (SystemDialect, "named", lambda *_: True),
+    "a connection is reused after an answer without an attempt id": (
+        SystemDialect,
+        "identifies_attempt",
+        lambda *_: True,
+    ),
     "a connection is reused with bytes behind the answer": (
         h11.Connection,
         "trailing_data",
         property(hide_trailing_response_data),
     ),
-    "a backend that pauses within an answer is given up": (SystemDialect, "waits", lambda *_: False),
+    "a backend that pauses within an answer is given up": (SystemDialect, "waits_for_rest", lambda *_: False),
     "pipelined requests are dropped": (h11.Connection, "start_next_cycle", drop_pipelined_input),
     "a half-closed client counts as gone": (ClientConnection, "_probe", raise_gone),
     "API keys are passed on": (backend_protocol, "OURS", backend_protocol.OURS - {b"authorization"}),
@@ -342,7 +346,7 @@
 def test_an_exception_after_part_of_a_request_was_written_counts_as_may_have_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def write_part(sock: Any, data: bytes, due: int, heed: bool = False) -> Any:
+    def write_part(sock: Any, data: bytes, due: int, stop_on_input: bool = False) -> Any:
         sock.send(data[:40])
         raise RuntimeError("write failed")
         yield
@@ -366,7 +370,7 @@
     simulation.finish()
     simulation = DataPlaneSimulation()
     send_request(simulation, 7)
-    connection = next(iter(simulation.router.requests.all()[0].out.values())).connection
+    connection = next(iter(simulation.router.requests.all()[0].attempts.values())).connection
     monkeypatch.setattr(cast(Any, connection)._http, "next_event", lambda: h11.PAUSED)
     simulation.backend_ends[0].connection.deliver(b"x")
     simulation.run_turns()
--- a/tests/test_attempts_wire.py
+++ b/tests/test_attempts_wire.py
@@ -7,7 +7,7 @@
 
 from oakvale import interface as i
 from oakvale.interface import Ending
-from oakvale.wire.backends import BackendConnection, load_report
+from oakvale.wire.backends import BackendConnection, parse_load_report
 from tests.node import MS, Node, StubConnection, StubServer, answer, request, row
 
 RESET = True  # argument of StubConnection.close
@@ -116,7 +116,7 @@
     ],
 )
 def test_load_reports(text: bytes, report: tuple[float, ...]) -> None:
-    assert load_report(text, ("inflight", "util")) == report
+    assert parse_load_report(text, ("inflight", "util")) == report
 
 
 @pytest.mark.parametrize(
@@ -156,7 +156,7 @@
     send_all(sending, backend, reply)
     ended = sending.came(i.Ended)
     assert (ended.ending, ended.over, ended.hop) == (ending, False, 0)
-    assert sending.host.bodies.taken == 0
+    assert sending.host.bodies.used_bytes == 0
 
 
 def test_an_answer_longer_than_the_request_limit_is_served(sending: Node) -> None:
@@ -165,7 +165,7 @@
     body = bytes(range(256)) * 1_600
     send_all(sending, backend, answer(body=body))
     assert sending.reads(client, body[-1000:]).endswith(body)
-    assert sending.host.bodies.taken == 0
+    assert sending.host.bodies.used_bytes == 0
 
 
 def test_the_total_size_of_answers_is_limited() -> None:
@@ -175,9 +175,9 @@
     for _, backend in connections:
         backend.send(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\nslots")
     assert node.came(i.Ended).ending is Ending.RESET
-    assert node.host.bodies.taken == 400_000
+    assert node.host.bodies.used_bytes == 400_000
     node.pass_time(node.host.limits.answer_rest)
-    assert node.came(i.Ended, 2).ending is Ending.RESET and node.host.bodies.taken == 0
+    assert node.came(i.Ended, 2).ending is Ending.RESET and node.host.bodies.used_bytes == 0
     node.close()
 
 
@@ -259,7 +259,7 @@
 def test_the_connection_of_a_backend_that_left_is_not_kept(sending: Node) -> None:
     client, backend = started(sending)
     departed = {"name": "s-1", "status": "left"}
-    sending.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [departed]})
+    sending.host.discovery.apply({"index": 42, "snapshot": False, "endpoints": [departed]})
     backend.send(answer())
     sending.reads(client, b"slots")
     sending.until(lambda: sending.host.backend_connections == 0)
@@ -272,7 +272,7 @@
     sending.reads(client, b"slots")
     sending.clock.now += 2 * MS
     other = row("s-9", sending.backend.text)
-    sending.host.discovery.take(
+    sending.host.discovery.apply(
         {"index": 42, "snapshot": False, "endpoints": [{"name": "s-1", "status": "left"}, other]}
     )
     sending.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 2)]
@@ -322,21 +322,21 @@
 
 @pytest.mark.parametrize("may_run, ending", [(False, Ending.NO_CONNECTION), (True, Ending.RESET)])
 def test_a_connection_lost_before_the_last_byte_is_written(sending: Node, may_run: bool, ending: Ending) -> None:
-    """Small buffers keep a part of the body in the gateway. With `part_may_run`, as in the full gateway, the written
-    part counts as may have run: repeated, it could run twice."""
-    sending.host.dialect.part_may_run = may_run
+    """Small buffers keep a part of the body in the gateway. With `partial_request_may_run`, as in the full gateway, the
+    written part counts as may have run: repeated, it could run twice."""
+    sending.host.dialect.partial_request_may_run = may_run
     sending.backend.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     client = sending.client()
     client.send(request("a1", method="POST", target="/save?key=00000000b4d65521", body=b"x" * 65536))
     sending.came(i.Request)
     pending = sending.host.requests.get("a1")
     assert pending is not None
-    connection = pending.out[0].connection
+    connection = pending.attempts[0].connection
     assert isinstance(connection, BackendConnection)
     connection._sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
     backend = sending.taken(sending.backend)
     sending.turns(10)
-    assert not pending.out[0].written
+    assert not pending.attempts[0].written
     backend.close(RESET)
     assert sending.came(i.Ended).ending is ending
 
@@ -420,7 +420,7 @@
     sending.reads(client, b"slots")
     sending.clock.now += 2 * MS
     connection = sending.host.idle.take(1, sending.clock.now)
-    assert connection is not None and connection.whole()
+    assert connection is not None and connection.is_reusable()
     sending.host.idle.put(connection)
     if stray:
         backend.send(stray)
@@ -474,7 +474,7 @@
     sending.reads(client, b"slots")
     elsewhere = StubServer()
     entry = row("s-1", elsewhere.text) if change == "moved" else row("s-1", sending.backend.text, status=change)
-    sending.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [entry]})
+    sending.host.discovery.apply({"index": 42, "snapshot": False, "endpoints": [entry]})
     sending.until(lambda: backend.read() and backend.ended)
     if change == "moved":  # the backend keeps its number and gets the new address
         sending.ask(client, "a2")
@@ -492,7 +492,7 @@
     connections[0][1].send(answer())
     node.came(i.Ended, 2)
     other_backend = StubServer()
-    node.host.discovery.take({"index": 42, "snapshot": False, "endpoints": [row("s-2", other_backend.text)]})
+    node.host.discovery.apply({"index": 42, "snapshot": False, "endpoints": [row("s-2", other_backend.text)]})
     node.script.answers[i.Request] = lambda r: [i.Attempt(r.id, 2)]
     node.ask(node.client(), "a4")
     assert b"a4" in node.reads(node.taken(other_backend))
@@ -579,5 +579,5 @@
     client.close(RESET)
     sending.came(i.Withdrawn)
     sending.turns()
-    assert sending.host.buffers.taken == 0
+    assert sending.host.buffers.in_use == 0
     assert len(sending.host.requests) == 0 and not sending.host.clients.all
--- a/tests/test_backend_protocol.py
+++ b/tests/test_backend_protocol.py
@@ -32,4 +32,4 @@
 )
 def test_the_time_of_an_idle_connection_is_heeded(value: bytes, micros: int | None) -> None:
     """A request written to a connection that the backend has just closed may have run: it can't be sent again."""
-    assert SystemDialect().idle([(b"keep-alive", value)]) == micros
+    assert SystemDialect().keep_alive_us([(b"keep-alive", value)]) == micros
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -473,7 +473,7 @@
             sent += client.sock.send(part)
         except BlockingIOError:
             node.loop.turn(0.01)
-    assert node.host.buffers.taken == 0 and len(node.host.clients.all) == 1
+    assert node.host.buffers.in_use == 0 and len(node.host.clients.all) == 1
     node.pass_time(node.host.limits.linger)
     assert not node.host.clients.all
 
@@ -488,21 +488,21 @@
     first, second = node.client(), node.client()
     head = request("a1", "POST", "/save?key=00000000b4d65521", Content_Length="60000")
     first.send(head)
-    node.until(lambda: node.host.bodies.taken == 60_000)
+    node.until(lambda: node.host.bodies.used_bytes == 60_000)
     second.send(head.replace(b"a1", b"a2"))
     assert node.reads(second).startswith(b"HTTP/1.1 503")
     second.close()
     node.until(lambda: len(node.host.clients.all) == 1)
-    assert node.host.bodies.taken == 60_000
+    assert node.host.bodies.used_bytes == 60_000
     first.send(b"x" * 60_000)
     assert node.came(i.Request).id == "a1"
     node.acts(i.Refuse("a1", 1))
     node.reads(first, b"later\n")
-    assert node.host.bodies.taken == 0
+    assert node.host.bodies.used_bytes == 0
     first.send(request("a3", "POST", "/save?key=00000000b4d65521", Transfer_Encoding="chunked") + chunk(60_000))
-    node.until(lambda: node.host.bodies.taken == 60_000)
+    node.until(lambda: node.host.bodies.used_bytes == 60_000)
     first.close(reset=True)
-    node.until(lambda: node.host.bodies.taken == 0)
+    node.until(lambda: node.host.bodies.used_bytes == 0)
     node.close()
 
 
@@ -514,7 +514,7 @@
     for n, client in enumerate(clients):
         client.send(head.replace(b"a1", b"a%d" % n) + chunk(40_000))
         if n < 2:
-            node.until(lambda n=n: node.host.bodies.taken == 40_000 * (n + 1))  # type: ignore[misc]
+            node.until(lambda n=n: node.host.bodies.used_bytes == 40_000 * (n + 1))  # type: ignore[misc]
     assert node.reads(clients[2]).startswith(b"HTTP/1.1 503")
     clients[1].send(b"0\r\n\r\n")
     assert node.came(i.Request).id == "a1"
--- a/tests/test_counter_wire.py
+++ b/tests/test_counter_wire.py
@@ -7,7 +7,7 @@
 
 from oakvale import interface as i
 from oakvale.interface import Ending
-from oakvale.wire.counter import Call, answer
+from oakvale.wire.counter import CounterCall, parse_answer
 from tests.node import MS, Node, StubConnection
 
 TIMEOUT_US = 80 * MS
@@ -52,7 +52,7 @@
     ],
 )
 def test_amounts_are_plain_decimals(amount: float, text: str) -> None:
-    words = Call("n", amount, 1, 0).line().decode().split()
+    words = CounterCall("n", amount, 1, 0).line().decode().split()
     assert float(words[2]) == pytest.approx(float(text), abs=1e-12) and "e" not in words[2]
     assert len(words) == 4
 
@@ -164,7 +164,7 @@
     counter.came = b""
     assert node.host.counter is not None
     [connection] = node.host.counter.connections
-    late = Call("late", 1.0, 1, node.clock.now)
+    late = CounterCall("late", 1.0, 1, node.clock.now)
     late.ending = Ending.NO_CONNECTION
     connection.send(late)
     make_calls(node, i.Charge("n2", 1.0, 1_000_000))
@@ -184,7 +184,7 @@
     node.turns()
     assert node.host.counter is not None
     [connection] = node.host.counter.connections
-    line = Call("n1", 1.0, 1_000_000, 0).line()
+    line = CounterCall("n1", 1.0, 1_000_000, 0).line()
 
     class LimitedSocket:
         """A socket that takes one call and four bytes."""
@@ -340,9 +340,9 @@
     assert node.host.counter is not None
     [connection] = node.host.counter.connections
     later = node.clock.now + node.host.limits.counter_idle
-    assert connection.usable(later)
+    assert connection.is_usable(later)
     counter.close()
-    assert not connection.usable(later) and connection.ended
+    assert not connection.is_usable(later) and connection.ended
 
 
 def test_a_lost_counter_and_its_return_are_logged_once(node: Node, caplog: pytest.LogCaptureFixture) -> None:
@@ -368,10 +368,10 @@
     node.pass_time(TIMEOUT_US)
     assert node.host.counter is not None
     assert not node.host.counter._by_name and len(node.loop._timers) == before
-    assert node.host.buffers.taken == 0
+    assert node.host.buffers.in_use == 0
 
 
 @pytest.mark.parametrize("line", [b"", b"okay 1", b"busy 2", b"pong"])
 def test_invalid_answer_lines_are_rejected(line: bytes) -> None:
     with pytest.raises(ValueError):
-        answer(line)
+        parse_answer(line)
--- a/tests/test_ctl_orders.py
+++ b/tests/test_ctl_orders.py
@@ -162,8 +162,8 @@
 
 def answer_although_over(owner: ConnectionOwner, request: Any, answer: Answer) -> None:
     """Sends a duplicate or late answer all the same."""
-    request.client.give(answer)
-    request.over = False
+    request.client.send_answer(answer)
+    request.finished = False
 
 
 def with_timeout_behind_pending(given: Any) -> Limits:
--- a/tests/test_lab_breaks.py
+++ b/tests/test_lab_breaks.py
@@ -23,7 +23,7 @@
 from oakvale.lab.judge.verdict import judge
 from oakvale.lab.play import Variant, play
 from oakvale.ratelimit.service import RateLimiter
-from oakvale.wire.clients import plain
+from oakvale.wire.clients import plain_answer
 
 MS, SECOND = 1_000, 1_000_000
 SITE: dict[str, Any] = {
@@ -113,7 +113,7 @@
 def now_and_then_404(
     router: RequestRouter, client: Any, incoming: Any, came: int, real: Any = RequestRouter.open
 ) -> Any:
-    return plain(404, "none") if router.loop.net.rng.random() < 0.08 else real(router, client, incoming, came)
+    return plain_answer(404, "none") if router.loop.net.rng.random() < 0.08 else real(router, client, incoming, came)
 
 
 def one_lane_for_all(router: RequestRouter, service: str, real: Any = RequestRouter._driver) -> ServiceDriver:
@@ -167,11 +167,11 @@
 def unsafe_ones_are_turned_away(
     router: RequestRouter, client: Any, incoming: Any, came: int, real: Any = RequestRouter.open
 ) -> Any:
-    return plain(503, "no") if incoming.method == b"POST" else real(router, client, incoming, came)
+    return plain_answer(503, "no") if incoming.method == b"POST" else real(router, client, incoming, came)
 
 
 def never_ready(owner: Readyz, client: Any, incoming: Any, came: int) -> Any:
-    return plain(503, "not ready")
+    return plain_answer(503, "not ready")
 
 
 BREAKS: dict[str, Break] = {
@@ -242,7 +242,7 @@
     "any answer is believed": Break(
         "MIXED",
         day(("garble", 1.0, {"for_s": 6, "share": 1.0, "x": 0.6, "how": "extra late"})),
-        {"oakvale.dataplane.backend_protocol.SystemDialect.belongs": lambda *_: True},
+        {"oakvale.dataplane.backend_protocol.SystemDialect.matches_attempt": lambda *_: True},
     ),
     "another tenant is named": Break(
         "UNASKED", day(), {"oakvale.dataplane.backend_protocol.SystemDialect.headers": another_tenant}
--- a/tests/test_request_accounting.py
+++ b/tests/test_request_accounting.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from oakvale.wire.clients import ClientConnection
-from oakvale.wire.counter import Call, CounterConnection
+from oakvale.wire.counter import CounterCall, CounterConnection
 from tests.node import MS, Node, StubConnection, answer, row
 
 
@@ -32,7 +32,7 @@
     def compare(self) -> None:
         host, policy = self.host, self.host.gateway
         in_hand = list(host.requests._by_id.values())
-        out = Counter(a.backend for r in in_hand for a in r.out.values())
+        out = Counter(a.backend for r in in_hand for a in r.attempts.values())
         assert out == Counter(
             {number: len(backend.in_flight) for number, backend in policy.context.backends.items() if backend.in_flight}
         )
@@ -43,12 +43,12 @@
         assert owed == {name: len(calls) for name, calls in policy.counter.calls.items()}
         written = [c for connection in host.counter.connections for c in held(connection) if c.ending is None]
         assert len(written) == sum(owed.values())
-        assert {r.id for r in in_hand if not r.over} == {
+        assert {r.id for r in in_hand if not r.finished} == {
             request_id for request_id, pending in policy.context.pending.items() if not pending.finished
         }
         asked = {c.request for c in host.clients.all if isinstance(c, ClientConnection)}
         waiting = {request.id for request in asked if request is not None}
-        assert waiting == {r.id for r in in_hand if not r.over}
+        assert waiting == {r.id for r in in_hand if not r.finished}
 
     def sent(self, request_id: str) -> tuple[StubConnection, StubConnection]:
         client = self.client()
@@ -67,8 +67,8 @@
         return None
 
 
-def held(connection: CounterConnection) -> list[Call]:
-    return [*connection.owed, *([connection._partial] if connection._partial else []), *connection._unsent]
+def held(connection: CounterConnection) -> list[CounterCall]:
+    return [*connection.unanswered, *([connection._partial] if connection._partial else []), *connection._unsent]
 
 
 def test_every_ending_leaves_the_same_picture_in_module_and_host() -> None:
@@ -100,13 +100,13 @@
     node.until_ended(backend)  # cancelled, in policy and host
     assert not any(b.in_flight for b in node.host.gateway.context.backends.values()) and not node.host.requests._by_id
     client, backend = node.sent("b2")
-    node.host.discovery.take({"index": 50, "snapshot": True, "endpoints": [row("s-9", node.backend.text)]})
+    node.host.discovery.apply({"index": 50, "snapshot": True, "endpoints": [row("s-9", node.backend.text)]})
     node.step()
     assert set(node.host.gateway.context.backends) == {1, 2}  # its attempt has not ended yet
     backend.send(answer())
     node.step()
-    node.host.discovery.take({"index": 51, "snapshot": False, "endpoints": []})
-    node.host.discovery.take({"index": 52, "snapshot": False, "endpoints": [row("s-9", node.backend.text)]})
+    node.host.discovery.apply({"index": 51, "snapshot": False, "endpoints": []})
+    node.host.discovery.apply({"index": 52, "snapshot": False, "endpoints": [row("s-9", node.backend.text)]})
     node.step()
     assert set(node.host.gateway.context.backends) == set(node.host.backend_names._addresses) == {2}
     assert not node.host.requests._by_id and not node.host.gateway.context.pending
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -196,12 +196,12 @@
 
 def test_buffers_have_one_size_and_are_used_again() -> None:
     pool = BufferPool(64, 2)
-    taken = [pool.take() for _ in range(3)]
-    assert {len(b) for b in taken} == {64} and pool.taken == 3
+    taken = [pool.acquire() for _ in range(3)]
+    assert {len(b) for b in taken} == {64} and pool.in_use == 3
     for buffer in taken:
-        pool.give(buffer)
-    assert pool.taken == 0
-    again = [pool.take() for _ in range(3)]  # two were kept
+        pool.release(buffer)
+    assert pool.in_use == 0
+    again = [pool.acquire() for _ in range(3)]  # two were kept
     assert sum(any(b is c for c in taken) for b in again) == 2
 
 
