--- a/oakvale/memory/__init__.py
+++ b/oakvale/memory/__init__.py
@@ -1,4 +1,3 @@
-"""Memory: what a process keeps: buffers and the room of bodies, idle connections, requests in hand, the names
-of backends, what was counted. It must not read or write a socket, and knows a connection only by what it can
-be told to do. Begin with `requests`.
+"""Memory: the in-process state of the gateway: buffers, the memory limit of bodies, idle connections, pending requests,
+backend names, counters. It does no socket I/O and knows connections only by protocols. Begin with `requests`.
 """
--- a/oakvale/memory/counters.py
+++ b/oakvale/memory/counters.py
@@ -1,4 +1,4 @@
-"""What the process has done, counted."""
+"""Counters of what the process has done."""
 
 from __future__ import annotations
 
@@ -7,21 +7,22 @@
 
 
 class Tally:
-    """Counts since the start: requests given to the module, answers to clients by status (health checks
-    and what is malformed among them), attempts and counter calls by ending."""
+    """Counts since the start: requests passed to the policy, answers to clients by status (health checks and malformed
+    requests included), attempts and counter calls by ending."""
 
     def __init__(self) -> None:
         self.requests = 0
         self.answers: Counter[str] = Counter()
         self.attempts: Counter[str] = Counter()
         self.calls: Counter[str] = Counter()
-        self.refusals: Counter[str] = Counter()  # of the gateway's own, by why
-        self.abandoned: Counter[str] = Counter()  # requests whose client left, by how far they had come
+        self.refusals: Counter[str] = Counter()  # refusals by the gateway itself, by reason
+        self.abandoned: Counter[str] = Counter()  # requests whose client left, by their stage
         self.abandoned_attempts: Counter[str] = Counter()  # attempts that ended after their client had left
 
     def fields(self) -> dict[str, Any]:
+        """The counts as the fields of a log line."""
         fields: dict[str, Any] = {"requests": self.requests}
-        for word, counts in (
+        for prefix, counts in (
             ("answer", self.answers),
             ("attempt", self.attempts),
             ("call", self.calls),
@@ -29,5 +30,5 @@
             ("abandoned", self.abandoned),
             ("abandoned_attempt", self.abandoned_attempts),
         ):
-            fields |= {f"{word}_{key}": counts[key] for key in sorted(counts)}
+            fields |= {f"{prefix}_{key}": counts[key] for key in sorted(counts)}
         return fields
--- a/oakvale/memory/idle_connections.py
+++ b/oakvale/memory/idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections to backends: the latest used is reused first, the rest age out."""
+"""Idle connections to backends, which are reused most recent first, and the states of client connections."""
 
 from __future__ import annotations
 
@@ -8,10 +8,14 @@
 
 from oakvale.memory.requests import ReusableConnection
 
+EVICTION_CANDIDATES = 8  # oldest connections of one state that are tried
+
 
 class IdleConnections:
-    def __init__(self, settle: int) -> None:
-        self._settle = settle
+    """Idle connections to backends, oldest first; `settle_us` is how long one must be idle before it is reused."""
+
+    def __init__(self, settle_us: int) -> None:
+        self._settle_us = settle_us
         self._by_backend: dict[int, deque[ReusableConnection]] = {}
         self.count = 0
 
@@ -19,19 +23,21 @@
         self._by_backend.setdefault(connection.backend, deque()).append(connection)
         self.count += 1
 
-    def take(self, backend: int, now: int, within: int | None = None) -> ReusableConnection | None:
-        """The latest used that is still whole, idle for at most `within`. Some backends send a copy or noise right
-        behind an answer: on a connection used again at once it would be taken for the next one's."""
+    def take(self, backend: int, now: int, max_idle_us: int | None = None) -> ReusableConnection | None:
+        """Returns the most recently used connection that is still usable and idle for at most `max_idle_us`.
+
+        Some backends send a duplicate answer or stray bytes right after an answer. On a connection that is reused at
+        once, these would be taken for the next answer, so one that was used within `settle_us` is passed over."""
         connections = self._by_backend.get(backend)
         unsettled: list[ReusableConnection] = []
         found = None
         while connections and found is None:
             connection = connections.pop()
-            if now - connection.last_used < self._settle:
+            if now - connection.last_used < self._settle_us:
                 unsettled.append(connection)
                 continue
-            if within is not None and now - connection.last_used > within:
-                connections.append(connection)  # as all that are left
+            if max_idle_us is not None and now - connection.last_used > max_idle_us:
+                connections.append(connection)  # the remaining ones have been idle even longer
                 break
             self.count -= 1
             if now - connection.last_used < connection.max_idle_us and connection.is_reusable():
@@ -51,7 +57,7 @@
                 del self._by_backend[connection.backend]
 
     def close_expired(self, now: int) -> None:
-        """Ends those that stood idle too long; the oldest come first."""
+        """Closes connections that have been idle for too long."""
         for connections in list(self._by_backend.values()):
             for connection in [c for c in connections if now - c.last_used >= c.max_idle_us]:
                 connections.remove(connection)
@@ -59,83 +65,89 @@
                 connection.end()
 
     def close_backend(self, backend: int) -> None:
+        """Closes all idle connections to a backend."""
         connections = self._by_backend.pop(backend, None)
         while connections:
-            self._end(connections)
+            self._close_first(connections)
 
     def close_oldest(self) -> bool:
-        """Makes room for another connection."""
+        """Closes the connection that has been idle longest, so that another can be opened; False if there is none."""
         oldest = min((c for c in self._by_backend.values() if c), key=lambda c: c[0].last_used, default=None)
         if oldest is None:
             return False
-        self._end(oldest)
+        self._close_first(oldest)
         return True
 
-    def _end(self, connections: deque[ReusableConnection]) -> None:
+    def _close_first(self, connections: deque[ReusableConnection]) -> None:
         self.count -= 1
         connections.popleft().end()
 
 
-class Client(Protocol):
-    """A client's connection."""
+class TrackedClient(Protocol):
+    """A client connection as `ClientConnections` sees it."""
 
     @property
     def opened(self) -> int: ...
 
     def close_if_idle(self) -> bool:
-        """Closes the connection unless a request has come that was not read yet."""
+        """Closes the connection unless unread bytes of a request have arrived."""
 
     def end(self) -> None: ...
 
 
 class ClientConnections:
-    """Clients' connections. Apart, the longest first: those that have their last answer and only have not
-    ended, those that never sent anything, and those between requests. In this order they make room, but one
-    that has just come is given a moment: its client may not even know yet that it is connected."""
-
-    def __init__(self, grace: int, idle: int) -> None:
-        self._grace, self._most_idle = grace, idle
-        self.all: set[Client] = set()
-        self.lingering: dict[Client, None] = {}
-        self.silent: dict[Client, None] = {}
-        self.idle: dict[Client, None] = {}
-
-    def add(self, connection: Client) -> None:
+    """All client connections, with those that may be closed to admit new ones, each group oldest first.
+
+    They are closed in this order: `lingering`, which have sent their last answer and wait for the client to close;
+    `silent`, which have not sent a request; `idle`, which are between requests. A connection younger than `grace_us` is
+    closed last, as its client may not even know yet that it is connected."""
+
+    def __init__(self, grace_us: int, max_idle: int) -> None:
+        self._grace_us, self._max_idle = grace_us, max_idle
+        self.all: set[TrackedClient] = set()
+        self.lingering: dict[TrackedClient, None] = {}
+        self.silent: dict[TrackedClient, None] = {}
+        self.idle: dict[TrackedClient, None] = {}
+
+    def add(self, connection: TrackedClient) -> None:
         self.all.add(connection)
 
-    def remove(self, connection: Client) -> None:
+    def remove(self, connection: TrackedClient) -> None:
         self.all.discard(connection)
         self.lingering.pop(connection, None)
         self.mark_busy(connection)
 
-    def mark_idle(self, connection: Client, silent: bool) -> None:
-        """Of those between requests only so many stay: clients that ask once and keep their connection would
-        leave no place for the next, here or in what is in front of this gateway."""
+    def mark_idle(self, connection: TrackedClient, silent: bool) -> None:
+        """Records a connection that waits for a request, its first if `silent`. The number of idle ones is limited:
+        clients that send one request and stay connected would exhaust the connections of this gateway, or of a proxy
+        in front of it."""
         (self.silent if silent else self.idle)[connection] = None
-        if len(self.idle) > self._most_idle:
-            self._end_one(list(islice(self.idle, 8)))
+        if len(self.idle) > self._max_idle:
+            self._close_one(list(islice(self.idle, EVICTION_CANDIDATES)))
 
-    def mark_busy(self, connection: Client) -> None:
+    def mark_busy(self, connection: TrackedClient) -> None:
         self.silent.pop(connection, None)
         self.idle.pop(connection, None)
 
-    def mark_lingering(self, connection: Client) -> None:
+    def mark_lingering(self, connection: TrackedClient) -> None:
         self.lingering[connection] = None
 
     def can_evict(self) -> bool:
         return bool(self.lingering or self.silent or self.idle)
 
     def evict_one(self, now: int) -> bool:
+        """Closes one connection, in the order of the class; False if none could be closed."""
         for connection in islice(self.lingering, 1):
             connection.end()
             return True
-        oldest = list(islice(self.silent, 8))
-        slow = [c for c in oldest if now - c.opened >= self._grace]
-        return self._end_one([*slow, *islice(self.idle, 8), *oldest])
+        oldest = list(islice(self.silent, EVICTION_CANDIDATES))
+        past_grace = [c for c in oldest if now - c.opened >= self._grace_us]
+        return self._close_one([*past_grace, *islice(self.idle, EVICTION_CANDIDATES), *oldest])
 
-    def _end_one(self, connections: list[Client]) -> bool:
+    def _close_one(self, connections: list[TrackedClient]) -> bool:
         return any(connection.close_if_idle() for connection in connections)
 
     def close_idle(self) -> None:
+        """Closes all connections that wait for a request."""
         for connection in [*self.silent, *self.idle]:
             connection.close_if_idle()
--- a/oakvale/memory/requests.py
+++ b/oakvale/memory/requests.py
@@ -1,4 +1,4 @@
-"""Requests in hand: what is owed an answer, or still has attempts out."""
+"""Pending requests: those not yet answered, or with attempts still in flight."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """A final answer on its way to a client, or a backend's."""
+    """An HTTP answer, from a backend or to a client."""
 
     status: int
     headers: Headers = field(default_factory=list)
@@ -21,25 +21,25 @@
 
 @dataclass(slots=True, eq=False)
 class ClientRequest:
-    """One request of a client."""
+    """A request of a client and its attempts in flight."""
 
     id: str
-    client: Any  # takes the answer with `give`
+    client: Any  # its `send_answer` receives the final answer
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
     deadline: int
-    event: Any = None  # what it is to the decision module
-    finished: bool = False
-    abandoned: bool = False  # over because its client left
-    hops: int = 0
-    attempts: dict[int, InFlightAttempt] = field(default_factory=dict)
+    event: Any = None  # the owner's own record of the request, such as the policy's event
+    finished: bool = False  # answered, or abandoned
+    abandoned: bool = False  # finished because its client left
+    hops: int = 0  # attempts so far
+    attempts: dict[int, InFlightAttempt] = field(default_factory=dict)  # those in flight, by hop
 
 
 @dataclass(slots=True, eq=False)
 class InFlightAttempt:
-    """One attempt: `written` once the kernel has taken its last byte."""
+    """One attempt of a request at a backend."""
 
     request: ClientRequest
     backend: int
@@ -47,15 +47,15 @@
     started_at: int
     deadline: int
     connection: ReusableConnection | None = None
-    written: bool = False
+    written: bool = False  # the kernel has taken the last byte of the request
     ending: Ending | None = None
-    connection_idle_us: int = 0  # microseconds that its connection had been idle; 0 on a new one
-    reusable_for_us: int = 0  # microseconds that its connection may be idle, now that it has ended well
-    dropped_before_answer: bool = False  # that connection ended before anything of an answer came
+    connection_idle_us: int = 0  # how long its connection had been idle; 0 for a new one
+    reusable_for_us: int = 0  # how long its connection may stay idle after a successful exchange
+    dropped_before_answer: bool = False  # its reused connection ended before any byte of an answer
 
 
 class ReusableConnection(Protocol):
-    """A connection to a backend, which carries one attempt at a time."""
+    """A connection to a backend that carries one attempt at a time."""
 
     @property
     def backend(self) -> int: ...
@@ -63,20 +63,22 @@
     def last_used(self) -> int: ...
     @property
     def max_idle_us(self) -> int:
-        """Microseconds for which it may stay idle and be used again."""
+        """How long it may be idle and still be reused."""
 
     def start_attempt(self, attempt: InFlightAttempt, host: Any) -> None:
-        """Gives an idle connection its next request, which this lane hears the end of."""
+        """Starts an attempt on an idle connection; `host` is told how it ends."""
 
     def is_reusable(self) -> bool:
-        """Neither ended nor holding stray bytes."""
+        """Whether it is still open, with no unexpected bytes received."""
 
     def end(self) -> None: ...
 
 
 class RequestTable:
-    def __init__(self, most: int) -> None:
-        self._most = most
+    """The pending requests of a process by id, at most `max_requests`."""
+
+    def __init__(self, max_requests: int) -> None:
+        self._max_requests = max_requests
         self._by_id: dict[str, ClientRequest] = {}
 
     def __len__(self) -> int:
@@ -85,11 +87,11 @@
     def all(self) -> list[ClientRequest]:
         return list(self._by_id.values())
 
-    def get(self, rid: str) -> ClientRequest | None:
-        return self._by_id.get(rid)
+    def get(self, request_id: str) -> ClientRequest | None:
+        return self._by_id.get(request_id)
 
     def full(self) -> bool:
-        return len(self._by_id) >= self._most
+        return len(self._by_id) >= self._max_requests
 
     def add(self, request: ClientRequest) -> None:
         self._by_id[request.id] = request
--- a/oakvale/wire/__init__.py
+++ b/oakvale/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Wire: what is spoken with clients, backends, the counter and discovery, a coroutine for each connection. It
-must decide nothing, and knows its owner only by the small protocol `Owner` in each file. Begin with
-`clients`, then `backends`.
+"""Wire: the protocols spoken with clients, backends, the counter and discovery, with one coroutine per connection. It
+makes no decisions, and knows its owner only by the small protocol `Owner` in each file. Begin with `clients`, then
+`backends`.
 """
--- a/oakvale/wire/backends.py
+++ b/oakvale/wire/backends.py
@@ -1,4 +1,4 @@
-"""Attempts: connections to backends, a coroutine each, one request at a time. Nothing is sent twice here."""
+"""Connections to backends: one coroutine each, one request at a time. Requests are never resent here."""
 
 from __future__ import annotations
 
@@ -17,51 +17,53 @@
 from oakvale.wire.owner import BaseOwner
 from oakvale.wire.tcp import ConnectionLost, connect, new_socket, peek, reset_on_close, write_all
 
-GATEWAY_HEADERS = frozenset({b"endpoint-load-metrics", b"x-never-ran"})  # what backends tell gateways, not clients
-REPLACED_HEADERS = frozenset({b"x-trace-id", b"x-expires-in"})
+GATEWAY_HEADERS = frozenset({b"endpoint-load-metrics", b"x-never-ran"})  # not forwarded to clients
+REPLACED_HEADERS = frozenset({b"x-trace-id", b"x-expires-in"})  # set anew for each attempt
 LOAD_HEADER = b"endpoint-load-metrics"
-IDLE_CLOSE_MARGIN_US = 1_200_000  # microseconds before its end at which an idle connection is used no more
+IDLE_CLOSE_MARGIN_US = 1_200_000  # reuse ends this long before the backend closes an idle connection
 
 
 class InvalidAnswer(Exception):
-    """What a backend sent is no answer to go by. The request may have run; the connection is of no use."""
+    """A backend's answer cannot be used. The request may have run; the connection must be closed."""
 
 
 def parse_load_report(text: bytes, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """`TEXT inflight=7, util=0.61` in the order of the settings' fields; empty where it is not understood: no
-    part of such a report counts."""
+    """Parses a load report such as `TEXT inflight=7, util=0.61` into the values of `fields`, 0 where absent.
+
+    A report with any malformed or negative value is ignored as a whole: the result is empty."""
     try:
-        pairs = dict(p.split("=", 1) for p in text.decode("ascii").removeprefix("TEXT").split(","))
-        values = {k.strip(): parse_decimal(v.strip()) for k, v in pairs.items()}
+        pairs = dict(pair.split("=", 1) for pair in text.decode("ascii").removeprefix("TEXT").split(","))
+        values = {name.strip(): parse_decimal(value.strip()) for name, value in pairs.items()}
     except ValueError:
         return ()
     if any(value < 0 for value in values.values()):
         return ()
-    return tuple(values.get(f, 0.0) for f in fields)
+    return tuple(values.get(field, 0.0) for field in fields)
 
 
-def declared_length(event: h11.Response, longest: int) -> int:
-    """How long an answer says that it is; raises Spoilt where its end is in doubt or too far away, before any
-    of its body is read."""
+def declared_length(event: h11.Response, max_bytes: int) -> int:
+    """The declared body length of an answer, 0 if chunked; raises InvalidAnswer if its end is ambiguous or it exceeds
+    `max_bytes`."""
     fields = dict(event.headers)
     length = fields.get(b"content-length")
     if b"transfer-encoding" in fields:
         if length is not None or event.http_version != b"1.1":
-            raise InvalidAnswer("framing in doubt")
+            raise InvalidAnswer("ambiguous message length: transfer-encoding with content-length or HTTP/1.0")
         return 0
     if length is None and event.status_code not in (204, 304):
-        raise InvalidAnswer("no length: a cut answer would look whole")
-    if int(length or 0) > longest:
-        raise InvalidAnswer(f"too large: {int(length or 0)}")
+        raise InvalidAnswer("no content-length or chunking: a truncated answer would look complete")
+    if int(length or 0) > max_bytes:
+        raise InvalidAnswer(f"content-length {int(length or 0)} exceeds the limit")
     return int(length or 0)
 
 
 def is_client_error(answer: Answer) -> bool:
-    """The request can't be used by any backend: what this one says of it goes to the client, as 4xx do."""
+    """Whether the answer blames the request itself, so that another backend would answer the same."""
     return 400 <= answer.status < 500 and answer.status not in (408, 425, 429)
 
 
 def ending_for_answer(answer: Answer) -> Ending:
+    """How an attempt with a complete answer ended."""
     if answer.status == 200:
         return Ending.SERVED
     if answer.status in (503, 504) and (b"x-never-ran", b"1") in answer.headers:
@@ -70,60 +72,60 @@
 
 
 class Dialect(Protocol):
-    """What a deployment's backends are told and how their answers are taken."""
+    """The headers that the backends of a deployment expect, and how their answers are interpreted."""
 
-    partial_request_may_run: bool  # whether a request of which a part was written may have run
+    partial_request_may_run: bool  # whether a partly written request may have run
 
-    def headers(self, attempt: InFlightAttempt, left: int) -> Headers:
-        """Those that go with a request, `left` microseconds before its end; without its framing."""
+    def headers(self, attempt: InFlightAttempt, left_us: int) -> Headers:
+        """The request headers, without framing; `left_us` is the time to the deadline of the attempt."""
 
     def matches_attempt(self, attempt: InFlightAttempt, status: int, headers: Headers) -> bool:
-        """Whether an answer's head is of this attempt, not a surplus one of an attempt before."""
+        """Whether an answer's head is for this attempt, not a duplicate for an earlier one."""
 
     def identifies_attempt(self, headers: Headers) -> bool:
-        """Whether a head says itself which attempt it is of. Another copy of one that does not would be taken for
-        the next answer on its connection."""
+        """Whether the headers of an answer name its attempt. A duplicate of one that does not would be taken for the
+        next answer on the connection."""
 
     def waits_for_rest(self, attempt: InFlightAttempt) -> bool:
-        """Whether an answer that stops midway is waited for to the attempt's end."""
+        """Whether to wait for the rest of a partial answer until the deadline of the attempt."""
 
     def check_headers(self, headers: Headers) -> None:
-        """Raises Spoilt where a head tells that the answer is not the backend's."""
+        """Raises InvalidAnswer if the headers show that the answer was altered on its way."""
 
     def ending(self, answer: Answer) -> Ending:
-        """What a whole answer says of its attempt."""
+        """How an attempt with this complete answer ended."""
 
     def keep_alive_us(self, headers: Headers) -> int | None:
-        """Microseconds that the backend keeps an idle connection, where an answer tells."""
+        """How long the backend keeps an idle connection open, if the answer says so."""
 
     def parse_load(self, headers: Headers) -> tuple[float, ...]:
-        """The load that a backend tells of with an answer."""
+        """The load report in the headers of an answer; empty if there is none."""
 
     def client_answer(self, attempt: InFlightAttempt, ending: Ending, answer: Answer) -> Answer | None:
-        """What the client gets of it as the final answer; None where another attempt may follow."""
+        """The final answer to the client; None if another attempt may follow."""
 
 
 class ServiceDialect:
-    """What is spoken with the backends of the gateway in service."""
+    """The protocol of the backends of the stand-alone gateway."""
 
     partial_request_may_run = False
 
-    def __init__(self, columns: tuple[str, ...]) -> None:
-        self._columns = columns
+    def __init__(self, load_fields: tuple[str, ...]) -> None:
+        self._load_fields = load_fields
 
-    def headers(self, attempt: InFlightAttempt, left: int) -> Headers:
+    def headers(self, attempt: InFlightAttempt, left_us: int) -> Headers:
         request = attempt.request
         return [
             *end_to_end(request.headers, REPLACED_HEADERS),
             (b"x-trace-id", request.id.encode()),
-            (b"x-expires-in", b"%du" % left),
+            (b"x-expires-in", b"%du" % left_us),
         ]
 
     def matches_attempt(self, attempt: InFlightAttempt, status: int, headers: Headers) -> bool:
         return True
 
     def identifies_attempt(self, headers: Headers) -> bool:
-        return True  # nothing on its wire names one
+        return True  # this protocol has no attempt ids
 
     def waits_for_rest(self, attempt: InFlightAttempt) -> bool:
         return False
@@ -138,8 +140,8 @@
         return None
 
     def parse_load(self, headers: Headers) -> tuple[float, ...]:
-        found = [value for name, value in headers if name == LOAD_HEADER]
-        return parse_load_report(found[-1], self._columns) if found else ()
+        reports = [value for name, value in headers if name == LOAD_HEADER]
+        return parse_load_report(reports[-1], self._load_fields) if reports else ()
 
     def client_answer(self, attempt: InFlightAttempt, ending: Ending, answer: Answer) -> Answer | None:
         if ending is Ending.SERVED or is_client_error(answer):
@@ -148,7 +150,7 @@
 
 
 class Owner(BaseOwner, Protocol):
-    """What a connection to a backend needs of the lane that it belongs to."""
+    """What a connection to a backend needs of the driver that it belongs to."""
 
     backend_connections: int
 
@@ -160,21 +162,24 @@
     def dialect(self) -> Dialect: ...
 
     def serves(self, backend: int) -> bool:
-        """Neither leaving nor left: a connection to it may be kept."""
+        """Whether a backend takes requests, so that an idle connection to it may be kept."""
 
     def attempt_ended(
         self, attempt: InFlightAttempt, ending: Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
     ) -> None:
-        """Said once of every attempt."""
+        """Called exactly once per attempt."""
 
 
 class BackendConnection:
+    """A connection and its coroutine, from connecting for a first attempt until it is closed."""
+
     def __init__(self, host: Owner, attempt: InFlightAttempt, address: Address) -> None:
         self.host, self.backend, self.last_used = host, attempt.backend, host.loop.now
         self.attempt: InFlightAttempt | None = attempt
-        self.max_idle_us = host.limits.backend_idle  # while idle
+        self.max_idle_us = host.limits.backend_idle
         self._share = BodyMemoryShare(host.bodies)
-        self._unsent, self._begun = b"", False  # of the request; whether the kernel has taken any of it
+        # the rest of the current request, and whether the kernel may have taken any of it
+        self._unsent, self._write_started = b"", False
         self._sock = new_socket(host.loop.net)
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=host.limits.header)
         attempt.connection = self
@@ -182,18 +187,18 @@
         self._task = host.loop.start(self._run(attempt, address), self._sock.fileno(), Rank.BACKEND)
 
     def start_attempt(self, attempt: InFlightAttempt, host: Owner) -> None:
-        """Gives an idle connection its next request; two lanes of a service share them."""
+        """Starts an attempt on an idle connection; the drivers of a service share their idle connections."""
         self.host = host
         self.attempt, attempt.connection = attempt, self
         attempt.connection_idle_us = max(1, self.host.loop.now - self.last_used)
         self.host.loop.wake(self._task)
 
     def is_reusable(self) -> bool:
-        """Neither ended nor holding stray bytes: a request written to a closed connection may have run."""
+        """Whether it is open, with no unexpected bytes: a request written to a closed connection may have run."""
         return peek(self._sock) is None
 
     def end(self) -> None:
-        """Ends it at once; an attempt on it is broken off."""
+        """Closes it at once; with an attempt in flight, by a reset."""
         if self.attempt is not None:
             reset_on_close(self._sock)
         self.attempt = None
@@ -201,60 +206,61 @@
 
     def _run(self, attempt: InFlightAttempt, address: Address) -> Coroutine:
         try:
-            due = min(self.last_used + self.host.limits.connect, attempt.deadline)
-            if not (yield from connect(self._sock, address, due)):
+            connect_deadline = min(self.last_used + self.host.limits.connect, attempt.deadline)
+            if not (yield from connect(self._sock, address, connect_deadline)):
                 return self._finish(Ending.NO_CONNECTION)
             while (yield from self._exchange()):
                 while self.attempt is None:
                     if (yield READ, 0) != WOKEN:
-                        return  # closed by the backend, or bytes that belong to no request
+                        return  # closed by the backend, or bytes received without a request
         finally:
             self._sock.close()
             self._share.hold(0)
             self.host.backend_connections -= 1
             self.host.idle.remove(self)
-            if self.attempt is not None:  # a fault of this coroutine: its attempt still ends
+            if self.attempt is not None:  # an exception: the attempt must still be reported as ended
                 self._finish(Ending.RESET if self._may_have_run(self.attempt) else Ending.NO_CONNECTION)
 
     def _may_have_run(self, attempt: InFlightAttempt) -> bool:
-        """What surely never ran is what no kernel was handed; for some backends, what it was not handed whole."""
-        return attempt.written or self._begun and self.host.dialect.partial_request_may_run
+        """Whether the request may have run: it was written completely or, for some protocols, partly."""
+        return attempt.written or self._write_started and self.host.dialect.partial_request_may_run
 
     def _send(self, attempt: InFlightAttempt) -> Step[None]:
-        """All of the request, or until something comes back: an answer may come before the backend has read all."""
+        """Writes the rest of the request, but stops once something is received: the answer may come early."""
         if self._unsent:
-            begun, self._begun = self._begun, True  # however this ends, unless it is known that nothing went out
+            # counts as started if this is interrupted, unless it is known that nothing was sent
+            started_before, self._write_started = self._write_started, True
             try:
                 sent = yield from write_all(self._sock, self._unsent, attempt.deadline, stop_on_input=True)
-            except ConnectionLost as gone:
-                self._begun = begun or gone.begun
+            except ConnectionLost as lost:
+                self._write_started = started_before or lost.write_started
                 raise
-            self._begun = begun or sent > 0
+            self._write_started = started_before or sent > 0
             self._unsent = self._unsent[sent:]
             attempt.written = not self._unsent
 
     def _exchange(self) -> Step[bool]:
-        """Sends the attempt's request and takes its answer; False when the connection can't be used again."""
+        """Sends the request of the attempt and receives the answer; False if the connection cannot be reused."""
         attempt = self.attempt
         assert attempt is not None
-        self._begun = False
+        self._write_started = False
         try:
-            self._unsent = self._message(attempt)
+            self._unsent = self._encode_request(attempt)
             yield from self._send(attempt)
-            answer, report = yield from self._answer(attempt)
-        except ConnectionLost as gone:
-            if gone.timed_out:  # a request that is still on its way would run for nobody
+            answer, report = yield from self._read_answer(attempt)
+        except ConnectionLost as lost:
+            if lost.timed_out:  # discards request bytes not yet sent, which nobody waits for
                 reset_on_close(self._sock)
             if not self._may_have_run(attempt):
                 self._finish(Ending.NO_CONNECTION)
             else:
                 attempt.dropped_before_answer = (
                     bool(attempt.connection_idle_us)
-                    and not gone.timed_out
+                    and not lost.timed_out
                     and not self._http.trailing_data[0]
                     and (self._http.their_state is h11.SEND_RESPONSE)
                 )
-                self._finish(Ending.TIMEOUT if gone.timed_out else Ending.RESET)
+                self._finish(Ending.TIMEOUT if lost.timed_out else Ending.RESET)
             return False
         except (h11.RemoteProtocolError, InvalidAnswer) as error:
             self.host.log.warning("spoilt answer", extra={"backend": self.backend, "why": str(error)[:200]})
@@ -269,14 +275,16 @@
             and self.host.dialect.identifies_attempt(answer.headers)
             and self.host.serves(self.backend)
         )
-        if reusable:  # before the module hears of the end: its next attempt may want this connection
+        if reusable:  # made idle before the end is reported: the next attempt may use this connection
             http.start_next_cycle()
             self._share.hold(0)
             self.attempt, self.last_used = None, self.host.loop.now
-            told = self.host.dialect.keep_alive_us(answer.headers)
-            # well before the other side closes: what is written to a closed connection may have run
+            keep_alive_us = self.host.dialect.keep_alive_us(answer.headers)
+            # ends well before the backend closes: a request written to a closed connection may have run
             self.max_idle_us = (
-                self.host.limits.backend_idle if told is None else max(told // 2, told - IDLE_CLOSE_MARGIN_US)
+                self.host.limits.backend_idle
+                if keep_alive_us is None
+                else max(keep_alive_us // 2, keep_alive_us - IDLE_CLOSE_MARGIN_US)
             )
             attempt.reusable_for_us = self.max_idle_us
             self.host.idle.put(self)
@@ -285,7 +293,8 @@
             self._finish(self.host.dialect.ending(answer), answer, report)
         return reusable
 
-    def _message(self, attempt: InFlightAttempt) -> bytes:
+    def _encode_request(self, attempt: InFlightAttempt) -> bytes:
+        """Passes the request through the parser, which then expects its answer, and returns its bytes."""
         request, http = attempt.request, self._http
         method = request.method
         headers = self.host.dialect.headers(attempt, max(0, attempt.deadline - self.host.loop.now))
@@ -297,76 +306,78 @@
         http.send(END_OF_MESSAGE)
         return head + request.body
 
-    def _again(self, attempt: InFlightAttempt) -> h11.Connection:
-        """A parser as if the request had just been written, given what came behind a surplus answer."""
-        rest = self._http.trailing_data[0]
+    def _restart_parser(self, attempt: InFlightAttempt) -> h11.Connection:
+        """A new parser that expects the answer of the request and has been given the bytes after a duplicate answer."""
+        following_bytes = self._http.trailing_data[0]
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=self.host.limits.header)
-        self._message(attempt)
-        if rest:
-            self._http.receive_data(rest)
+        self._encode_request(attempt)
+        if following_bytes:
+            self._http.receive_data(following_bytes)
         return self._http
 
-    def _answer(self, attempt: InFlightAttempt) -> Step[tuple[Answer, tuple[float, ...]]]:
-        http, pool, limits, due = self._http, self.host.buffers, self.host.limits, attempt.deadline
+    def _read_answer(self, attempt: InFlightAttempt) -> Step[tuple[Answer, tuple[float, ...]]]:
+        http, pool, limits, deadline = self._http, self.host.buffers, self.host.limits, attempt.deadline
         answer = Answer(0)
         report: tuple[float, ...] = ()
         parts: list[bytes] = []
-        size = interims = 0
-        surplus = False
-        quiet = False  # behind an interim answer, nothing has come: the answer has all the time there is
-        yield from read_more(self._sock, http, pool, due)
+        size = skipped = 0  # bytes of body; interim and duplicate answers
+        duplicate = False
+        awaiting_final = False  # nothing received after an interim or duplicate answer: wait until the deadline
+        yield from read_more(self._sock, http, pool, deadline)
         while True:
             event = http.next_event()
-            # h11's events are abstract classes: isinstance is slow on them
+            # not isinstance, which is slow on h11's abstract event classes
             if event is h11.NEED_DATA:
-                # one that says more than it sends stays open and silent: it is not waited for to the deadline
-                patient = quiet or self.host.dialect.waits_for_rest(attempt)
-                rest_due = due if patient else min(due, self.host.loop.now + limits.answer_rest)
+                # an answer shorter than its declared length is given up before the deadline
+                until_deadline = awaiting_final or self.host.dialect.waits_for_rest(attempt)
+                read_deadline = deadline if until_deadline else min(deadline, self.host.loop.now + limits.answer_rest)
                 try:
-                    yield from self._send(attempt)  # what was not written when this answer's like came
-                    yield from read_more(self._sock, http, pool, rest_due)
-                except ConnectionLost as gone:
-                    if gone.timed_out and rest_due < due:
-                        raise InvalidAnswer("its rest did not come") from gone
+                    yield from self._send(attempt)  # what was left of the request when something was received
+                    yield from read_more(self._sock, http, pool, read_deadline)
+                except ConnectionLost as lost:
+                    if lost.timed_out and read_deadline < deadline:
+                        raise InvalidAnswer("timed out waiting for the rest of the answer") from lost
                     raise
-                quiet = False
+                awaiting_final = False
             elif type(event) is h11.InformationalResponse:
-                interims, quiet = interims + 1, True
-                if interims > limits.interims:
+                skipped, awaiting_final = skipped + 1, True
+                if skipped > limits.interims:
                     raise InvalidAnswer("too many interim answers")
             elif type(event) is h11.Response:
-                self._set_aside(declared_length(event, limits.answer))
+                self._reserve_body(declared_length(event, limits.answer))
                 answer.status, answer.headers = event.status_code, list(event.headers)
-                surplus = not self.host.dialect.matches_attempt(attempt, answer.status, answer.headers)
-                if not surplus:
+                duplicate = not self.host.dialect.matches_attempt(attempt, answer.status, answer.headers)
+                if not duplicate:
                     self.host.dialect.check_headers(answer.headers)
                 report = self.host.dialect.parse_load(answer.headers)
             elif type(event) is h11.Data:
                 parts.append(bytes(event.data))
                 size += len(parts[-1])
                 if size > limits.answer:
-                    raise InvalidAnswer("too large")
-                self._set_aside(size)
+                    raise InvalidAnswer("body exceeds the limit")
+                self._reserve_body(size)
             elif type(event) is h11.EndOfMessage:
-                if not surplus:
+                if not duplicate:
                     answer.body = parts[0] if len(parts) == 1 else b"".join(parts)
                     return answer, report
-                # of an attempt before, in the place of this one's: thrown away, the next one is waited for
+                # for an earlier attempt: discarded, and the next answer is awaited
                 self.host.log.warning("surplus answer", extra={"backend": self.backend})
-                answer, parts, size, quiet, interims = Answer(0), [], 0, True, interims + 1
-                if interims > limits.interims:
-                    raise InvalidAnswer("too many surplus answers")
-                http = self._again(attempt)
+                answer, parts, size, awaiting_final, skipped = Answer(0), [], 0, True, skipped + 1
+                if skipped > limits.interims:
+                    raise InvalidAnswer("too many answers to earlier attempts")
+                http = self._restart_parser(attempt)
             elif type(event) is h11.ConnectionClosed:
                 raise ConnectionLost()
-            else:  # h11 pauses where a protocol is switched: it would say so for ever
-                raise InvalidAnswer("another protocol")
+            else:  # h11 pauses for ever when the protocol is switched
+                raise InvalidAnswer("the backend switched protocols")
 
-    def _set_aside(self, size: int) -> None:
+    def _reserve_body(self, size: int) -> None:
+        """Reserves body memory for an answer longer than a request's body may be."""
         if size > self.host.limits.body and not self._share.grow(size):
-            raise InvalidAnswer("no room for it")
+            raise InvalidAnswer("body memory limit reached")
 
     def _finish(self, ending: Ending, answer: Answer | None = None, report: tuple[float, ...] = ()) -> None:
+        """Reports the end of the attempt in flight, if there is one."""
         attempt, self.attempt = self.attempt, None
         self._share.hold(0)
         if attempt is not None:
--- a/oakvale/wire/clients.py
+++ b/oakvale/wire/clients.py
@@ -275,7 +275,7 @@
                     if began and incoming is None and limits.client_head:
                         due = min(due, began + limits.client_head)
                     try:
-                        arrived = yield from read_more(self._sock, http, host.buffers, due, stamped=True)
+                        arrived = yield from read_more(self._sock, http, host.buffers, due, timestamped=True)
                     except ConnectionLost as gone:
                         if gone.timed_out and not wanted and host.loop.now < self.used + host.limits.client_idle:
                             continue  # the bound has grown meanwhile, and its client goes by that
--- a/oakvale/wire/http.py
+++ b/oakvale/wire/http.py
@@ -1,4 +1,4 @@
-"""What the sides that speak HTTP share: reading into pooled buffers, rules on headers."""
+"""Functions shared by the HTTP connections: reading through pooled buffers, and header rules."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 
 
 def end_to_end(headers: Headers, without: frozenset[bytes] = frozenset()) -> Headers:
-    """Headers that pass a proxy: none that speak of this connection or of this message's framing."""
-    kept = [(k, v) for k, v in headers if k not in HOP_BY_HOP and k not in without]
+    """The headers that a proxy forwards: without hop-by-hop headers, framing headers and those in `without`."""
+    forwarded = [(k, v) for k, v in headers if k not in HOP_BY_HOP and k not in without]
     for name, value in headers:
         if name == b"connection":
-            named = {option.strip().lower() for option in value.split(b",")}
-            kept = [(k, v) for k, v in kept if k not in named]
-    return kept
+            listed = {option.strip().lower() for option in value.split(b",")}
+            forwarded = [(k, v) for k, v in forwarded if k not in listed]
+    return forwarded
 
 
-def read_available(sock: Sock, http: h11.Connection, pool: BufferPool, stamped: bool) -> int | None:
-    """Hands the parser what has come; gives the stamp of its arrival (0: none), None where nothing had come.
-    Raises OSError when the connection broke."""
+def read_available(sock: Sock, http: h11.Connection, pool: BufferPool, timestamped: bool) -> int | None:
+    """Passes received bytes to the parser and returns their arrival timestamp (0 if there is none), or None if nothing
+    was received. Raises OSError when the connection broke."""
     buffer = pool.acquire()
     try:
-        count, arrived = read_timestamped(sock, buffer) if stamped else (sock.recv_into(buffer), 0)
+        count, arrived = read_timestamped(sock, buffer) if timestamped else (sock.recv_into(buffer), 0)
         http.receive_data(bytes(buffer[:count]))
         return arrived
     except BlockingIOError:
@@ -53,15 +53,16 @@
         pool.release(buffer)
 
 
-def read_more(sock: Sock, http: h11.Connection, pool: BufferPool, due: int, stamped: bool = False) -> Step[int]:
-    """Waits until the parser has been given something new; gives the stamp of its arrival. Raises Gone. What has
-    come when the time is over counts: whoever sent it was in time."""
+def read_more(sock: Sock, http: h11.Connection, pool: BufferPool, due: int, timestamped: bool = False) -> Step[int]:
+    """Waits until the parser has been given new bytes; returns their arrival timestamp. Raises ConnectionLost.
+
+    Bytes that are readable when the time is over count, as they were sent in time."""
     while True:
-        late = (yield READ, due) == TIMED_OUT
-        try:  # also when woken: what came with a new connection is read at once
-            if (arrived := read_available(sock, http, pool, stamped)) is not None:
+        timed_out = (yield READ, due) == TIMED_OUT
+        try:  # also when woken, as bytes may have arrived together with a new connection
+            if (arrived := read_available(sock, http, pool, timestamped)) is not None:
                 return arrived
         except OSError as error:
             raise ConnectionLost() from error
-        if late:
+        if timed_out:
             raise ConnectionLost(timed_out=True)
--- a/oakvale/wire/owner.py
+++ b/oakvale/wire/owner.py
@@ -1,4 +1,4 @@
-"""What every connection needs of the process that it belongs to; each file of `wire` adds its own to it."""
+"""What every connection needs of its owner; the modules of `wire` extend it with what they need."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 
 
 class BaseOwner(Protocol):
+    """The resources of a process that all of its connections use."""
+
     @property
     def loop(self) -> Loop: ...
     @property
--- a/oakvale/wire/tcp.py
+++ b/oakvale/wire/tcp.py
@@ -1,4 +1,4 @@
-"""What every connection shares: making one, writing all of something, looking without reading."""
+"""Functions shared by all connections: connecting, writing all of a message, peeking at received bytes."""
 
 from __future__ import annotations
 
@@ -12,36 +12,36 @@
 
 SO_TIMESTAMPNS = 35  # Linux; the socket module has no name for it
 TIMESPEC = struct.Struct("qq")
-LINGER_NO_TIME = struct.pack("ii", 1, 0)  # struct linger: on, for 0 s
-ANCILLARY = socket.CMSG_SPACE(TIMESPEC.size)
+LINGER_ZERO = struct.pack("ii", 1, 0)  # struct linger: on, for 0 s
+ANCILLARY_BYTES = socket.CMSG_SPACE(TIMESPEC.size)
 
 
 class ConnectionLost(Exception):
-    """The other side ended or broke the connection, or took too long; `begun`: part of what was to be written
-    had gone out."""
+    """The peer closed or reset the connection, or took too long; `write_started`: some of the data was sent."""
 
-    def __init__(self, timed_out: bool = False, begun: bool = False) -> None:
+    def __init__(self, timed_out: bool = False, write_started: bool = False) -> None:
         super().__init__()
-        self.timed_out, self.begun = timed_out, begun
+        self.timed_out, self.write_started = timed_out, write_started
 
 
 def new_socket(net: Net) -> Sock:
+    """A stream socket that sends small writes without delay."""
     sock = net.stream()
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 def reset_on_close(sock: Sock) -> None:
-    """Has the next close reset the connection: what the kernel still holds is thrown away, and the other side can't
-    take it for the end of sending alone."""
+    """Makes the next close reset the connection: the kernel discards unsent data, and the peer cannot take the close
+    for a half-close."""
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NO_TIME)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     except OSError:
-        pass  # it broke meanwhile
+        pass  # the connection is already broken
 
 
 def connect(sock: Sock, address: Address, due: int) -> Step[bool]:
-    """True once the connection is up; False when it is refused, breaks, or is not up in time."""
+    """True once the connection is established; False if it is refused, breaks, or takes longer than `due`."""
     code = sock.connect_ex(address)
     if code != errno.EINPROGRESS:
         return code == 0
@@ -51,8 +51,9 @@
 
 
 def write_all(sock: Sock, data: bytes, due: int, stop_on_input: bool = False) -> Step[int]:
-    """Writes what the socket takes and waits for the rest; raises Gone if it never all goes. Gives the bytes
-    written: fewer than all where `stop_on_input` is set and something came in before."""
+    """Writes all of `data`, waiting while the socket is full; raises ConnectionLost if that fails.
+
+    Returns the number of bytes written: fewer than all if `stop_on_input` is set and something was received first."""
     sent = signal = 0
     while True:
         try:
@@ -60,26 +61,26 @@
         except BlockingIOError:
             pass
         except OSError as error:
-            raise ConnectionLost(begun=sent > 0) from error
+            raise ConnectionLost(write_started=sent > 0) from error
         if sent == len(data) or stop_on_input and signal > 0 and signal & READ:
             return sent
         signal = yield WRITE | (READ if stop_on_input else 0), due
         if signal == TIMED_OUT:
-            raise ConnectionLost(timed_out=True, begun=sent > 0)
+            raise ConnectionLost(timed_out=True, write_started=sent > 0)
 
 
 def enable_receive_timestamps(listener: Sock) -> None:
-    """Has the kernel note when bytes arrive on the connections that are accepted here. Without it, how long a
-    request waited in this gateway's own socket while it stood still or was busy would be unseen."""
+    """Makes the kernel timestamp the bytes received on connections that this listener accepts, so that the time that a
+    request waits in the receive buffer while the gateway is paused or busy is known."""
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
     except OSError:
-        pass  # then waits count as none
+        pass  # without timestamps, waiting times count as 0
 
 
 def read_timestamped(sock: Sock, buffer: memoryview) -> tuple[int, int]:
-    """How many bytes were read, and when the last of them arrived: Unix time in nanoseconds, 0 if unknown."""
-    count, ancillary, _, _ = sock.recvmsg_into([buffer], ANCILLARY)
+    """The number of bytes read, and when the last of them arrived: Unix time in nanoseconds, 0 if unknown."""
+    count, ancillary, _, _ = sock.recvmsg_into([buffer], ANCILLARY_BYTES)
     for level, kind, data in ancillary:
         if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(data) >= TIMESPEC.size:
             seconds, nanoseconds = TIMESPEC.unpack_from(data)
@@ -88,7 +89,7 @@
 
 
 def peek(sock: Sock) -> bytes | None:
-    """What has come and was not read: None for nothing, empty when the other side ended or broke it."""
+    """The first unread byte: None if nothing was received, empty if the peer closed or broke the connection."""
     try:
         return sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
--- a/tests/test_attempts_wire.py
+++ b/tests/test_attempts_wire.py
@@ -560,7 +560,7 @@
     def fails(*_: Any) -> bytes:
         raise RuntimeError("odd")
 
-    monkeypatch.setattr("oakvale.wire.backends.BackendConnection._message", fails)
+    monkeypatch.setattr("oakvale.wire.backends.BackendConnection._encode_request", fails)
     sending.ask(sending.client())
     assert sending.came(i.Ended).ending is Ending.NO_CONNECTION
     assert "odd" in caplog.text and sending.host.backend_connections == 0
