--- a/oakvale/wire/clients.py
+++ b/oakvale/wire/clients.py
@@ -1,4 +1,4 @@
-"""Clients: one coroutine a connection that reads requests, waits for the module's answer and writes it."""
+"""Client connections: one coroutine each, which reads a request, waits for its answer, and writes that."""
 
 from __future__ import annotations
 
@@ -30,41 +30,44 @@
 METHODS = (b"GET", b"POST")
 TRACE_ID = re.compile(r"[0-9A-Za-z._-]{1,64}")
 CUSTOMER = re.compile(r"[0-9a-f]{16}")
-EXPIRES = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
-ONCE = (b"x-trace-id", b"x-tier", b"x-expires-in", b"x-call-terms")  # named twice, they say two things
-TERMS_LONGEST = 128
-READ_LATE_US = 100_000  # a request that has lain in the socket for so long may be nobody's any more
-PROBE_ANSWER_US = 50_000  # a socket that was closed answers a probe in a round trip
-UNITS = {"m": 1000, "u": 1}
-SECOND_TRY = 2  # the simulator's mark of a client's repeat
+EXPIRES_IN = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,6})?)([mu])")
+SINGLE_VALUE_HEADERS = (b"x-trace-id", b"x-tier", b"x-expires-in", b"x-call-terms")
+MAX_TERMS_CHARS = 128
+READ_LATE_US = 100_000  # after this long in the receive buffer, a request's client may have left
+PROBE_ANSWER_US = 50_000  # a closed socket answers a probe with a reset within a round trip
+MICROSECONDS_BY_UNIT = {"m": 1000, "u": 1}
+CLIENT_RETRY_FLAG = 2
 
-Terms = Callable[[str], tuple[float, int, int]]
+TermsParser = Callable[[str], tuple[float, int, int]]
 
 
 class BadRequest(Exception):
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    """A request that is answered with an error status."""
+
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class FatalBadRequest(BadRequest):
-    """What follows on this connection is not read."""
+    """A bad request after which the connection is closed."""
 
 
 def parse_call_terms(settings: i.Settings, text: str) -> tuple[float, int, int]:
-    """`units=2,spread=3,first=1`; keys that are not known are skipped. Out of range is refused here: units
-    that no request has would use up their customer's quota on every gateway."""
+    """Parses `units=2,spread=3,first=1`, ignoring unknown keys; raises BadRequest.
+
+    Values out of range are rejected here: too many units would use up the customer's quota on every gateway."""
     try:
-        pairs = [part.strip().split("=", 1) for part in text[:TERMS_LONGEST].split(",")]
-        named = {key: value for key, value in pairs}
+        pairs = [part.strip().split("=", 1) for part in text[:MAX_TERMS_CHARS].split(",")]
+        values = {key: value for key, value in pairs}
         units, spread, first = (
-            parse_decimal(named["units"]),
-            parse_integer(named["spread"]),
-            parse_integer(named["first"]),
+            parse_decimal(values["units"]),
+            parse_integer(values["spread"]),
+            parse_integer(values["first"]),
         )
     except (KeyError, ValueError) as error:
         raise BadRequest(400, "X-Call-Terms is not understood") from error
-    if len(named) != len(pairs) or len(text) > TERMS_LONGEST:
+    if len(values) != len(pairs) or len(text) > MAX_TERMS_CHARS:
         raise BadRequest(400, "X-Call-Terms is not understood")
     if not 0 < units <= settings.largest or not 1 <= spread <= settings.fleet or first >= settings.fleet:
         raise BadRequest(400, "X-Call-Terms is out of range")
@@ -72,6 +75,7 @@
 
 
 def required_text(value: bytes | None, what: str) -> str:
+    """Decodes a header or parameter value; raises BadRequest if it is missing."""
     if value is None:
         raise BadRequest(400, f"{what} is missing")
     return value.decode("latin-1")
@@ -79,7 +83,7 @@
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A request as it was read. h11's headers are slow to walk through, so they are copied once."""
+    """A request as it was read. The headers are copied, as those of h11 are slow to iterate over."""
 
     method: bytes
     target: bytes
@@ -88,55 +92,55 @@
     body: bytes = b""
 
     def head_size(self) -> int:
-        """Bytes of its head, as they are sent most shortly: h11 bounds only heads that come in pieces."""
+        """The smallest size of the head on the wire, in bytes. h11 limits only heads that arrive in several reads."""
         return len(self.method) + len(self.target) + 14 + sum(len(n) + len(v) + 4 for n, v in self.headers)
 
 
 def decode_request(
-    incoming: IncomingRequest, came: int, names: NameIndexes, longest: int, terms_of: Terms
+    incoming: IncomingRequest, received_at: int, names: NameIndexes, max_wait_us: int, parse_terms: TermsParser
 ) -> i.Request:
-    """A client's request as the module knows it; raises BadRequest."""
+    """Decodes a client's request into the policy's event; raises BadRequest."""
     headers = incoming.fields
     if len(headers) != len(incoming.headers):
         names_sent = [name for name, _ in incoming.headers]
-        if any(names_sent.count(name) > 1 for name in ONCE):
+        if any(names_sent.count(name) > 1 for name in SINGLE_VALUE_HEADERS):
             raise BadRequest(400, "a header is there twice")
     path, _, query = incoming.target.partition(b"?")
-    cls = names.classes.get(path.decode("latin-1").split("/", 2)[1] if path.startswith(b"/") else "")
-    if cls is None:
+    class_index = names.classes.get(path.decode("latin-1").split("/", 2)[1] if path.startswith(b"/") else "")
+    if class_index is None:
         raise BadRequest(404, "no such class of requests")
-    rid = required_text(headers.get(b"x-trace-id"), "X-Trace-Id")
-    if not TRACE_ID.fullmatch(rid):
+    request_id = required_text(headers.get(b"x-trace-id"), "X-Trace-Id")
+    if not TRACE_ID.fullmatch(request_id):
         raise BadRequest(400, "X-Trace-Id is not understood")
-    pairs = [p[4:] for p in query.split(b"&") if p.startswith(b"key=")]
-    customer = required_text(pairs[0] if pairs else None, "key").lower()
+    keys = [part[4:] for part in query.split(b"&") if part.startswith(b"key=")]
+    customer = required_text(keys[0] if keys else None, "key").lower()
     if not CUSTOMER.fullmatch(customer):
         raise BadRequest(400, "key is not understood")
     plan = names.plans.get(required_text(headers.get(b"x-tier"), "X-Tier"))
     if plan is None:
         raise BadRequest(400, "X-Tier names no plan")
-    expires = EXPIRES.fullmatch(required_text(headers.get(b"x-expires-in"), "X-Expires-In"))
-    if expires is None:
+    expires_in = EXPIRES_IN.fullmatch(required_text(headers.get(b"x-expires-in"), "X-Expires-In"))
+    if expires_in is None:
         raise BadRequest(400, "X-Expires-In is not understood")
-    wait = min(longest, int(float(expires[1]) * UNITS[expires[2]]))
-    units, spread, first = terms_of(required_text(headers.get(b"x-call-terms"), "X-Call-Terms"))
-    flags = SECOND_TRY if headers.get(b"x-second-try") == b"1" else 0
-    return i.Request(rid, customer, cls, plan, units, spread, first, came + wait, flags)
+    wait_us = min(max_wait_us, int(float(expires_in[1]) * MICROSECONDS_BY_UNIT[expires_in[2]]))
+    units, spread, first = parse_terms(required_text(headers.get(b"x-call-terms"), "X-Call-Terms"))
+    flags = CLIENT_RETRY_FLAG if headers.get(b"x-second-try") == b"1" else 0
+    return i.Request(request_id, customer, class_index, plan, units, spread, first, received_at + wait_us, flags)
 
 
 def response_head(status: int, headers: tuple[tuple[bytes, bytes], ...]) -> h11.Response:
-    """The head of an answer. h11 checks each header anew, and most heads are like one before."""
+    """The head of an answer. Callers cache it: h11 validates each header again, and most heads recur."""
     return h11.Response(status_code=status, headers=list(headers), reason=HTTPStatus(status).phrase)
 
 
-def plain_answer(status: int, why: str) -> Answer:
-    """The gateway's own answer; 503 is a refusal and names a time to come back."""
+def plain_answer(status: int, text: str) -> Answer:
+    """An answer by the gateway itself, as plain text; 503 gets a Retry-After header."""
     headers = [(b"content-type", b"text/plain")] + ([(b"retry-after", b"1")] if status == 503 else [])
-    return Answer(status, headers, why.encode("latin-1", "replace") + b"\n")
+    return Answer(status, headers, text.encode("latin-1", "replace") + b"\n")
 
 
 class Owner(BaseOwner, Protocol):
-    """What a client's connection needs of the process that it belongs to."""
+    """What a client connection needs of the process that it belongs to."""
 
     @property
     def bodies(self) -> BodyMemory: ...
@@ -150,43 +154,43 @@
     def response(self) -> Callable[[int, tuple[tuple[bytes, bytes], ...]], h11.Response]: ...
 
     def waited(self, arrived: int) -> int:
-        """Microseconds since the stamp of an arrival."""
-
-    def open(self, client: Any, incoming: IncomingRequest, came: int) -> Answer | ClientRequest:
-        """The answer at once, or the request in hand, which `begin` is then called with.
+        """Microseconds since a kernel timestamp of received bytes."""
 
-        Raises BadRequest."""
+    def open(self, client: Any, incoming: IncomingRequest, received_at: int) -> Answer | ClientRequest:
+        """Returns an immediate answer, or a pending request to call `begin` with. Raises BadRequest."""
 
     def begin(self, request: ClientRequest) -> None:
-        """The connection waits for the answer from now on."""
+        """Starts to handle a request, whose answer the connection now awaits."""
 
     def client_gone(self, request: ClientRequest) -> None:
-        """Nobody waits for its answer any more."""
+        """The client left before it was answered."""
 
 
 class ClientConnection:
+    """A client's connection and its coroutine, which handles one request at a time."""
+
     def __init__(self, host: Owner, sock: Sock) -> None:
-        self.host, self.used, self.opened = host, host.loop.now, host.loop.now
+        self.host, self.last_used, self.opened = host, host.loop.now, host.loop.now
         self._answers = 0
         self._share = BodyMemoryShare(host.bodies)
         self.answer: Answer | None = None
         self.request: ClientRequest | None = None
         self._sock = sock
-        self._rest = b""  # of an interim answer, of which the kernel took a part
-        self._waits = False  # its client ended its sending, and is known to wait for answers
-        self._came = 0  # when the latest bytes arrived, which may be before they were read
-        self._http = self._fresh()
+        self._unsent_interim = b""  # rest of a partly written interim answer
+        self._half_closed = False  # the client has closed its sending side, but still awaits answers
+        self._received_at = 0  # when the latest bytes arrived, which may be before they were read
+        self._http = self._new_parser()
         host.clients.add(self)
         self._task = host.loop.start(self._run(), sock.fileno(), Rank.CLIENT)
-        host.loop.wake(self._task)  # its request may have come with it
+        host.loop.wake(self._task)  # its first request may already have arrived
 
     def send_answer(self, answer: Answer) -> None:
-        """The final answer of the request in hand."""
+        """Receives the final answer of the pending request."""
         self.request, self.answer = None, answer
         self.host.loop.wake(self._task)
 
     def close_if_idle(self) -> bool:
-        """Closes the connection unless a request has come that was not read yet."""
+        """Closes the connection unless unread bytes of a request have arrived."""
         if peek(self._sock):
             return False
         self.end()
@@ -211,20 +215,20 @@
                 self.host.client_gone(self.request)
 
     def _serve_one(self) -> Step[bool]:
-        """One request and its answer; False when the connection is to be closed."""
-        method, last = b"", False
+        """Handles one request; False if the connection must be closed."""
+        method, close_after = b"", False
         try:
-            incoming = yield from self._read()
+            incoming = yield from self._read_request()
             method = incoming.method
-            answer = yield from self._answered(incoming)
+            answer = yield from self._await_answer(incoming)
         except BadRequest as bad:
-            answer, last = plain_answer(bad.status, str(bad)), isinstance(bad, FatalBadRequest)
+            answer, close_after = plain_answer(bad.status, str(bad)), isinstance(bad, FatalBadRequest)
         except h11.RemoteProtocolError as error:
             answer = plain_answer(error.error_status_hint or 400, str(error))
         except (ConnectionLost, GeneratorExit):
             raise
         except Exception:
-            # a fault in one request's handling: it is logged, that request answered, the rest served
+            # an exception while one request is handled must not affect the others
             self.host.log.exception("request failed")
             if self.request is not None:
                 self.host.client_gone(self.request)
@@ -233,36 +237,37 @@
         http = self._http
         self.host.tally.answers[str(answer.status)] += 1
         headers = [*answer.headers, (b"content-length", b"%d" % len(answer.body))]
-        # what was read of requests behind this one is answered, too, before a stopping process ends the connection
-        if last or http.their_state is not h11.DONE or self.host.stopping and not http.trailing_data[0]:
+        # a stopping process closes the connection only after pipelined requests that were read are answered
+        if close_after or http.their_state is not h11.DONE or self.host.stopping and not http.trailing_data[0]:
             headers.append((b"connection", b"close"))
-        # kept are only short ones: a backend may send heads as long as it likes
-        short = sum(len(name) + len(value) for name, value in headers) <= self.host.limits.cached_size
-        make = self.host.response if short else response_head
-        data = http.send(make(answer.status, tuple(headers))) or b""
+        # only short heads are cached, as a backend may send very long ones
+        cacheable = sum(len(name) + len(value) for name, value in headers) <= self.host.limits.cached_size
+        make_head = self.host.response if cacheable else response_head
+        data = http.send(make_head(answer.status, tuple(headers))) or b""
         if answer.body and method != b"HEAD":
             http.send(h11.Data(data=answer.body))
             data += answer.body
         http.send(END_OF_MESSAGE)
         self._share.hold(len(answer.body))
-        data, self._rest = self._rest + data, b""
+        data, self._unsent_interim = self._unsent_interim + data, b""
         yield from write_all(self._sock, data, self.host.loop.now + self.host.limits.client_take)
         self._share.hold(0)
         return http.our_state is h11.DONE and http.their_state is h11.DONE
 
-    def _read(self) -> Step[IncomingRequest]:
+    def _read_request(self) -> Step[IncomingRequest]:
+        """Reads the next request; raises BadRequest, or ConnectionLost if none arrives."""
         host, limits = self.host, self.host.limits
-        # what came behind the last request has begun another
-        idle = not self._begins()
-        began, http = 0 if idle else host.loop.now, self._http
+        # bytes received after the last request may have started another
+        idle = not self._request_started()
+        started_at, http = 0 if idle else host.loop.now, self._http
         incoming: IncomingRequest | None = None
         parts: list[bytes] = []
         size = 0
-        self.used = host.loop.now
+        self.last_used = host.loop.now
         if idle:
             host.clients.mark_idle(self, silent=not self._answers)
         try:
-            # between requests there is nothing to parse but what came behind the last one
+            # between requests, there is nothing to parse unless bytes followed the last one
             event = h11.NEED_DATA if idle else http.next_event()
             while True:
                 if event is h11.NEED_DATA:
@@ -270,31 +275,35 @@
                         interim = http.send(CONTINUE)
                         due = host.loop.now + host.limits.client_send
                         yield from write_all(self._sock, interim or b"", due)
-                    wanted = began or not self._answers
-                    due = self._due(began) if wanted else self.used + host.limits.client_idle
-                    if began and incoming is None and limits.client_head:
-                        due = min(due, began + limits.client_head)
+                    request_expected = started_at or not self._answers
+                    due = self._deadline(started_at) if request_expected else self.last_used + host.limits.client_idle
+                    if started_at and incoming is None and limits.client_head:
+                        due = min(due, started_at + limits.client_head)
                     try:
                         arrived = yield from read_more(self._sock, http, host.buffers, due, timestamped=True)
-                    except ConnectionLost as gone:
-                        if gone.timed_out and not wanted and host.loop.now < self.used + host.limits.client_idle:
-                            continue  # the bound has grown meanwhile, and its client goes by that
+                    except ConnectionLost as lost:
+                        if (
+                            lost.timed_out
+                            and not request_expected
+                            and host.loop.now < self.last_used + host.limits.client_idle
+                        ):
+                            continue  # the limit was raised meanwhile, and the client relies on the new one
                         raise
-                    self._came = host.loop.now - host.waited(arrived)
-                    begins = not idle or self._begins()
+                    self._received_at = host.loop.now - host.waited(arrived)
+                    started = not idle or self._request_started()
                     http = self._http
-                    if not begins and not http.trailing_data[1]:
+                    if not started and not http.trailing_data[1]:
                         continue
                     if idle:
-                        began, idle = host.loop.now, False
+                        started_at, idle = host.loop.now, False
                         host.clients.mark_busy(self)
                 elif type(event) is h11.Request:
                     headers = list(event.headers)
                     incoming = IncomingRequest(event.method, event.target, headers, dict(headers))
                     length = incoming.fields.get(b"content-length", b"0")
                     chunked = b"transfer-encoding" in incoming.fields
-                    # h11 lets chunks go before the length, as RFC 9112 (6.3) allows: another request may hide
-                    # in what one reader takes for the body and the next does not
+                    # h11 prefers chunks to the length, as RFC 9112 (6.3) allows; rejecting both prevents request
+                    # smuggling through a proxy that prefers the length
                     if chunked and (b"content-length" in incoming.fields or event.http_version != b"1.1"):
                         raise BadRequest(400, "framing in doubt")
                     if event.method == b"GET" and (chunked or int(length)):
@@ -308,8 +317,7 @@
                     size += len(parts[-1])
                     if size > host.limits.body:
                         raise BadRequest(413, "body too large")
-                    # chunks tell no length before their end: what the longest would take, held from the first on
-                    # to the answer, left room for one such request at a time
+                    # a chunked body has no declared length; reserving the maximum at once would allow too few requests
                     if not self._share.grow(size):
                         raise BadRequest(503, "no room for a body")
                 elif type(event) is h11.EndOfMessage and incoming is not None:
@@ -318,48 +326,53 @@
                 else:  # closed between requests
                     raise ConnectionLost()
                 event = http.next_event()
-        except ConnectionLost as gone:
-            if gone.timed_out and began:
-                raise BadRequest(408, "request took too long to come") from gone
+        except ConnectionLost as lost:
+            if lost.timed_out and started_at:
+                raise BadRequest(408, "request took too long to come") from lost
             raise
         finally:
             host.clients.mark_busy(self)
 
-    def _fresh(self) -> h11.Connection:
+    def _new_parser(self) -> h11.Connection:
         return h11.Connection(h11.SERVER, max_incomplete_event_size=self.host.limits.header)
 
-    def _begins(self) -> bool:
-        """Whether anything of a request has come. Empty lines before one are passed over (RFC 9112, 2.2): some clients
-        send one behind a body, and its answer would be taken for the next request's."""
-        came, ended = self._http.trailing_data
-        at = 0
-        while came.startswith(b"\r\n", at):
-            at += 2
-        if at:
-            came = came[at:]
-            self._http = self._fresh()
-            if came:
-                self._http.receive_data(came)
-            if ended:
+    def _request_started(self) -> bool:
+        """Whether bytes of a request have been received.
+
+        Empty lines before a request are skipped (RFC 9112, 2.2). Some clients send one after a body; an error answer to
+        it would be taken for the answer to the next request."""
+        received, at_eof = self._http.trailing_data
+        offset = 0
+        while received.startswith(b"\r\n", offset):
+            offset += 2
+        if offset:
+            received = received[offset:]
+            self._http = self._new_parser()
+            if received:
+                self._http.receive_data(received)
+            if at_eof:
                 self._http.receive_data(b"")
-        return came not in (b"", b"\r")
+        return received not in (b"", b"\r")
 
-    def _answered(self, incoming: IncomingRequest) -> Step[Answer]:
+    def _await_answer(self, incoming: IncomingRequest) -> Step[Answer]:
+        """Hands the request to the owner and waits for its answer, watching for pipelined requests and disconnects."""
         host = self.host
-        if host.loop.unread_for >= READ_LATE_US and not self._waits and peek(self._sock) == b"":
-            yield from self._look_for_client()
-        opened = host.open(self, incoming, self._came)
+        if host.loop.unread_for >= READ_LATE_US and not self._half_closed and peek(self._sock) == b"":
+            yield from self._check_client_open()
+        opened = host.open(self, incoming, self._received_at)
         if isinstance(opened, Answer):
             return opened
         self.answer, self.request = None, opened
         host.begin(opened)
-        patient = host.limits.patient
-        mask, due = READ, self._due(host.loop.now) if self._http.trailing_data[0] and not patient else 0
+        unlimited = host.limits.patient  # pipelined requests may wait for as long as the pending one takes
+        mask, due = READ, self._deadline(host.loop.now) if self._http.trailing_data[0] and not unlimited else 0
         while self.answer is None:
             signal = yield mask, due
-            if signal == WOKEN or self.answer is not None:  # it came in this very turn, whatever else did
+            if (
+                signal == WOKEN or self.answer is not None
+            ):  # an answer set in this turn takes precedence over other signals
                 continue
-            if signal == TIMED_OUT:  # whatever is behind it is owed a word too, and its time is over
+            if signal == TIMED_OUT:  # the pipelined request has waited too long for its answer
                 host.client_gone(self.request)
                 self.request = None
                 raise FatalBadRequest(400, "one request at a time")
@@ -368,54 +381,54 @@
             if signal & select.EPOLLRDHUP:
                 mask = 0
                 self._probe()
-            else:  # a request behind this one: it waits its turn
-                mask, due = select.EPOLLRDHUP, 0 if patient else due or self._due(host.loop.now)
+            else:  # a pipelined request, which is read after this one is answered
+                mask, due = select.EPOLLRDHUP, 0 if unlimited else due or self._deadline(host.loop.now)
         return self.answer
 
-    def _look_for_client(self) -> Step[None]:
-        """Raises Gone where a client that has ended its sending turns out to have closed: what it asked for is not
-        begun. One that speaks HTTP/1.0 can't be told from one that waits, and is served.
-        """
+    def _check_client_open(self) -> Step[None]:
+        """Probes a client that has closed its sending side. If it has closed the connection, raises ConnectionLost, so
+        that its request is not started. An HTTP/1.0 client cannot be probed, and is served."""
         self._probe()
-        due = self.host.loop.now + PROBE_ANSWER_US
-        while (signal := (yield 0, due)) != TIMED_OUT:
+        deadline = self.host.loop.now + PROBE_ANSWER_US
+        while (signal := (yield 0, deadline)) != TIMED_OUT:
             if signal != WOKEN and signal & BROKEN:
                 raise ConnectionLost()
-        self._waits = True
+        self._half_closed = True
+
+    def _deadline(self, started_at: int) -> int:
+        """When a request whose first byte arrived at `started_at` must be complete, or answered if it is pipelined.
 
-    def _due(self, began: int) -> int:
-        """When what began to come then must be there, or be answered if it stands behind a request in hand:
-        for the first request the time runs from the connection on, however little comes at a time."""
+        For the first request, time runs from the opening of the connection, so that slow sending cannot extend it."""
         if not self._answers:
             return self.opened + self.host.limits.client_first
-        return began + self.host.limits.client_send
+        return started_at + self.host.limits.client_send
 
     def _probe(self) -> None:
-        """A client that closed and one that only ended its sending look alike. An interim answer tells them
-        apart: a closed socket resets the connection, a waiting client passes over it. It is a 100, which any
-        client may simply discard (RFC 9110, 15.2.1); some take another 1xx for the answer."""
+        """Sends an interim answer, to tell a half-closed client from one that closed: a closed socket resets the
+        connection, a waiting client ignores it. It is a 100, which clients may discard (RFC 9110, 15.2.1); some take
+        another 1xx for the final answer."""
         if self._http.their_http_version == b"1.1":
             interim = self._http.send(CONTINUE)
             try:
-                self._rest = (interim or b"")[self._sock.send(interim or b"") :]
+                self._unsent_interim = (interim or b"")[self._sock.send(interim or b"") :]
             except OSError:
-                pass  # nothing of it has gone out
+                pass  # nothing was sent
 
     def _linger(self) -> Step[None]:
-        """Ends sending first: a close with unread input would reset the connection and could destroy the
-        answer on its way."""
+        """Closes the sending side and discards input until the client closes: a close with unread input would reset the
+        connection, and the client could lose the answer."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError:
             return
         self.host.clients.mark_lingering(self)
-        due = self.host.loop.now + self.host.limits.linger
-        while (signal := (yield READ, due)) != TIMED_OUT:
-            if signal != WOKEN and not self._throw_away():
+        deadline = self.host.loop.now + self.host.limits.linger
+        while (signal := (yield READ, deadline)) != TIMED_OUT:
+            if signal != WOKEN and not self._discard_input():
                 return
 
-    def _throw_away(self) -> bool:
-        """Has the kernel drop what has come, without copying it; False when the client has ended."""
+    def _discard_input(self) -> bool:
+        """Makes the kernel drop received bytes without copying them; False if the client has closed."""
         buffer = self.host.buffers.acquire()
         try:
             for _ in range(self.host.limits.linger_reads):
--- a/oakvale/wire/counter.py
+++ b/oakvale/wire/counter.py
@@ -1,7 +1,7 @@
-"""The counter: calls written one behind another as lines, answers matched in order.
+"""The client of the counter service: pipelined calls, one line each, whose answers arrive in the same order.
 
-A call has one outcome, by its time-out at the latest; an answer that comes later is still owed by its
-connection and is thrown away. Outcomes of one name are given in the order of its calls, over all connections.
+Each call has exactly one outcome, at its timeout at the latest. A later answer is still read from the connection, and
+discarded. The outcomes of one name are reported in the order of its calls, over all connections.
 """
 
 from __future__ import annotations
@@ -18,28 +18,32 @@
 from oakvale.wire.owner import BaseOwner
 from oakvale.wire.tcp import connect, new_socket, peek
 
-# what the beginning of an answer may look like, which also bounds its length
-PARTIAL = re.compile(
+# any beginning of a valid answer, which also limits the length of an incomplete line
+ANSWER_PREFIX = re.compile(
     rb"(o(k( (-?([0-9.]{1,32}([eE][+-]?[0-9]{0,2})?\r?)?)?)?)?)?"
     rb"|b(u(s(y\r?)?)?)?|e(r(r(o(r\r?)?)?)?)?"
 )
 
 
 class CounterCall:
+    """One call, which adds `amount` to the counter `name`."""
+
     __slots__ = ("name", "amount", "ttl_ms", "started_at", "write_started", "ending", "level", "connection", "timer")
 
-    def __init__(self, name: str, amount: float, life: int, sent: int) -> None:
-        self.name, self.amount, self.ttl_ms, self.started_at = name, amount, life, sent
-        self.write_started, self.level = False, 0.0  # begun: a byte of it went out, so the rest will
+    def __init__(self, name: str, amount: float, ttl_ms: int, started_at: int) -> None:
+        self.name, self.amount, self.ttl_ms, self.started_at = name, amount, ttl_ms, started_at
+        self.write_started, self.level = False, 0.0  # once a byte was written, the rest will be
         self.ending: Ending | None = None
         self.connection: CounterConnection | None = None
         self.timer: Timer | None = None
 
     def line(self) -> bytes:
-        amount = f"{self.amount:.15f}".rstrip("0").rstrip(".")  # never in exponent form
+        """The call in the protocol of the counter."""
+        amount = f"{self.amount:.15f}".rstrip("0").rstrip(".")  # the protocol has no exponents
         return f"add {self.name} {amount or '0'} {self.ttl_ms}\r\n".encode("ascii")
 
     def allowed(self, limits: Limits) -> bool:
+        """Whether the protocol allows its name and amount."""
         name = self.name
         return (
             abs(self.amount) <= limits.counter_amount
@@ -51,35 +55,38 @@
 
 
 def parse_answer(line: bytes) -> tuple[Ending, float]:
-    """The outcome that a line tells; raises ValueError."""
+    """Decodes an answer line into an outcome and the counter's level; raises ValueError."""
     word, _, rest = line.partition(b" ")
     if word == b"ok":
-        return Ending.SERVED, parse_decimal(rest.decode("ascii"))  # nan would spoil what the module reckons with
+        return Ending.SERVED, parse_decimal(rest.decode("ascii"))  # rejects nan
     if line in (b"busy", b"error"):
         return Ending.FULL, 0.0  # nothing was added
-    raise ValueError(f"not an answer: {line[:64]!r}")
+    raise ValueError(f"malformed answer: {line[:64]!r}")
 
 
 class Owner(BaseOwner, Protocol):
-    """What the counter's connections need of the gateway that asks."""
+    """What the counter client needs of its gateway."""
 
-    def counted(self, name: str, ending: Ending, level: float, sent: int) -> None:
-        """The outcome of a call, in the order of its name's calls."""
+    def counted(self, name: str, ending: Ending, level: float, started_at: int) -> None:
+        """Reports the outcome of a call, in the order of the calls of its name."""
 
 
 class CounterClient:
+    """Distributes calls over connections to the counter, and reports their outcomes to `host`."""
+
     def __init__(self, host: Owner, address: Address) -> None:
         self.host, self.address = host, address
         self.connections: list[CounterConnection] = []
         self.retry_at = 0
-        self.lost = False  # said in the log once, however many tries follow
+        self.lost = False  # already logged; logged again only after an answer
         self._by_name: dict[str, deque[CounterCall]] = {}
 
-    def call(self, name: str, amount: float, life: int) -> None:
+    def call(self, name: str, amount: float, ttl_us: int) -> None:
+        """Starts a call; `ttl_us` is how long the counter keeps the name."""
         now = self.host.loop.now
         limits = self.host.limits
-        milliseconds = min(max(life, 1000), limits.counter_life) // 1000
-        call = CounterCall(name, amount, milliseconds, now)
+        ttl_ms = min(max(ttl_us, 1000), limits.counter_life) // 1000
+        call = CounterCall(name, amount, ttl_ms, now)
         self._by_name.setdefault(name, deque()).append(call)
         if not call.allowed(self.host.limits):
             self.host.log.error("call not allowed", extra={"call": name, "amount": amount})
@@ -88,7 +95,7 @@
         self._send(call)
 
     def end(self, call: CounterCall, ending: Ending, level: float = 0.0) -> None:
-        """Settles a call, once, and gives the module what is settled of its name, in order."""
+        """Records the outcome of a call, if it has none, and reports outcomes of its name in call order."""
         if call.ending is not None:
             return
         call.ending, call.level = ending, level
@@ -102,8 +109,8 @@
             del self._by_name[call.name]
 
     def set_address(self, address: Address) -> None:
-        """Calls go to another address from now on. Those of which a byte went out wait for their answers
-        where they were written; the others go with the new ones. No call is written twice."""
+        """Sends calls to another address from now on. Calls that are partly or wholly written stay on their
+        connections; the others are sent to the new address. No call is written twice."""
         if address == self.address:
             return
         self.address, self.retry_at, self.lost = address, 0, False
@@ -146,16 +153,18 @@
 
 
 class CounterConnection:
+    """A connection to the counter and its coroutine."""
+
     def __init__(self, counter: CounterClient) -> None:
         self.counter, self.host = counter, counter.host
-        self.unanswered: deque[CounterCall] = deque()  # written, no answer yet
+        self.unanswered: deque[CounterCall] = deque()  # written, not answered
         self.last_received = self.last_used = self.host.loop.now
         self.connected = self.unresponsive = self.ended = False
-        self.retired = False  # the counter has moved: it brings what it owes, and its end tells nothing
+        self.retired = False  # the address has changed: only outstanding answers are read, and its end is no failure
         self._unsent: deque[CounterCall] = deque()
-        self._partial: CounterCall | None = None  # one that the socket took in part, and what is left of its line
-        self._tail = b""
-        self._buffer = b""
+        self._partial: CounterCall | None = None  # a partly written call, and the rest of its line
+        self._partial_rest = b""
+        self._received = b""
         self._sock = new_socket(self.host.loop.net)
         counter.connections.append(self)
         self._task = self.host.loop.start(self._run(), self._sock.fileno(), Rank.COUNTER)
@@ -166,7 +175,7 @@
             return False
         if not self.connected or self.unanswered or now - self.last_used < self.host.limits.counter_idle:
             return True
-        # idle for some time: the counter may have closed it, and what is written then may be lost
+        # after a long idle time, the counter may have closed it, and a call written then may be lost
         if peek(self._sock) is None:
             return True
         self.end()
@@ -179,30 +188,30 @@
         self.host.loop.wake(self._task)
 
     def retire(self) -> list[CounterCall]:
-        """Gives the calls of which nothing was written, and ends once none is owed."""
+        """Returns the calls of which nothing was written, and closes the connection once the others are answered."""
         self.retired, self.last_received = True, self.host.loop.now
         calls, self._unsent = list(self._unsent), deque()
         if not self.unanswered and self._partial is None:
             self.end()
         else:
-            self.host.loop.wake(self._task)  # it waits for a limited time from now on
+            self.host.loop.wake(self._task)  # its wait now has a deadline
         return calls
 
     def call_timed_out(self, call: CounterCall) -> None:
-        """A call's time is up. When nothing at all came since it was made, the connection may be dead: it is
-        left to bring what it still owes, and later calls go elsewhere."""
+        """Handles the timeout of a call. If nothing was received since the call was made, the connection may be dead:
+        it gets no more calls until it delivers an answer."""
         if self.last_received <= call.started_at and not self.retired:
             self.unresponsive = True
             self.counter.report_lost("silent")
-            self.host.loop.wake(self._task)  # it waits for a limited time from now on
+            self.host.loop.wake(self._task)  # its wait now has a deadline
 
     def end(self) -> None:
         self.host.loop.end(self._task)
 
     def _run(self) -> Coroutine:
         try:
-            due = self.host.loop.now + self.host.limits.connect
-            if not (yield from connect(self._sock, self.counter.address, due)):
+            deadline = self.host.loop.now + self.host.limits.connect
+            if not (yield from connect(self._sock, self.counter.address, deadline)):
                 if not self.retired:
                     self.counter.retry_at = self.host.loop.now + self.host.limits.counter_retry
                     self.counter.report_lost("cannot connect")
@@ -210,8 +219,10 @@
             self.connected = True
             while not (self.retired and not self.unanswered and self._partial is None):
                 blocked = not self._write()
-                due = self.last_received + self.host.limits.counter_late if self.unresponsive or self.retired else 0
-                signal = yield (READ | WRITE if blocked else READ), due
+                deadline = (
+                    self.last_received + self.host.limits.counter_late if self.unresponsive or self.retired else 0
+                )
+                signal = yield (READ | WRITE if blocked else READ), deadline
                 if signal == TIMED_OUT and (self.unresponsive or self.retired):
                     return
                 if signal > 0 and signal & ~WRITE and not self._read():
@@ -224,56 +235,56 @@
             self._sock.close()
             self.counter.connections.remove(self)
             for call in self.unanswered:
-                self.counter.end(call, Ending.RESET)  # it may have been added
+                self.counter.end(call, Ending.RESET)  # the counter may have applied it
             for call in ([self._partial] if self._partial else []) + list(self._unsent):
-                self.counter.end(call, Ending.NO_CONNECTION)  # its last byte was never written
+                self.counter.end(call, Ending.NO_CONNECTION)  # never written completely, so not applied
 
     def _write(self) -> bool:
-        """Writes the calls that wait, a buffer at a time; False when the socket takes no more."""
+        """Writes unsent calls, about one buffer at a time; False when the socket is full."""
         while self._partial or self._unsent:
-            data = self._tail
-            calls = [(self._partial, len(data))] if self._partial else []
+            data = self._partial_rest
+            line_ends = [(self._partial, len(data))] if self._partial else []
             while self._unsent and len(data) < self.host.limits.buffer:
                 call = self._unsent.popleft()
-                if call.ending is None:  # else its time was up before it could be written
+                if call.ending is None:  # otherwise, it timed out before it could be written
                     data += call.line()
-                    calls.append((call, len(data)))
+                    line_ends.append((call, len(data)))
             try:
                 sent = self._sock.send(data) if data else 0
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._unsent.extendleft(call for call, _ in reversed(calls) if call is not self._partial)
+                self._unsent.extendleft(call for call, _ in reversed(line_ends) if call is not self._partial)
                 raise
-            self._took(calls, data, sent)
+            self._record_written(line_ends, data, sent)
             if sent < len(data):
                 return False
         return True
 
-    def _took(self, calls: list[tuple[CounterCall, int]], data: bytes, sent: int) -> None:
-        """Sorts calls, each with the place where its line ends, by what the socket took of the data."""
-        partial, self._partial, self._tail = self._partial, None, b""
-        waiting: list[CounterCall] = []
-        begin = 0
-        for call, end in calls:
-            if end <= sent:
+    def _record_written(self, line_ends: list[tuple[CounterCall, int]], data: bytes, sent: int) -> None:
+        """Sorts calls, each with the end of its line in `data`, by how much of their lines was written."""
+        partial, self._partial, self._partial_rest = self._partial, None, b""
+        unwritten: list[CounterCall] = []
+        line_start = 0
+        for call, line_end in line_ends:
+            if line_end <= sent:
                 call.write_started = True
                 self.unanswered.append(call)
-            elif begin < sent or call is partial:
+            elif line_start < sent or call is partial:
                 call.write_started = True
-                self._partial, self._tail = call, data[max(sent, begin) : end]
+                self._partial, self._partial_rest = call, data[max(sent, line_start) : line_end]
             else:
-                waiting.append(call)
-            begin = end
-        self._unsent.extendleft(reversed(waiting))
+                unwritten.append(call)
+            line_start = line_end
+        self._unsent.extendleft(reversed(unwritten))
 
     def _read(self) -> bool:
-        """Takes answers; False when the counter ended the connection. Raises ValueError on a bad line."""
+        """Reads answers; False when the counter closed the connection. Raises ValueError on a malformed line."""
         pool = self.host.buffers
         buffer = pool.acquire()
         try:
             count = self._sock.recv_into(buffer)
-            data = self._buffer + bytes(buffer[:count])
+            data = self._received + bytes(buffer[:count])
         except BlockingIOError:
             return True
         finally:
@@ -285,18 +296,18 @@
             self.counter.lost = False
             self.host.log.info("counter back")
         lines = data.split(b"\n")
-        self._buffer = lines.pop()
+        self._received = lines.pop()
         for line in lines:
-            self._settle(line.rstrip(b"\r"))
-        if not PARTIAL.fullmatch(self._buffer):  # no end of it will make it an answer
-            self._settle(self._buffer)
+            self._apply_answer(line.rstrip(b"\r"))
+        if not ANSWER_PREFIX.fullmatch(self._received):  # it can no longer become a valid answer
+            self._apply_answer(self._received)
         return True
 
-    def _settle(self, line: bytes) -> None:
-        """The outcome of the call that is owed an answer longest. A spoilt one says that it was added, and no
-        more; the connection is of no further use."""
+    def _apply_answer(self, line: bytes) -> None:
+        """Ends the oldest unanswered call. A malformed answer is taken to mean that the call was applied, with an
+        unknown level; it is raised as ValueError, which closes the connection."""
         if not self.unanswered:
-            raise ValueError("an answer to no call")
+            raise ValueError("answer without a call")
         call = self.unanswered.popleft()
         try:
             ending, level = parse_answer(line)
