--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -77,7 +77,7 @@
     return found if connection.our_role is h11.SERVER else (b"", False)
 
 
-def raise_gone(connection: ClientConnection) -> None:
+def raise_connection_lost(connection: ClientConnection) -> None:
     raise ConnectionLost()
 
 
@@ -105,7 +105,7 @@
     ),
     "a backend that pauses within an answer is given up": (SystemDialect, "waits_for_rest", lambda *_: False),
     "pipelined requests are dropped": (h11.Connection, "start_next_cycle", drop_pipelined_input),
-    "a half-closed client counts as gone": (ClientConnection, "_probe", raise_gone),
+    "a half-closed client counts as gone": (ClientConnection, "_probe", raise_connection_lost),
     "API keys are passed on": (backend_protocol, "OURS", backend_protocol.OURS - {b"authorization"}),
 }
 
