--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -88,7 +88,7 @@
     "a partly written request counts as not run": (SystemDialect, "partial_request_may_run", False),
     "an attempt without an answer counts as not run": (BackendConnection, "_may_have_run", lambda *_: False),
     "a 503 without Not-Run counts as not run": (SystemDialect, "ending", lenient_ending(503)),
-    "a 429 without Not-Run is passed on": (backend_protocol, "PROMISES", ()),
+    "a 429 without Not-Run is passed on": (backend_protocol, "NEVER_RAN_STATUSES", ()),
     "a success needs no seal": (SystemDialect, "ending", lenient_ending(seal_required=False)),
     "an encoded body is accepted": (SystemDialect, "check_headers", lambda *_: None),
     "an answer needs no length": (backends, "declared_length", declared_length_without_checks),
@@ -106,7 +106,11 @@
     "a backend that pauses within an answer is given up": (SystemDialect, "waits_for_rest", lambda *_: False),
     "pipelined requests are dropped": (h11.Connection, "start_next_cycle", drop_pipelined_input),
     "a half-closed client counts as gone": (ClientConnection, "_probe", raise_connection_lost),
-    "API keys are passed on": (backend_protocol, "OURS", backend_protocol.OURS - {b"authorization"}),
+    "API keys are passed on": (
+        backend_protocol,
+        "GATEWAY_REQUEST_HEADERS",
+        backend_protocol.GATEWAY_REQUEST_HEADERS - {b"authorization"},
+    ),
 }
 
 
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -11,7 +11,7 @@
 import pytest
 
 from oakvale.base.address import parse_address
-from oakvale.dataplane.routes import members as updated_members
+from oakvale.dataplane.routes import update_members as updated_members
 from oakvale.dissemination.feed import (
     FAILED_SOURCE_RETRY_US,
     FIRST_UPDATE_TIMEOUT_US,
