--- a/oakvale/dataplane/backend_protocol.py
+++ b/oakvale/dataplane/backend_protocol.py
@@ -51,7 +51,7 @@
         return not routed.route.safe or routed.driver.stopping
 
     def check_headers(self, headers: Headers) -> None:
-        """Raises Spoilt if the answer has a content encoding."""
+        """Raises InvalidAnswer if the answer has a content encoding."""
         if any(name == b"content-encoding" and value.lower() != b"identity" for name, value in headers):
             raise InvalidAnswer("answer has a content encoding, which backends never use")
 
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class RoutedRequest:
-    """Routing state of a request; the `event` of its `InHand`."""
+    """Routing state of a request; the `event` of its `ClientRequest`."""
 
     driver: ServiceDriver
     route: Route
--- a/oakvale/wire/backends.py
+++ b/oakvale/wire/backends.py
@@ -42,8 +42,9 @@
 
 
 def declared_length(event: h11.Response, max_bytes: int) -> int:
-    """The declared body length of an answer, 0 if chunked; raises InvalidAnswer if its end is ambiguous or it exceeds
-    `max_bytes`."""
+    """The declared body length of an answer, 0 if there is none.
+
+    Raises InvalidAnswer if the end of the body is ambiguous, or the length exceeds `max_bytes`."""
     fields = dict(event.headers)
     length = fields.get(b"content-length")
     if b"transfer-encoding" in fields:
@@ -316,6 +317,7 @@
         return self._http
 
     def _read_answer(self, attempt: InFlightAttempt) -> Step[tuple[Answer, tuple[float, ...]]]:
+        """Reads the final answer of the attempt and its load report; raises ConnectionLost or InvalidAnswer."""
         http, pool, limits, deadline = self._http, self.host.buffers, self.host.limits, attempt.deadline
         answer = Answer(0)
         report: tuple[float, ...] = ()
@@ -368,7 +370,7 @@
                 http = self._restart_parser(attempt)
             elif type(event) is h11.ConnectionClosed:
                 raise ConnectionLost()
-            else:  # h11 pauses for ever when the protocol is switched
+            else:  # h11 stays paused once the protocol is switched
                 raise InvalidAnswer("the backend switched protocols")
 
     def _reserve_body(self, size: int) -> None:
--- a/oakvale/wire/clients.py
+++ b/oakvale/wire/clients.py
@@ -36,7 +36,7 @@
 READ_LATE_US = 100_000  # after this long in the receive buffer, a request's client may have left
 PROBE_ANSWER_US = 50_000  # a closed socket answers a probe with a reset within a round trip
 MICROSECONDS_BY_UNIT = {"m": 1000, "u": 1}
-CLIENT_RETRY_FLAG = 2
+CLIENT_RETRY_FLAG = 2  # in the flags of the policy's request event
 
 TermsParser = Callable[[str], tuple[float, int, int]]
 
@@ -163,7 +163,7 @@
         """Starts to handle a request, whose answer the connection now awaits."""
 
     def client_gone(self, request: ClientRequest) -> None:
-        """The client left before it was answered."""
+        """Handles that the client left before its request was answered."""
 
 
 class ClientConnection:
@@ -171,7 +171,7 @@
 
     def __init__(self, host: Owner, sock: Sock) -> None:
         self.host, self.last_used, self.opened = host, host.loop.now, host.loop.now
-        self._answers = 0
+        self._answer_count = 0
         self._share = BodyMemoryShare(host.bodies)
         self.answer: Answer | None = None
         self.request: ClientRequest | None = None
@@ -202,7 +202,7 @@
     def _run(self) -> Coroutine:
         try:
             while (yield from self._serve_one()):
-                self._answers += 1
+                self._answer_count += 1
                 self._http.start_next_cycle()
             yield from self._linger()
         except ConnectionLost:
@@ -265,7 +265,7 @@
         size = 0
         self.last_used = host.loop.now
         if idle:
-            host.clients.mark_idle(self, silent=not self._answers)
+            host.clients.mark_idle(self, silent=not self._answer_count)
         try:
             # between requests, there is nothing to parse unless bytes followed the last one
             event = h11.NEED_DATA if idle else http.next_event()
@@ -273,14 +273,16 @@
                 if event is h11.NEED_DATA:
                     if http.they_are_waiting_for_100_continue:
                         interim = http.send(CONTINUE)
-                        due = host.loop.now + host.limits.client_send
-                        yield from write_all(self._sock, interim or b"", due)
-                    request_expected = started_at or not self._answers
-                    due = self._deadline(started_at) if request_expected else self.last_used + host.limits.client_idle
+                        deadline = host.loop.now + host.limits.client_send
+                        yield from write_all(self._sock, interim or b"", deadline)
+                    request_expected = started_at or not self._answer_count
+                    deadline = (
+                        self._deadline(started_at) if request_expected else self.last_used + host.limits.client_idle
+                    )
                     if started_at and incoming is None and limits.client_head:
-                        due = min(due, started_at + limits.client_head)
+                        deadline = min(deadline, started_at + limits.client_head)
                     try:
-                        arrived = yield from read_more(self._sock, http, host.buffers, due, timestamped=True)
+                        arrived = yield from read_more(self._sock, http, host.buffers, deadline, timestamped=True)
                     except ConnectionLost as lost:
                         if (
                             lost.timed_out
@@ -365,9 +367,9 @@
         self.answer, self.request = None, opened
         host.begin(opened)
         unlimited = host.limits.patient  # pipelined requests may wait for as long as the pending one takes
-        mask, due = READ, self._deadline(host.loop.now) if self._http.trailing_data[0] and not unlimited else 0
+        mask, deadline = READ, self._deadline(host.loop.now) if self._http.trailing_data[0] and not unlimited else 0
         while self.answer is None:
-            signal = yield mask, due
+            signal = yield mask, deadline
             if (
                 signal == WOKEN or self.answer is not None
             ):  # an answer set in this turn takes precedence over other signals
@@ -382,7 +384,7 @@
                 mask = 0
                 self._probe()
             else:  # a pipelined request, which is read after this one is answered
-                mask, due = select.EPOLLRDHUP, 0 if unlimited else due or self._deadline(host.loop.now)
+                mask, deadline = select.EPOLLRDHUP, 0 if unlimited else deadline or self._deadline(host.loop.now)
         return self.answer
 
     def _check_client_open(self) -> Step[None]:
@@ -399,7 +401,7 @@
         """When a request whose first byte arrived at `started_at` must be complete, or answered if it is pipelined.
 
         For the first request, time runs from the opening of the connection, so that slow sending cannot extend it."""
-        if not self._answers:
+        if not self._answer_count:
             return self.opened + self.host.limits.client_first
         return started_at + self.host.limits.client_send
 
--- a/oakvale/wire/counter.py
+++ b/oakvale/wire/counter.py
@@ -78,7 +78,7 @@
         self.host, self.address = host, address
         self.connections: list[CounterConnection] = []
         self.retry_at = 0
-        self.lost = False  # already logged; logged again only after an answer
+        self.lost = False  # whether the loss is logged, which happens once until the counter responds again
         self._by_name: dict[str, deque[CounterCall]] = {}
 
     def call(self, name: str, amount: float, ttl_us: int) -> None:
@@ -120,17 +120,19 @@
                 self._send(call)
 
     def _send(self, call: CounterCall) -> None:
-        connection = self._connection()
+        connection = self._usable_connection()
         if connection is None:
             return self.end(call, Ending.NO_CONNECTION)
         connection.send(call)
 
     def report_lost(self, why: str) -> None:
+        """Logs the loss of the counter, once until it responds again."""
         if not self.lost:
             self.host.log.warning("counter lost", extra={"why": why})
         self.lost = True
 
-    def _connection(self) -> CounterConnection | None:
+    def _usable_connection(self) -> CounterConnection | None:
+        """A connection that takes calls, opened if necessary; None if the counter cannot be reached."""
         now = self.host.loop.now
         for connection in self.connections:
             if connection.is_usable(now):
@@ -170,6 +172,7 @@
         self._task = self.host.loop.start(self._run(), self._sock.fileno(), Rank.COUNTER)
 
     def is_usable(self, now: int) -> bool:
+        """Whether calls may be sent on it; closes it if the counter has closed it while idle."""
         full = len(self.unanswered) + len(self._unsent) >= self.host.limits.counter_owed
         if self.ended or self.retired or self.unresponsive or full:
             return False
--- a/oakvale/wire/discovery.py
+++ b/oakvale/wire/discovery.py
@@ -47,7 +47,7 @@
         self.host, self.address = host, address
         self.index = 0
         self.wanted = self.watching = self.fetching = False
-        self.lost = False  # already logged; logged again only after an answer
+        self.lost = False  # whether the loss is logged, which happens once until the server responds again
         # counts address changes: replies of a former server neither set the version nor count as failures
         self.address_epoch = 0
         self._watch_answered = False  # whether the watch of the current address has sent a list
--- a/oakvale/wire/http.py
+++ b/oakvale/wire/http.py
@@ -53,12 +53,14 @@
         pool.release(buffer)
 
 
-def read_more(sock: Sock, http: h11.Connection, pool: BufferPool, due: int, timestamped: bool = False) -> Step[int]:
+def read_more(
+    sock: Sock, http: h11.Connection, pool: BufferPool, deadline: int, timestamped: bool = False
+) -> Step[int]:
     """Waits until the parser has been given new bytes; returns their arrival timestamp. Raises ConnectionLost.
 
     Bytes that are readable when the time is over count, as they were sent in time."""
     while True:
-        timed_out = (yield READ, due) == TIMED_OUT
+        timed_out = (yield READ, deadline) == TIMED_OUT
         try:  # also when woken, as bytes may have arrived together with a new connection
             if (arrived := read_available(sock, http, pool, timestamped)) is not None:
                 return arrived
--- a/oakvale/wire/tcp.py
+++ b/oakvale/wire/tcp.py
@@ -40,17 +40,17 @@
         pass  # the connection is already broken
 
 
-def connect(sock: Sock, address: Address, due: int) -> Step[bool]:
-    """True once the connection is established; False if it is refused, breaks, or takes longer than `due`."""
+def connect(sock: Sock, address: Address, deadline: int) -> Step[bool]:
+    """True once the connection is established; False if it is refused, breaks, or is not up by `deadline`."""
     code = sock.connect_ex(address)
     if code != errno.EINPROGRESS:
         return code == 0
-    while (signal := (yield WRITE, due)) == WOKEN:
+    while (signal := (yield WRITE, deadline)) == WOKEN:
         pass
     return signal != TIMED_OUT and not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
-def write_all(sock: Sock, data: bytes, due: int, stop_on_input: bool = False) -> Step[int]:
+def write_all(sock: Sock, data: bytes, deadline: int, stop_on_input: bool = False) -> Step[int]:
     """Writes all of `data`, waiting while the socket is full; raises ConnectionLost if that fails.
 
     Returns the number of bytes written: fewer than all if `stop_on_input` is set and something was received first."""
@@ -64,7 +64,7 @@
             raise ConnectionLost(write_started=sent > 0) from error
         if sent == len(data) or stop_on_input and signal > 0 and signal & READ:
             return sent
-        signal = yield WRITE | (READ if stop_on_input else 0), due
+        signal = yield WRITE | (READ if stop_on_input else 0), deadline
         if signal == TIMED_OUT:
             raise ConnectionLost(timed_out=True, write_started=sent > 0)
 
