--- a/oakvale/wire/clients.py
+++ b/oakvale/wire/clients.py
@@ -13,7 +13,7 @@
 import h11
 
 from oakvale import interface as i
-from oakvale.base.loop import BROKEN, READ, TIMED_OUT, WOKEN, Coroutine, Rank, Step
+from oakvale.base.loop import BROKEN, READ, TIMED_OUT, WOKEN, Coroutine, Priority, Step
 from oakvale.base.net import Sock
 from oakvale.memory.buffers import BodyMemory, BodyMemoryShare
 from oakvale.memory.counters import Tally
@@ -181,7 +181,7 @@
         self._received_at = 0  # when the latest bytes arrived, which may be before they were read
         self._http = self._new_parser()
         host.clients.add(self)
-        self._task = host.loop.start(self._run(), sock.fileno(), Rank.CLIENT)
+        self._task = host.loop.start(self._run(), sock.fileno(), Priority.CLIENT)
         host.loop.wake(self._task)  # its first request may already have arrived
 
     def send_answer(self, answer: Answer) -> None:
@@ -359,7 +359,7 @@
     def _await_answer(self, incoming: IncomingRequest) -> Step[Answer]:
         """Hands the request to the owner and waits for its answer, watching for pipelined requests and disconnects."""
         host = self.host
-        if host.loop.unread_for >= READ_LATE_US and not self._half_closed and peek(self._sock) == b"":
+        if host.loop.stalled_us >= READ_LATE_US and not self._half_closed and peek(self._sock) == b"":
             yield from self._check_client_open()
         opened = host.open(self, incoming, self._received_at)
         if isinstance(opened, Answer):
--- a/oakvale/wire/counter.py
+++ b/oakvale/wire/counter.py
@@ -12,7 +12,7 @@
 
 from oakvale.base.address import Address
 from oakvale.base.limits import Limits
-from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Rank, Timer, call_off
+from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Priority, Timer, cancel_timer
 from oakvale.interface import Ending
 from oakvale.numbers import parse_decimal
 from oakvale.wire.owner import BaseOwner
@@ -100,7 +100,7 @@
             return
         call.ending, call.level = ending, level
         if call.timer is not None:
-            call_off(call.timer)
+            cancel_timer(call.timer)
         calls = self._by_name[call.name]
         while calls and calls[0].ending is not None:
             first = calls.popleft()
@@ -169,7 +169,7 @@
         self._received = b""
         self._sock = new_socket(self.host.loop.net)
         counter.connections.append(self)
-        self._task = self.host.loop.start(self._run(), self._sock.fileno(), Rank.COUNTER)
+        self._task = self.host.loop.start(self._run(), self._sock.fileno(), Priority.COUNTER)
 
     def is_usable(self, now: int) -> bool:
         """Whether calls may be sent on it; closes it if the counter has closed it while idle."""
--- a/oakvale/wire/discovery.py
+++ b/oakvale/wire/discovery.py
@@ -10,8 +10,8 @@
 import orjson
 
 from oakvale import interface as i
-from oakvale.base.address import Address, spelled
-from oakvale.base.loop import Coroutine, Rank, Step, Task
+from oakvale.base.address import Address, format_address
+from oakvale.base.loop import Coroutine, Priority, Step, Task
 from oakvale.base.net import Sock
 from oakvale.memory.backend_names import BackendNames
 from oakvale.numbers import parse_integer
@@ -118,7 +118,7 @@
         except OSError as error:
             self.host.log.warning("no socket for discovery", extra={"why": str(error)})
             return self._failed(follow)
-        task = self.host.loop.start(self._run(sock, follow, self.address_epoch), sock.fileno(), Rank.DISCOVERY)
+        task = self.host.loop.start(self._run(sock, follow, self.address_epoch), sock.fileno(), Priority.DISCOVERY)
         if follow and task.alive:
             self._watch_task = task
 
@@ -159,7 +159,7 @@
             raise OSError("cannot connect")
         http = h11.Connection(h11.CLIENT, max_incomplete_event_size=limits.header)
         target = MEMBERS_PATH + (b"?follow=1&since=%d" % self.index if follow else b"")
-        authority = spelled(self.address).encode()
+        authority = format_address(self.address).encode()
         data = http.send(h11.Request(method=b"GET", target=target, headers=[(b"host", authority)])) or b""
         data += http.send(END_OF_MESSAGE) or b""
         yield from write_all(sock, data, loop.now + limits.discovery_silence)
