--- a/oakvale/dataplane/routes.py
+++ b/oakvale/dataplane/routes.py
@@ -13,7 +13,7 @@
 import orjson
 
 from oakvale.base.limits import Limits
-from oakvale.config.durations import micros
+from oakvale.config.durations import parse_duration
 from oakvale.dissemination.table import Table
 from oakvale.dissemination.tree import Member, Members
 from oakvale.ratelimit.quotas import Quota
@@ -127,8 +127,8 @@
         weighted_services = (
             tuple((str(part["svc"]), float(part["wt"])) for part in split) if split else ((str(row["svc"]), 1.0),)
         )
-        deadline_us = micros(row["deadline"])
-        target_us = micros(row["target_time"]) if "target_time" in row else deadline_us
+        deadline_us = parse_duration(row["deadline"])
+        target_us = parse_duration(row["target_time"]) if "target_time" in row else deadline_us
         host = str(row["vhost"]).lower()
         by_host.setdefault(host, []).append(
             Route(
@@ -158,7 +158,7 @@
         "clients": ClientLimits(
             limits.get("hdr-bytes"),
             limits.get("body-bytes"),
-            *(micros(limits[name]) if limits.get(name) else None for name in ("hdr", "idle")),
+            *(parse_duration(limits[name]) if limits.get(name) else None for name in ("hdr", "idle")),
         ),
         "routes": {
             host: tuple(sorted(routes, key=lambda route: -len(route.prefix))) for host, routes in by_host.items()
--- a/tests/data_plane_model.py
+++ b/tests/data_plane_model.py
@@ -16,7 +16,7 @@
 from typing import Any, cast
 
 from oakvale.base.loop import Loop
-from oakvale.config.bounds import bounds
+from oakvale.config.bounds import limits_from_settings
 from oakvale.dataplane.request_router import RequestRouter
 from oakvale.dataplane.routes import Backend, RoutingSnapshot, parse_configuration
 from oakvale.lifecycle.acceptor import Acceptor
@@ -355,7 +355,7 @@
         self.now, self.log = START, list[str]()
         self.violations: list[str] = []
         self.net = MemoryNet()
-        loop_limits = replace(bounds(cast(Any, SETTINGS)), timer_slack=0, wake_slack=0, **limits or {})
+        loop_limits = replace(limits_from_settings(cast(Any, SETTINGS)), timer_slack=0, wake_slack=0, **limits or {})
         self.loop = Loop(lambda: self.now, loop_limits, cast(Any, self.net))
         self.counter_response: tuple[bool, int, bool] | None = (True, 0, True)  # None: the counter answers later
         self.pending_counter_calls: list[Callable[[bool, int, bool], None]] = []
