--- a/oakvale/dataplane/backend_protocol.py
+++ b/oakvale/dataplane/backend_protocol.py
@@ -5,8 +5,8 @@
 import re
 
 from oakvale.interface import Ending
-from oakvale.memory.requests import Answer, AttemptOut, Headers
-from oakvale.wire.backends import Spoilt
+from oakvale.memory.requests import Answer, Headers, InFlightAttempt
+from oakvale.wire.backends import InvalidAnswer
 from oakvale.wire.http import end_to_end
 
 # Headers that only the gateway may send to a backend; a client's own are dropped.
@@ -20,9 +20,9 @@
 class SystemDialect:
     """The `Dialect` of backends that register with the control plane."""
 
-    part_may_run = True  # a partly written request may have run
+    partial_request_may_run = True  # a partly written request may have run
 
-    def headers(self, attempt: AttemptOut, left: int) -> Headers:
+    def headers(self, attempt: InFlightAttempt, left: int) -> Headers:
         """The client's end-to-end headers and those that identify the attempt; `left` is in microseconds."""
         request = attempt.request
         routed = request.event
@@ -35,25 +35,25 @@
             added.append((b"tenant", routed.tenant.encode("latin-1")))
         return [*end_to_end(request.headers, GATEWAY_REQUEST_HEADERS), *added]
 
-    def belongs(self, attempt: AttemptOut, status: int, headers: Headers) -> bool:
+    def matches_attempt(self, attempt: InFlightAttempt, status: int, headers: Headers) -> bool:
         """A success must carry the attempt's id; an answer with another status may omit it."""
         ids = [value for name, value in headers if name == b"attempt-id"]
         return all(value == attempt.request.id.encode("latin-1") for value in ids) and bool(ids or status >= 300)
 
-    def named(self, headers: Headers) -> bool:
+    def identifies_attempt(self, headers: Headers) -> bool:
         """Whether the answer names its attempt."""
         return any(name == b"attempt-id" for name, _ in headers)
 
-    def waits(self, attempt: AttemptOut) -> bool:
+    def waits_for_rest(self, attempt: InFlightAttempt) -> bool:
         """Ending a stalled answer early only helps if another backend may be tried, so an unsafe request waits. A
         gateway that is stopping waits too, rather than replace an answer in transit with an error."""
         routed = attempt.request.event
         return not routed.route.safe or routed.driver.stopping
 
-    def check(self, headers: Headers) -> None:
-        """Raises Spoilt if the answer has a content encoding."""
+    def check_headers(self, headers: Headers) -> None:
+        """Raises InvalidAnswer if the answer has a content encoding."""
         if any(name == b"content-encoding" and value.lower() != b"identity" for name, value in headers):
-            raise Spoilt("answer has a content encoding, which backends never use")
+            raise InvalidAnswer("answer has a content encoding, which backends never use")
 
     def ending(self, answer: Answer) -> Ending:
         """A success without a Seal is incomplete; Not-Run and 421 mean that the request never ran."""
@@ -64,7 +64,7 @@
             return Ending.FULL
         return Ending.ERROR
 
-    def idle(self, headers: Headers) -> int | None:
+    def keep_alive_us(self, headers: Headers) -> int | None:
         """Parses `Keep-Alive: timeout=10`, given in whole seconds."""
         for name, value in headers:
             match = KEEP_ALIVE_TIMEOUT.search(value) if name == b"keep-alive" else None
@@ -72,11 +72,11 @@
                 return int(match[1]) * 1_000_000
         return None
 
-    def report(self, headers: Headers) -> tuple[float, ...]:
+    def parse_load(self, headers: Headers) -> tuple[float, ...]:
         """Empty, as these backends report no load with an answer."""
         return ()
 
-    def passes(self, attempt: AttemptOut, ending: Ending, answer: Answer) -> Answer | None:
+    def client_answer(self, attempt: InFlightAttempt, ending: Ending, answer: Answer) -> Answer | None:
         """A backend's answer is final if it served the request, blames the request (4xx), or the request is unsafe to
         repeat. An answer without Not-Run whose status promises that nothing ran is replaced with 502."""
         if ending is Ending.SERVED:
--- a/oakvale/dataplane/drain_agent.py
+++ b/oakvale/dataplane/drain_agent.py
@@ -15,7 +15,7 @@
 from oakvale.dataplane.request_router import RequestRouter, RoutedRequest
 from oakvale.drains.moves import AvoidedBackends, MoveFollower
 from oakvale.lifecycle.eventlog import EventLogger
-from oakvale.memory.requests import Answer, InHand
+from oakvale.memory.requests import Answer, ClientRequest
 from oakvale.transport.links import Transport
 
 CHECK_INTERVAL_US = 100_000
@@ -27,23 +27,23 @@
 class TrackedRequest:
     """Wraps a request's client to record the final status."""
 
-    def __init__(self, request: InHand) -> None:
+    def __init__(self, request: ClientRequest) -> None:
         self.request, self._client = request, request.client
         self.reached_node = False  # at least one attempt was sent to the node
         self.status = 0
         request.client = self
 
-    def give(self, answer: Answer) -> None:
+    def send_answer(self, answer: Answer) -> None:
         """Records the status and passes the answer on to the client."""
         self.status = answer.status
-        self._client.give(answer)
+        self._client.send_answer(answer)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._client, name)
 
     def outcome(self) -> str | None:
         """How the request ended; None while it, or an attempt that outlived its client, is in progress."""
-        if not self.request.over or self.request.out:
+        if not self.request.finished or self.request.attempts:
             return None
         if not self.status:
             return "client_gone"
@@ -104,7 +104,7 @@
                 else [
                     TrackedRequest(request)
                     for request in self._router.requests.all()
-                    if not request.over and self._may_reach_node(request, move)
+                    if not request.finished and self._may_reach_node(request, move)
                 ]
             )
             self._progress[key] = MoveProgress(in_flight, self._loop.now)
@@ -117,7 +117,7 @@
             self._loop.at(self._loop.now, self._check)
         return self._moves.avoided_backends
 
-    def _may_reach_node(self, request: InHand, move: dict[str, Any]) -> bool:
+    def _may_reach_node(self, request: ClientRequest, move: dict[str, Any]) -> bool:
         routed: RoutedRequest = request.event
         if (routed.tenant or "") != move["tenant"]:
             return False
@@ -137,7 +137,8 @@
         for tracked in progress.pending:
             routed: RoutedRequest = tracked.request.event
             at_node = move["kind"] == "gateway" or any(
-                routed.driver.backend_id(attempt.backend) == move["node"] for attempt in tracked.request.out.values()
+                routed.driver.backend_id(attempt.backend) == move["node"]
+                for attempt in tracked.request.attempts.values()
             )
             if at_node and not tracked.reached_node:
                 tracked.reached_node = True
--- a/oakvale/dataplane/gateway.py
+++ b/oakvale/dataplane/gateway.py
@@ -21,13 +21,13 @@
 from oakvale.lifecycle.acceptor import Acceptor
 from oakvale.lifecycle.eventlog import EventLogger
 from oakvale.memory.requests import Answer as HttpAnswer
-from oakvale.memory.requests import InHand
+from oakvale.memory.requests import ClientRequest
 from oakvale.ratelimit.quotas import Quota, QuotaTerms
 from oakvale.ratelimit.service import RateLimiter
 from oakvale.retry_budget import RetryLimits
 from oakvale.shared import SharedResources
 from oakvale.transport.links import Answer, Connection, Transport
-from oakvale.wire.clients import Incoming, plain
+from oakvale.wire.clients import IncomingRequest, plain_answer
 
 MAX_CORE_ADDRESSES = 24
 JOIN_RETRY_US = 150_000
@@ -56,17 +56,17 @@
         """How long a request waited before it was read; not measured here."""
         return 0
 
-    def open(self, client: Any, incoming: Incoming, arrived: int) -> HttpAnswer | InHand:
+    def open(self, client: Any, incoming: IncomingRequest, arrived: int) -> HttpAnswer | ClientRequest:
         """Answers a readiness check."""
         if incoming.target != b"/oakvale/readyz":
-            return plain(404, "no such call")
-        return plain(200, "ready") if self._gateway.ready() else plain(503, "not ready")
+            return plain_answer(404, "no such call")
+        return plain_answer(200, "ready") if self._gateway.ready() else plain_answer(503, "not ready")
 
-    def begin(self, request: InHand) -> None:
+    def begin(self, request: ClientRequest) -> None:
         """Never called, as `open` always answers."""
         raise AssertionError("readiness checks are answered in open()")
 
-    def client_gone(self, request: InHand) -> None:
+    def client_gone(self, request: ClientRequest) -> None:
         """Never called, as `open` always answers."""
         raise AssertionError("readiness checks are answered in open()")
 
@@ -336,6 +336,6 @@
         self._sweep_count += 1
         if self.router.boards.chains is not None and self._sweep_count % 2 == 0:
             self._send_flows()
-        self.shared.idle.sweep(self.loop.now)
+        self.shared.idle.close_expired(self.loop.now)
         self.transport.close_idle_links()
         self.loop.at(self.loop.now + SWEEP_INTERVAL_US, self._sweep)
--- a/oakvale/dataplane/request_router.py
+++ b/oakvale/dataplane/request_router.py
@@ -16,13 +16,13 @@
 from oakvale.driver import Driver
 from oakvale.loadbalancing.board_service import LoadBoards, Rejected, RequestFacts, Selection
 from oakvale.loadbalancing.load_board import BackendCandidate
-from oakvale.memory.requests import Answer, AttemptOut, InHand
+from oakvale.memory.requests import Answer, ClientRequest, InFlightAttempt
 from oakvale.ratelimit.counter_state import Receipt
 from oakvale.ratelimit.service import RateLimiter
 from oakvale.retry_budget import FleetRetryBudget, RetryLimits
 from oakvale.shared import ConnectionOwner, SharedResources
 from oakvale.transport.links import Transport
-from oakvale.wire.clients import BadRequest, Incoming, plain
+from oakvale.wire.clients import BadRequest, IncomingRequest, plain_answer
 
 ATTEMPT_ID = re.compile(rb"[!-~]{1,128}")
 DIGITS = re.compile(rb"[0-9]{1,9}")
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class RoutedRequest:
-    """Routing state of a request; the `event` of its `InHand`."""
+    """Routing state of a request; the `event` of its `ClientRequest`."""
 
     driver: ServiceDriver
     route: Route
@@ -130,22 +130,22 @@
             return number
         return known[0]
 
-    def request_received(self, request: InHand, event: i.Request) -> None:
+    def request_received(self, request: ClientRequest, event: i.Request) -> None:
         """Also records the request in the retry budget, which allows retries in proportion."""
         self.budget.record_request(self.loop.now)
         super().request_received(request, event)
 
-    def final(self, request: InHand, answer: Answer) -> None:
+    def final(self, request: ClientRequest, answer: Answer) -> None:
         """Answers the client; also refunds a request that was never attempted."""
         super().final(request, answer)
         self._refund_if_not_attempted(request)
 
-    def client_gone(self, request: InHand) -> None:
+    def client_gone(self, request: ClientRequest) -> None:
         """Withdraws the request; also refunds one that was never attempted."""
         super().client_gone(request)
         self._refund_if_not_attempted(request)
 
-    def _refund_if_not_attempted(self, request: InHand) -> None:
+    def _refund_if_not_attempted(self, request: ClientRequest) -> None:
         """A request without any attempt has certainly not run."""
         if not request.hops:
             routed: RoutedRequest = request.event
@@ -164,7 +164,7 @@
         for name, backend in previous.items():
             now = current.get(name)
             if name not in self.excluded_backends and (now is None or not now.ready or now.address != backend.address):
-                self.idle.free(self._numbers[name])
+                self.idle.close_backend(self._numbers[name])
 
     def close_zones(self, zones: frozenset[str], numbers: dict[str, int]) -> None:
         """Stops using these zones and ends the attempts that wait for an answer there.
@@ -176,12 +176,12 @@
             return
         closed = {self._numbers[backend.id] for backend in self._backends.values() if backend.zone in newly_closed}
         for number in closed:
-            self.idle.free(number)
+            self.idle.close_backend(number)
         for attempt in [
             attempt
             for request in self.requests.all()
-            if not request.over and request.event.driver is self
-            for attempt in request.out.values()
+            if not request.finished and request.event.driver is self
+            for attempt in request.attempts.values()
         ]:
             if attempt.backend in closed and attempt.written and attempt.connection is not None:
                 self.cancel_attempt(attempt, i.Ending.TIMEOUT)
@@ -226,21 +226,26 @@
         return self._numbers.get(backend, 0)
 
     def attempt_ended(
-        self, attempt: AttemptOut, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
+        self, attempt: InFlightAttempt, ending: i.Ending, answer: Answer | None = None, report: tuple[float, ...] = ()
     ) -> None:
         """Reports the result to the holder of the service's board, which advises all gateways."""
         routed: RoutedRequest = attempt.request.event
-        name, latency, outcome = self.backend_id(attempt.backend), self.loop.now - attempt.sent, OUTCOMES[ending]
-        if attempt.hop in attempt.request.out:
+        name, latency, outcome = self.backend_id(attempt.backend), self.loop.now - attempt.started_at, OUTCOMES[ending]
+        if attempt.hop in attempt.request.attempts:
             if routed.selection is not None and routed.selection.backend == name:
-                dropped_after_idle_us = attempt.idled if attempt.dropped else 0
+                dropped_after_idle_us = attempt.connection_idle_us if attempt.dropped_before_answer else 0
                 self.boards.report_attempt(
-                    routed.selection, routed.route.name, latency, outcome, dropped_after_idle_us, attempt.kept
+                    routed.selection,
+                    routed.route.name,
+                    latency,
+                    outcome,
+                    dropped_after_idle_us,
+                    attempt.reusable_for_us,
                 )
                 routed.selection = None
             else:
                 self.boards.report_unselected_attempt(
-                    self.service, name, routed.route.name, latency, outcome, attempt.kept
+                    self.service, name, routed.route.name, latency, outcome, attempt.reusable_for_us
                 )
         super().attempt_ended(attempt, ending, answer, report)
 
@@ -266,12 +271,12 @@
     def serves(self, backend: int) -> bool:
         return backend in self._ready
 
-    def max_connection_idle(self, request: InHand) -> int | None:
+    def max_connection_idle(self, request: ClientRequest) -> int | None:
         """An unsafe request must not go out on a connection that its backend may have closed without notice."""
         routed: RoutedRequest = request.event
         return routed.max_connection_idle_us
 
-    def final_answer(self, request: InHand, action: i.Refuse | i.Fail) -> Answer:
+    def final_answer(self, request: ClientRequest, action: i.Refuse | i.Fail) -> Answer:
         """An earlier error of a backend if there is one; else 502 if the request may have run, or 503 if not."""
         routed: RoutedRequest = request.event
         if routed.fallback_answer is not None:
@@ -411,7 +416,7 @@
 
     # ---- requests
 
-    def open(self, client: Any, incoming: Incoming, arrived: int) -> Answer | InHand:
+    def open(self, client: Any, incoming: IncomingRequest, arrived: int) -> Answer | ClientRequest:
         """Checks a request that was received; returns it, or the answer where it goes no further."""
         snapshot, fields = self.snapshot, incoming.fields
         if snapshot.generation < 0:
@@ -429,13 +434,13 @@
         path = incoming.target.partition(b"?")[0].decode("latin-1")
         route = snapshot.match(host, path)
         if route is None:
-            return plain(404, "no such route")
+            return plain_answer(404, "no such route")
         tenant = None
         if snapshot.keys is not None and not route.public:
             scheme, _, key = fields.get(b"authorization", b"").decode("latin-1").partition(" ")
             key_owner = snapshot.keys.get(key.strip()) if scheme.lower() == "bearer" else None
             if key_owner is None:
-                return plain(401, "no such key")
+                return plain_answer(401, "no such key")
             if not self.revocations_current():
                 return retry_later_answer(503, SECOND // 2, b"keys may be out of date\n")
             tenant = key_owner.name
@@ -450,7 +455,7 @@
         driver = self._driver_for_tenant(service, tenant) if snapshot.avoid else self._driver(service)
         event = i.Request(name, "", driver.class_number(route), 0, 1.0, 1, 0, arrived + wait_us)
         routed = RoutedRequest(driver, route, tenant, event, is_retry=self._is_retry(route, wait_us))
-        return InHand(
+        return ClientRequest(
             name, client, incoming.method, incoming.target, incoming.headers, incoming.body, event.deadline, routed
         )
 
@@ -462,7 +467,7 @@
         self._longest_wait_us[route.name] = longest
         return wait_us < longest - MAX_TRANSIT_US
 
-    def begin(self, request: InHand) -> None:
+    def begin(self, request: ClientRequest) -> None:
         """Starts a request that `open` returned: counts it against its tenant's quota, if it has one."""
         routed: RoutedRequest = request.event
         self.requests.add(request)
@@ -473,8 +478,8 @@
             routed.tenant, routed.is_retry, partial(self._on_counted, request), max_wait_us, routed.receipt
         )
 
-    def _on_counted(self, request: InHand, within_quota: bool, wait_us: int, counted: bool) -> None:
-        if request.over:
+    def _on_counted(self, request: ClientRequest, within_quota: bool, wait_us: int, counted: bool) -> None:
+        if request.finished:
             return self.rate_limiter.refund(request.event.receipt)  # the client left in the meantime
         if within_quota:
             return self._select_backend(request)
@@ -484,7 +489,7 @@
         else:
             self.final(request, retry_later_answer(503, wait_us, b"not counted\n"))
 
-    def _select_backend(self, request: InHand) -> None:
+    def _select_backend(self, request: ClientRequest) -> None:
         routed: RoutedRequest = request.event
         facts = None
         if self.boards.chains is not None:
@@ -500,32 +505,32 @@
             routed.driver.excluded_backends,
         )
 
-    def _on_selected(self, request: InHand, selection: Selection | Rejected | None) -> None:
+    def _on_selected(self, request: ClientRequest, selection: Selection | Rejected | None) -> None:
         routed: RoutedRequest = request.event
         if isinstance(selection, Rejected):
-            if not request.over:
+            if not request.finished:
                 self.tally.refusals["no_room"] += 1
                 self.final(request, retry_later_answer(503, selection.wait_us, b"no place has room\n"))
             return
-        if not request.over:
+        if not request.finished:
             routed.handed_to_driver, routed.selection = True, selection
             if selection is not None:
                 routed.max_connection_idle_us = None if routed.route.safe else selection.max_idle_us
                 routed.event = replace(routed.event, preferred_backend=routed.driver.backend_number(selection.backend))
             routed.driver.request_received(request, routed.event)
-            selection, attempted = routed.selection, {attempt.backend for attempt in request.out.values()}
+            selection, attempted = routed.selection, {attempt.backend for attempt in request.attempts.values()}
             if selection is None or routed.driver.backend_number(selection.backend) in attempted:
                 return
         if selection is not None:  # the policy did not use it
             routed.selection = None
             self.boards.report_attempt(selection, routed.route.name, 0, "none")
 
-    def final(self, request: InHand, answer: Answer) -> None:
+    def final(self, request: ClientRequest, answer: Answer) -> None:
         """Answers a request that was not handed to a driver."""
         super().final(request, answer)
         self.rate_limiter.refund(request.event.receipt)
 
-    def client_gone(self, request: InHand) -> None:
+    def client_gone(self, request: ClientRequest) -> None:
         """Abandons a request whose client has left; its driver, if it has one, does the rest."""
         routed: RoutedRequest = request.event
         if routed.handed_to_driver:
--- a/oakvale/lifecycle/acceptor.py
+++ b/oakvale/lifecycle/acceptor.py
@@ -11,7 +11,7 @@
 from oakvale.base.loop import READ, Coroutine, Loop, Priority
 from oakvale.base.net import Sock
 from oakvale.wire.clients import ClientConnection, Owner
-from oakvale.wire.tcp import stamp_arrivals
+from oakvale.wire.tcp import enable_receive_timestamps
 
 log = logging.getLogger(__name__)
 
@@ -19,7 +19,7 @@
 def open_listener(address: tuple[str, int], backlog: int) -> socket.socket:
     """Opens a listening socket whose connections receive kernel timestamps of arriving data. Raises OSError."""
     sock = sockets.open_listener(address, backlog)
-    stamp_arrivals(sock)
+    enable_receive_timestamps(sock)
     return sock
 
 
@@ -62,14 +62,14 @@
         """Accepts one connection; returns False if none is waiting. Raises OSError if there is no room."""
         clients = self.owner.clients
         full = len(clients.all) >= self.owner.limits.clients
-        if full and not clients.can_make_room():
+        if full and not clients.can_evict():
             raise OSError(errno.EMFILE, "client limit reached and no client is idle")
         try:
             sock, _ = self.listener.accept()
         except (BlockingIOError, ConnectionAbortedError):
             return False
         if full:
-            clients.make_room(self.loop.now)
+            clients.evict_one(self.loop.now)
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/oakvale/lifecycle/serving.py
+++ b/oakvale/lifecycle/serving.py
@@ -15,7 +15,7 @@
 from oakvale.lifecycle.shutdown import Shutdown
 from oakvale.lifecycle.signals import Signals
 from oakvale.lifecycle.status import Status
-from oakvale.wire.discovery import BadList
+from oakvale.wire.discovery import InvalidBackendList
 
 __all__ = ["Server", "open_listener", "serve"]
 
@@ -38,10 +38,10 @@
         """Starts with the last known backend list, which may be outdated, and subscribes to discovery updates."""
         empty_list = {"index": 0, "snapshot": True, "endpoints": []}
         try:
-            self.host.discovery.take(self.known or empty_list, cached=True)
-        except BadList as error:
+            self.host.discovery.apply(self.known or empty_list, cached=True)
+        except InvalidBackendList as error:
             log.warning("known list is not understood", extra={"why": str(error)})
-            self.host.discovery.take(empty_list, cached=True)
+            self.host.discovery.apply(empty_list, cached=True)
         if not self.host.settings.on_request:
             self.host.discovery.watch(True)
 
@@ -69,16 +69,16 @@
                 "needs_restart": ",".join(changed) or "nothing",
             },
         )
-        self.host.discovery.move(fresh.discovery)
+        self.host.discovery.set_address(fresh.discovery)
         if self.host.counter is not None and fresh.counter is not None:
-            self.host.counter.move(fresh.counter)
+            self.host.counter.set_address(fresh.counter)
 
     def accept_one(self) -> bool:
         """Accepts one connection; see `Acceptor.accept_one`."""
         return self.acceptor.accept_one()
 
     def _sweep(self, _: None) -> None:
-        self.host.idle.sweep(self.loop.now)
+        self.host.idle.close_expired(self.loop.now)
         self.loop.at(self.loop.now + self.limits.sweep, self._sweep)
 
 
--- a/oakvale/lifecycle/shutdown.py
+++ b/oakvale/lifecycle/shutdown.py
@@ -42,7 +42,7 @@
         log.info("stopping", extra={"requests": len(self.host.requests)})
         if not limits.patient:
             # while new connections are accepted: a client whose request crosses the close retries it
-            self.host.clients.end_idle()
+            self.host.clients.close_idle()
         self.loop.at(now + limits.stop_accepting, self._stop_accepting)
         self.loop.at(now + limits.stop_taking, self._stop_admission)
 
@@ -61,7 +61,7 @@
                 return
             log.warning("clients left in the backlog", extra={"why": str(error)})
         self.loop.end(self.server.accepting)
-        self.host.clients.end_idle()
+        self.host.clients.close_idle()
 
     def _stop_admission(self, _: None) -> None:
         self.host.admission_closed = True
@@ -69,7 +69,7 @@
 
     def _end_when_done(self, _: None) -> None:
         limits, now = self.host.limits, self.loop.now
-        self.host.clients.end_idle()
+        self.host.clients.close_idle()
         if not self.host.clients.all or now - self._started_at > limits.stop_longest:
             self.host.ended = True
             self.loop.stop()
--- a/oakvale/memory/requests.py
+++ b/oakvale/memory/requests.py
@@ -1,4 +1,4 @@
-"""Requests in hand: what is owed an answer, or still has attempts out."""
+"""Pending requests: those not yet answered, or with attempts still in flight."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """A final answer on its way to a client, or a backend's."""
+    """An HTTP answer, from a backend or to a client."""
 
     status: int
     headers: Headers = field(default_factory=list)
@@ -20,80 +20,82 @@
 
 
 @dataclass(slots=True, eq=False)
-class InHand:
-    """One request of a client."""
+class ClientRequest:
+    """A request of a client and its attempts in flight."""
 
     id: str
-    client: Any  # takes the answer with `give`
+    client: Any  # its `send_answer` receives the final answer
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
     deadline: int
-    event: Any = None  # what it is to the decision module
-    over: bool = False
-    abandoned: bool = False  # over because its client left
-    hops: int = 0
-    out: dict[int, AttemptOut] = field(default_factory=dict)
+    event: Any = None  # the owner's own record of the request, such as the policy's event
+    finished: bool = False  # answered, or abandoned
+    abandoned: bool = False  # finished because its client left
+    hops: int = 0  # attempts so far
+    attempts: dict[int, InFlightAttempt] = field(default_factory=dict)  # those in flight, by hop
 
 
 @dataclass(slots=True, eq=False)
-class AttemptOut:
-    """One attempt: `written` once the kernel has taken its last byte."""
+class InFlightAttempt:
+    """One attempt of a request at a backend."""
 
-    request: InHand
+    request: ClientRequest
     backend: int
     hop: int
-    sent: int
-    due: int
-    connection: Carrier | None = None
-    written: bool = False
+    started_at: int
+    deadline: int
+    connection: ReusableConnection | None = None
+    written: bool = False  # the kernel has taken the last byte of the request
     ending: Ending | None = None
-    idled: int = 0  # microseconds that its connection had been idle; 0 on a new one
-    kept: int = 0  # microseconds that its connection may be idle, now that it has ended well
-    dropped: bool = False  # that connection ended before anything of an answer came
+    connection_idle_us: int = 0  # how long its connection had been idle; 0 for a new one
+    reusable_for_us: int = 0  # how long its connection may stay idle after a successful exchange
+    dropped_before_answer: bool = False  # its reused connection ended before any byte of an answer
 
 
-class Carrier(Protocol):
-    """A connection to a backend, which carries one attempt at a time."""
+class ReusableConnection(Protocol):
+    """A connection to a backend that carries one attempt at a time."""
 
     @property
     def backend(self) -> int: ...
     @property
-    def used(self) -> int: ...
+    def last_used(self) -> int: ...
     @property
-    def lasts(self) -> int:
-        """Microseconds for which it may stay idle and be used again."""
+    def max_idle_us(self) -> int:
+        """How long it may be idle and still be reused."""
 
-    def use(self, attempt: AttemptOut, host: Any) -> None:
-        """Gives an idle connection its next request, which this lane hears the end of."""
+    def start_attempt(self, attempt: InFlightAttempt, host: Any) -> None:
+        """Starts an attempt on an idle connection; `host` is told how it ends."""
 
-    def whole(self) -> bool:
-        """Neither ended nor holding stray bytes."""
+    def is_reusable(self) -> bool:
+        """Whether it is still open, with no unexpected bytes received."""
 
     def end(self) -> None: ...
 
 
-class RequestsInHand:
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._by_id: dict[str, InHand] = {}
+class RequestTable:
+    """The pending requests of a process by id, at most `max_requests`."""
+
+    def __init__(self, max_requests: int) -> None:
+        self._max_requests = max_requests
+        self._by_id: dict[str, ClientRequest] = {}
 
     def __len__(self) -> int:
         return len(self._by_id)
 
-    def all(self) -> list[InHand]:
+    def all(self) -> list[ClientRequest]:
         return list(self._by_id.values())
 
-    def get(self, rid: str) -> InHand | None:
-        return self._by_id.get(rid)
+    def get(self, request_id: str) -> ClientRequest | None:
+        return self._by_id.get(request_id)
 
     def full(self) -> bool:
-        return len(self._by_id) >= self._most
+        return len(self._by_id) >= self._max_requests
 
-    def add(self, request: InHand) -> None:
+    def add(self, request: ClientRequest) -> None:
         self._by_id[request.id] = request
 
-    def drop_if_done(self, request: InHand) -> None:
-        if request.over and not request.out:
+    def remove_if_done(self, request: ClientRequest) -> None:
+        if request.finished and not request.attempts:
             self._by_id.pop(request.id, None)
--- a/oakvale/wire/counter.py
+++ b/oakvale/wire/counter.py
@@ -1,7 +1,7 @@
-"""The counter: calls written one behind another as lines, answers matched in order.
+"""The client of the counter service: pipelined calls, one line each, whose answers arrive in the same order.
 
-A call has one outcome, by its time-out at the latest; an answer that comes later is still owed by its
-connection and is thrown away. Outcomes of one name are given in the order of its calls, over all connections.
+Each call has exactly one outcome, at its timeout at the latest. A later answer is still read from the connection, and
+discarded. The outcomes of one name are reported in the order of its calls, over all connections.
 """
 
 from __future__ import annotations
@@ -15,31 +15,35 @@
 from oakvale.base.loop import READ, TIMED_OUT, WRITE, Coroutine, Priority, Timer, cancel_timer
 from oakvale.interface import Ending
 from oakvale.numbers import parse_decimal
-from oakvale.wire.owner import Process
+from oakvale.wire.owner import BaseOwner
 from oakvale.wire.tcp import connect, new_socket, peek
 
-# what the beginning of an answer may look like, which also bounds its length
-PARTIAL = re.compile(
+# any beginning of a valid answer, which also limits the length of an incomplete line
+ANSWER_PREFIX = re.compile(
     rb"(o(k( (-?([0-9.]{1,32}([eE][+-]?[0-9]{0,2})?\r?)?)?)?)?)?"
     rb"|b(u(s(y\r?)?)?)?|e(r(r(o(r\r?)?)?)?)?"
 )
 
 
-class Call:
-    __slots__ = ("name", "amount", "life", "sent", "begun", "ending", "level", "connection", "timer")
+class CounterCall:
+    """One call, which adds `amount` to the counter `name`."""
 
-    def __init__(self, name: str, amount: float, life: int, sent: int) -> None:
-        self.name, self.amount, self.life, self.sent = name, amount, life, sent
-        self.begun, self.level = False, 0.0  # begun: a byte of it went out, so the rest will
+    __slots__ = ("name", "amount", "ttl_ms", "started_at", "write_started", "ending", "level", "connection", "timer")
+
+    def __init__(self, name: str, amount: float, ttl_ms: int, started_at: int) -> None:
+        self.name, self.amount, self.ttl_ms, self.started_at = name, amount, ttl_ms, started_at
+        self.write_started, self.level = False, 0.0  # once a byte was written, the rest will be
         self.ending: Ending | None = None
         self.connection: CounterConnection | None = None
         self.timer: Timer | None = None
 
     def line(self) -> bytes:
-        amount = f"{self.amount:.15f}".rstrip("0").rstrip(".")  # never in exponent form
-        return f"add {self.name} {amount or '0'} {self.life}\r\n".encode("ascii")
+        """The call in the protocol of the counter."""
+        amount = f"{self.amount:.15f}".rstrip("0").rstrip(".")  # the protocol has no exponents
+        return f"add {self.name} {amount or '0'} {self.ttl_ms}\r\n".encode("ascii")
 
     def allowed(self, limits: Limits) -> bool:
+        """Whether the protocol allows its name and amount."""
         name = self.name
         return (
             abs(self.amount) <= limits.counter_amount
@@ -50,36 +54,39 @@
         )
 
 
-def answer(line: bytes) -> tuple[Ending, float]:
-    """The outcome that a line tells; raises ValueError."""
+def parse_answer(line: bytes) -> tuple[Ending, float]:
+    """Decodes an answer line into an outcome and the counter's level; raises ValueError."""
     word, _, rest = line.partition(b" ")
     if word == b"ok":
-        return Ending.SERVED, parse_decimal(rest.decode("ascii"))  # nan would spoil what the module reckons with
+        return Ending.SERVED, parse_decimal(rest.decode("ascii"))  # rejects nan
     if line in (b"busy", b"error"):
         return Ending.FULL, 0.0  # nothing was added
-    raise ValueError(f"not an answer: {line[:64]!r}")
+    raise ValueError(f"malformed answer: {line[:64]!r}")
+
 
+class Owner(BaseOwner, Protocol):
+    """What the counter client needs of its gateway."""
 
-class Owner(Process, Protocol):
-    """What the counter's connections need of the gateway that asks."""
+    def counted(self, name: str, ending: Ending, level: float, started_at: int) -> None:
+        """Reports the outcome of a call, in the order of the calls of its name."""
 
-    def counted(self, name: str, ending: Ending, level: float, sent: int) -> None:
-        """The outcome of a call, in the order of its name's calls."""
 
+class CounterClient:
+    """Distributes calls over connections to the counter, and reports their outcomes to `host`."""
 
-class Counter:
     def __init__(self, host: Owner, address: Address) -> None:
         self.host, self.address = host, address
         self.connections: list[CounterConnection] = []
         self.retry_at = 0
-        self.lost = False  # said in the log once, however many tries follow
-        self._by_name: dict[str, deque[Call]] = {}
+        self.lost = False  # whether the loss is logged, which happens once until the counter responds again
+        self._by_name: dict[str, deque[CounterCall]] = {}
 
-    def call(self, name: str, amount: float, life: int) -> None:
+    def call(self, name: str, amount: float, ttl_us: int) -> None:
+        """Starts a call; `ttl_us` is how long the counter keeps the name."""
         now = self.host.loop.now
         limits = self.host.limits
-        milliseconds = min(max(life, 1000), limits.counter_life) // 1000
-        call = Call(name, amount, milliseconds, now)
+        ttl_ms = min(max(ttl_us, 1000), limits.counter_life) // 1000
+        call = CounterCall(name, amount, ttl_ms, now)
         self._by_name.setdefault(name, deque()).append(call)
         if not call.allowed(self.host.limits):
             self.host.log.error("call not allowed", extra={"call": name, "amount": amount})
@@ -87,8 +94,8 @@
         call.timer = self.host.loop.at(now + limits.counter_timeout, self._expire, call)
         self._send(call)
 
-    def end(self, call: Call, ending: Ending, level: float = 0.0) -> None:
-        """Settles a call, once, and gives the module what is settled of its name, in order."""
+    def end(self, call: CounterCall, ending: Ending, level: float = 0.0) -> None:
+        """Records the outcome of a call, if it has none, and reports outcomes of its name in call order."""
         if call.ending is not None:
             return
         call.ending, call.level = ending, level
@@ -97,36 +104,38 @@
         calls = self._by_name[call.name]
         while calls and calls[0].ending is not None:
             first = calls.popleft()
-            self.host.counted(first.name, first.ending or ending, first.level, first.sent)
+            self.host.counted(first.name, first.ending or ending, first.level, first.started_at)
         if not calls and self._by_name.get(call.name) is calls:
             del self._by_name[call.name]
 
-    def move(self, address: Address) -> None:
-        """Calls go to another address from now on. Those of which a byte went out wait for their answers
-        where they were written; the others go with the new ones. No call is written twice."""
+    def set_address(self, address: Address) -> None:
+        """Sends calls to another address from now on. Calls that are partly or wholly written stay on their
+        connections; the others are sent to the new address. No call is written twice."""
         if address == self.address:
             return
         self.address, self.retry_at, self.lost = address, 0, False
-        calls = [call for connection in list(self.connections) for call in connection.leave()]
+        calls = [call for connection in list(self.connections) for call in connection.retire()]
         for call in calls:
             if call.ending is None:
                 self._send(call)
 
-    def _send(self, call: Call) -> None:
-        connection = self._connection()
+    def _send(self, call: CounterCall) -> None:
+        connection = self._usable_connection()
         if connection is None:
             return self.end(call, Ending.NO_CONNECTION)
         connection.send(call)
 
-    def lose(self, why: str) -> None:
+    def report_lost(self, why: str) -> None:
+        """Logs the loss of the counter, once until it responds again."""
         if not self.lost:
             self.host.log.warning("counter lost", extra={"why": why})
         self.lost = True
 
-    def _connection(self) -> CounterConnection | None:
+    def _usable_connection(self) -> CounterConnection | None:
+        """A connection that takes calls, opened if necessary; None if the counter cannot be reached."""
         now = self.host.loop.now
         for connection in self.connections:
-            if connection.usable(now):
+            if connection.is_usable(now):
                 return connection
         if now < self.retry_at:
             return None
@@ -135,171 +144,176 @@
         try:
             connection = CounterConnection(self)
         except OSError as error:
-            self.lose(str(error))
+            self.report_lost(str(error))
             return None
         return None if connection.ended else connection
 
-    def _expire(self, call: Call) -> None:
+    def _expire(self, call: CounterCall) -> None:
         if call.connection is not None:
-            call.connection.late(call)
-        self.end(call, Ending.TIMEOUT if call.begun else Ending.NO_CONNECTION)
+            call.connection.call_timed_out(call)
+        self.end(call, Ending.TIMEOUT if call.write_started else Ending.NO_CONNECTION)
 
 
 class CounterConnection:
-    def __init__(self, counter: Counter) -> None:
+    """A connection to the counter and its coroutine."""
+
+    def __init__(self, counter: CounterClient) -> None:
         self.counter, self.host = counter, counter.host
-        self.owed: deque[Call] = deque()  # written, no answer yet
-        self.heard = self.used = self.host.loop.now
-        self.up = self.stuck = self.ended = False
-        self.left = False  # the counter has moved: it brings what it owes, and its end tells nothing
-        self._unsent: deque[Call] = deque()
-        self._partial: Call | None = None  # one that the socket took in part, and what is left of its line
-        self._tail = b""
-        self._buffer = b""
+        self.unanswered: deque[CounterCall] = deque()  # written, not answered
+        self.last_received = self.last_used = self.host.loop.now
+        self.connected = self.unresponsive = self.ended = False
+        self.retired = False  # the address has changed: only outstanding answers are read, and its end is no failure
+        self._unsent: deque[CounterCall] = deque()
+        self._partial: CounterCall | None = None  # a partly written call, and the rest of its line
+        self._partial_rest = b""
+        self._received = b""
         self._sock = new_socket(self.host.loop.net)
         counter.connections.append(self)
         self._task = self.host.loop.start(self._run(), self._sock.fileno(), Priority.COUNTER)
 
-    def usable(self, now: int) -> bool:
-        full = len(self.owed) + len(self._unsent) >= self.host.limits.counter_owed
-        if self.ended or self.left or self.stuck or full:
+    def is_usable(self, now: int) -> bool:
+        """Whether calls may be sent on it; closes it if the counter has closed it while idle."""
+        full = len(self.unanswered) + len(self._unsent) >= self.host.limits.counter_owed
+        if self.ended or self.retired or self.unresponsive or full:
             return False
-        if not self.up or self.owed or now - self.used < self.host.limits.counter_idle:
+        if not self.connected or self.unanswered or now - self.last_used < self.host.limits.counter_idle:
             return True
-        # idle for some time: the counter may have closed it, and what is written then may be lost
+        # after a long idle time, the counter may have closed it, and a call written then may be lost
         if peek(self._sock) is None:
             return True
         self.end()
         return False
 
-    def send(self, call: Call) -> None:
+    def send(self, call: CounterCall) -> None:
         call.connection = self
         self._unsent.append(call)
-        self.used = self.host.loop.now
+        self.last_used = self.host.loop.now
         self.host.loop.wake(self._task)
 
-    def leave(self) -> list[Call]:
-        """Gives the calls of which nothing was written, and ends once none is owed."""
-        self.left, self.heard = True, self.host.loop.now
+    def retire(self) -> list[CounterCall]:
+        """Returns the calls of which nothing was written, and closes the connection once the others are answered."""
+        self.retired, self.last_received = True, self.host.loop.now
         calls, self._unsent = list(self._unsent), deque()
-        if not self.owed and self._partial is None:
+        if not self.unanswered and self._partial is None:
             self.end()
         else:
-            self.host.loop.wake(self._task)  # it waits for a limited time from now on
+            self.host.loop.wake(self._task)  # its wait now has a deadline
         return calls
 
-    def late(self, call: Call) -> None:
-        """A call's time is up. When nothing at all came since it was made, the connection may be dead: it is
-        left to bring what it still owes, and later calls go elsewhere."""
-        if self.heard <= call.sent and not self.left:
-            self.stuck = True
-            self.counter.lose("silent")
-            self.host.loop.wake(self._task)  # it waits for a limited time from now on
+    def call_timed_out(self, call: CounterCall) -> None:
+        """Handles the timeout of a call. If nothing was received since the call was made, the connection may be dead:
+        it gets no more calls until it delivers an answer."""
+        if self.last_received <= call.started_at and not self.retired:
+            self.unresponsive = True
+            self.counter.report_lost("silent")
+            self.host.loop.wake(self._task)  # its wait now has a deadline
 
     def end(self) -> None:
         self.host.loop.end(self._task)
 
     def _run(self) -> Coroutine:
         try:
-            due = self.host.loop.now + self.host.limits.connect
-            if not (yield from connect(self._sock, self.counter.address, due)):
-                if not self.left:
+            deadline = self.host.loop.now + self.host.limits.connect
+            if not (yield from connect(self._sock, self.counter.address, deadline)):
+                if not self.retired:
                     self.counter.retry_at = self.host.loop.now + self.host.limits.counter_retry
-                    self.counter.lose("cannot connect")
+                    self.counter.report_lost("cannot connect")
                 return
-            self.up = True
-            while not (self.left and not self.owed and self._partial is None):
+            self.connected = True
+            while not (self.retired and not self.unanswered and self._partial is None):
                 blocked = not self._write()
-                due = self.heard + self.host.limits.counter_late if self.stuck or self.left else 0
-                signal = yield (READ | WRITE if blocked else READ), due
-                if signal == TIMED_OUT and (self.stuck or self.left):
+                deadline = (
+                    self.last_received + self.host.limits.counter_late if self.unresponsive or self.retired else 0
+                )
+                signal = yield (READ | WRITE if blocked else READ), deadline
+                if signal == TIMED_OUT and (self.unresponsive or self.retired):
                     return
                 if signal > 0 and signal & ~WRITE and not self._read():
                     return
         except (OSError, ValueError) as error:
-            if not self.left:
-                self.counter.lose(str(error))
+            if not self.retired:
+                self.counter.report_lost(str(error))
         finally:
             self.ended = True
             self._sock.close()
             self.counter.connections.remove(self)
-            for call in self.owed:
-                self.counter.end(call, Ending.RESET)  # it may have been added
+            for call in self.unanswered:
+                self.counter.end(call, Ending.RESET)  # the counter may have applied it
             for call in ([self._partial] if self._partial else []) + list(self._unsent):
-                self.counter.end(call, Ending.NO_CONNECTION)  # its last byte was never written
+                self.counter.end(call, Ending.NO_CONNECTION)  # never written completely, so not applied
 
     def _write(self) -> bool:
-        """Writes the calls that wait, a buffer at a time; False when the socket takes no more."""
+        """Writes unsent calls, about one buffer at a time; False when the socket is full."""
         while self._partial or self._unsent:
-            data = self._tail
-            calls = [(self._partial, len(data))] if self._partial else []
+            data = self._partial_rest
+            line_ends = [(self._partial, len(data))] if self._partial else []
             while self._unsent and len(data) < self.host.limits.buffer:
                 call = self._unsent.popleft()
-                if call.ending is None:  # else its time was up before it could be written
+                if call.ending is None:  # otherwise, it timed out before it could be written
                     data += call.line()
-                    calls.append((call, len(data)))
+                    line_ends.append((call, len(data)))
             try:
                 sent = self._sock.send(data) if data else 0
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._unsent.extendleft(call for call, _ in reversed(calls) if call is not self._partial)
+                self._unsent.extendleft(call for call, _ in reversed(line_ends) if call is not self._partial)
                 raise
-            self._took(calls, data, sent)
+            self._record_written(line_ends, data, sent)
             if sent < len(data):
                 return False
         return True
 
-    def _took(self, calls: list[tuple[Call, int]], data: bytes, sent: int) -> None:
-        """Sorts calls, each with the place where its line ends, by what the socket took of the data."""
-        partial, self._partial, self._tail = self._partial, None, b""
-        waiting: list[Call] = []
-        begin = 0
-        for call, end in calls:
-            if end <= sent:
-                call.begun = True
-                self.owed.append(call)
-            elif begin < sent or call is partial:
-                call.begun = True
-                self._partial, self._tail = call, data[max(sent, begin) : end]
+    def _record_written(self, line_ends: list[tuple[CounterCall, int]], data: bytes, sent: int) -> None:
+        """Sorts calls, each with the end of its line in `data`, by how much of their lines was written."""
+        partial, self._partial, self._partial_rest = self._partial, None, b""
+        unwritten: list[CounterCall] = []
+        line_start = 0
+        for call, line_end in line_ends:
+            if line_end <= sent:
+                call.write_started = True
+                self.unanswered.append(call)
+            elif line_start < sent or call is partial:
+                call.write_started = True
+                self._partial, self._partial_rest = call, data[max(sent, line_start) : line_end]
             else:
-                waiting.append(call)
-            begin = end
-        self._unsent.extendleft(reversed(waiting))
+                unwritten.append(call)
+            line_start = line_end
+        self._unsent.extendleft(reversed(unwritten))
 
     def _read(self) -> bool:
-        """Takes answers; False when the counter ended the connection. Raises ValueError on a bad line."""
+        """Reads answers; False when the counter closed the connection. Raises ValueError on a malformed line."""
         pool = self.host.buffers
-        buffer = pool.take()
+        buffer = pool.acquire()
         try:
             count = self._sock.recv_into(buffer)
-            data = self._buffer + bytes(buffer[:count])
+            data = self._received + bytes(buffer[:count])
         except BlockingIOError:
             return True
         finally:
-            pool.give(buffer)
+            pool.release(buffer)
         if not count:
             return False
-        self.heard, self.stuck = self.host.loop.now, False
-        if self.counter.lost and not self.left:
+        self.last_received, self.unresponsive = self.host.loop.now, False
+        if self.counter.lost and not self.retired:
             self.counter.lost = False
             self.host.log.info("counter back")
         lines = data.split(b"\n")
-        self._buffer = lines.pop()
+        self._received = lines.pop()
         for line in lines:
-            self._settle(line.rstrip(b"\r"))
-        if not PARTIAL.fullmatch(self._buffer):  # no end of it will make it an answer
-            self._settle(self._buffer)
+            self._apply_answer(line.rstrip(b"\r"))
+        if not ANSWER_PREFIX.fullmatch(self._received):  # it can no longer become a valid answer
+            self._apply_answer(self._received)
         return True
 
-    def _settle(self, line: bytes) -> None:
-        """The outcome of the call that is owed an answer longest. A spoilt one says that it was added, and no
-        more; the connection is of no further use."""
-        if not self.owed:
-            raise ValueError("an answer to no call")
-        call = self.owed.popleft()
+    def _apply_answer(self, line: bytes) -> None:
+        """Ends the oldest unanswered call. A malformed answer is taken to mean that the call was applied, with an
+        unknown level; it is raised as ValueError, which closes the connection."""
+        if not self.unanswered:
+            raise ValueError("answer without a call")
+        call = self.unanswered.popleft()
         try:
-            ending, level = answer(line)
+            ending, level = parse_answer(line)
         except ValueError:
             self.counter.end(call, Ending.ERROR)
             raise
--- a/oakvale/wire/owner.py
+++ b/oakvale/wire/owner.py
@@ -1,4 +1,4 @@
-"""What every connection needs of the process that it belongs to; each file of `wire` adds its own to it."""
+"""What every connection needs of its owner; the modules of `wire` extend it with what they need."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 from oakvale.memory.buffers import BufferPool
 
 
-class Process(Protocol):
+class BaseOwner(Protocol):
+    """The resources of a process that all of its connections use."""
+
     @property
     def loop(self) -> Loop: ...
     @property
--- a/tests/test_abandoned.py
+++ b/tests/test_abandoned.py
@@ -87,7 +87,9 @@
     client = gateway.send_request(method="POST", Content_Length=str(len(LARGE_BODY)))
     send_all(gateway, client, LARGE_BODY)
     backend = next_unread_connection(gateway)
-    gateway.until(lambda: any(out.written for request in gateway.router.requests.all() for out in request.out.values()))
+    gateway.until(
+        lambda: any(out.written for request in gateway.router.requests.all() for out in request.attempts.values())
+    )
     if client_leaves:
         client.close()
     else:
--- a/tests/test_backend_protocol.py
+++ b/tests/test_backend_protocol.py
@@ -32,4 +32,4 @@
 )
 def test_keep_alive_timeout_is_parsed(value: bytes, timeout_us: int | None) -> None:
     """Guards against writing to a connection that the backend is closing: such a request may have run."""
-    assert SystemDialect().idle([(b"keep-alive", value)]) == timeout_us
+    assert SystemDialect().keep_alive_us([(b"keep-alive", value)]) == timeout_us
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -204,12 +204,12 @@
 
 def test_buffers_have_one_size_and_are_reused() -> None:
     pool = BufferPool(64, 2)
-    first = [pool.take() for _ in range(3)]
-    assert {len(buffer) for buffer in first} == {64} and pool.taken == 3
+    first = [pool.acquire() for _ in range(3)]
+    assert {len(buffer) for buffer in first} == {64} and pool.in_use == 3
     for buffer in first:
-        pool.give(buffer)
-    assert pool.taken == 0
-    second = [pool.take() for _ in range(3)]  # the pool kept two
+        pool.release(buffer)
+    assert pool.in_use == 0
+    second = [pool.acquire() for _ in range(3)]  # the pool kept two
     assert sum(any(buffer is other for other in first) for buffer in second) == 2
 
 
